--- a/yewloom/hashing.py
+++ b/yewloom/hashing.py
@@ -1,4 +1,4 @@
-"""The 64-bit hash by which work, claims and sessions are divided."""
+"""The 64-bit hash used to distribute work, claims and sessions among hosts."""
 
 from collections.abc import Iterable
 
@@ -6,11 +6,11 @@
 
 
 def hash64(text: str) -> int:
-    """Return the same number for a text on every host, from 0 to 2**64 - 1."""
+    """Return a hash of a text from 0 to 2**64 - 1, the same on every host."""
     return xxhash.xxh64_intdigest(text.encode())
 
 
 def turn_among(name: str, me: str, others: Iterable[str]) -> int:
-    """Return how many others come before one of them where they take turns at what is named."""
+    """Return the rank of ``me`` among ``others`` in rendezvous hashing for ``name``, from 0."""
     mine = hash64(f"{name}/{me}")
     return sum(hash64(f"{name}/{other}") < mine for other in others)
--- a/yewloom/listed_endpoints.py
+++ b/yewloom/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints, and their changes, as messages between entry hosts."""
+"""Encoding of endpoints and their changes for messages between entry hosts."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 @value_class
 class ChangedEndpoints:
-    """All changes of endpoints between two positions of the store."""
+    """All changes of endpoints after position ``base`` of the store, up to ``position``."""
 
     base: int
     position: int
@@ -19,7 +19,7 @@
 
 
 def encode_changes(changes: ChangedEndpoints) -> EndpointChanges:
-    """Return changes of endpoints as a message."""
+    """Return the message for changes of endpoints."""
     return EndpointChanges(
         base=changes.base,
         position=changes.position,
@@ -29,14 +29,14 @@
 
 
 def decode_changes(message: EndpointChanges) -> ChangedEndpoints:
-    """Return the changes that a message holds; raises ValueError for an unknown state."""
+    """Return the changes in a message; raise ValueError for an unknown member state."""
     endpoints = [decode_endpoint(item) for item in message.endpoints]
     removed = [HostId(name) for name in message.removed]
     return ChangedEndpoints(message.base, message.position, endpoints, removed)
 
 
 def encode_endpoint(endpoint: Endpoint) -> ListedEndpoint:
-    """Return an endpoint as a message."""
+    """Return the message for an endpoint."""
     member = endpoint.membership
     return ListedEndpoint(
         id=endpoint.id,
@@ -53,7 +53,7 @@
 
 
 def decode_endpoint(message: ListedEndpoint) -> Endpoint:
-    """Return the endpoint that a message holds; raises ValueError for an unknown state."""
+    """Return the endpoint in a message; raise ValueError for an unknown member state."""
     return Endpoint(
         id=HostId(message.id),
         service=ServiceName(message.service),
--- a/yewloom/node.py
+++ b/yewloom/node.py
@@ -1,4 +1,4 @@
-"""The state of one entry host, shared by its tasks on one loop."""
+"""The state of one entry host, shared by the tasks of its event loop."""
 
 import random
 import time
@@ -21,23 +21,23 @@
 from yewloom.work import Work
 
 WATCH_DUTY = "watch"
-"""Duty of the entry hosts that watch the platform for their data centre."""
+"""Duty of watching the platform for a data centre."""
 
 COORDINATE_DUTY = "coordinate"
-"""Duty of the entry hosts that keep an eye on the coordinator's lease."""
+"""Duty of monitoring the coordinator's lease."""
 
 COORDINATE_COUNT = 3
-"""Entry hosts of a data centre that keep an eye on the lease; one of them holds it."""
+"""Entry hosts of a data centre that monitor the coordinator's lease; one of them holds it."""
 
 
 def unix_ms() -> int:
-    """Return the wall clock in Unix milliseconds, for records that outlive the process."""
+    """Return the wall-clock time in Unix milliseconds, for records that outlive the process."""
     return time.time_ns() // 1_000_000
 
 
 @dataclass
 class Node:
-    """What an entry host knows; every field is in memory only and learnt anew at a start."""
+    """The state of an entry host; it is in memory only and rebuilt after a restart."""
 
     settings: Settings
     membership: Membership
@@ -58,7 +58,7 @@
 
     @property
     def id(self) -> EntryHostId:
-        """Name of this entry host."""
+        """Id of this entry host."""
         return EntryHostId(self.settings.host.id)
 
     @property
@@ -68,7 +68,7 @@
 
     @property
     def instance(self) -> str:
-        """Name of this process: the entry host and its start."""
+        """Name of this process: the entry host's id and incarnation."""
         return self.instance_of(self.membership.me)
 
     @staticmethod
@@ -77,28 +77,35 @@
         return f"{member.id}/{member.incarnation}"
 
     def share_state(self, now_s: float) -> ShareState:
-        """Return what peers should know of the shares in use here."""
+        """Return the use of shares on this host, for its peers."""
         demand = dict.fromkeys(self.table.customers(), 0) | self.admission.take_demand()
         return self.shares.state(self.admission.in_flight_by_customer(), demand, now_s)
 
     @property
     def accepts_requests(self) -> bool:
-        """Tell whether requests are taken in; for a moment longer than the balancer is told."""
+        """Return whether requests are accepted.
+
+        While the host stops, they are accepted for longer than ``is_ready`` tells the load balancer
+        to send them.
+        """
         return self.has_table and self.work.phase is not Phase.CLOSED
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send requests here."""
+        """Return whether the load balancer may send requests to this host."""
         return self.has_table and not self.work.is_leaving
 
     def start_leaving(self) -> None:
-        """Begin a planned stop: tell the balancer and the peers, and still take requests."""
+        """Begin a planned stop: announce it to the load balancer and peers.
+
+        Requests are still accepted.
+        """
         self.work.phase = Phase.LEAVING
         self.membership.start_leaving()
 
 
 def build_node(settings: Settings, rng: random.Random, incarnation: int) -> Node:
-    """Return the state of an entry host that knows nothing yet."""
+    """Return the initial state of an entry host."""
     host = settings.host
     me = Member(
         id=host.id,
