--- a/yewloom/configuration.py
+++ b/yewloom/configuration.py
@@ -1,7 +1,8 @@
-"""The operator's configuration as one versioned snapshot, and how fresh it is known to be.
+"""The operator's configuration as one versioned snapshot, and its age.
 
-A snapshot is never replaced by an older one. Its age counts from before the question was sent
-whose answer proved it current, so a pause or a delay makes it older, never fresher.
+A snapshot is never replaced by an older version. Its age counts from the time at which the request
+that last confirmed it was sent, so a pause or a delay can only make it look older than it is, never
+more recent.
 """
 
 import math
@@ -12,13 +13,13 @@
 from yewloom.routes import RouteTable
 from yewloom.values import value_class
 
-MAX_STATED_AGE_S = 1e6
-"""Greatest age of a configuration that is told to peers and logs, in place of an infinite one."""
+MAX_REPORTED_AGE_S = 1e6
+"""Upper bound on the configuration age reported to peers and logs; replaces an infinite age."""
 
 
 @value_class
 class CallerLimits:
-    """What a caller may send, and for how long it may take or stay idle."""
+    """Size limits for callers' requests, and time-outs for headers and idle connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -30,7 +31,8 @@
 class ReplicaModel:
     """A model whose replicas span several hosts.
 
-    ``share`` is its part of the hosts at the start; ``pace`` multiplies all its times.
+    ``share`` is the fraction of hosts initially assigned to the model; ``pace`` is a factor that
+    multiplies all of its durations.
     """
 
     name: ModelName
@@ -43,7 +45,7 @@
 
 @value_class
 class EngineProfile:
-    """What the endpoints of a service of model engines can do."""
+    """Capabilities of the endpoints of a model engine service."""
 
     slots: int
     models: Mapping[ModelName, ReplicaModel]
@@ -52,7 +54,7 @@
 
 @value_class
 class Service:
-    """A service; ``engine`` is None for a plain one."""
+    """A service; ``engine`` is None for a plain service."""
 
     name: ServiceName
     engine: EngineProfile | None = None
@@ -60,7 +62,7 @@
 
 @value_class
 class Configuration:
-    """One version of the operator's configuration; ``customers`` is by API key."""
+    """One version of the operator's configuration; ``customers`` is keyed by API key."""
 
     version: int
     routes: RouteTable
@@ -70,30 +72,30 @@
 
     @property
     def asks_for_keys(self) -> bool:
-        """Tell whether routes that are not open need a key."""
+        """Return whether routes that do not allow anonymous access require an API key."""
         return bool(self.customers)
 
     def engine_services(self) -> list[Service]:
-        """Return the services of model engines."""
+        """Return the services that are backed by model engines."""
         return [service for service in self.services.values() if service.engine is not None]
 
 
 class ConfigurationBook:
-    """Holds the newest configuration and the time from which it is known to be current."""
+    """Holds the newest configuration and the time at which it was last confirmed to be current."""
 
     def __init__(self) -> None:
         self.current: Configuration | None = None
         self._confirmed_s = float("-inf")
         self.newest_version = 0
-        """The newest version that is known to exist, whether or not this host has it."""
+        """The newest version known to exist, whether or not this host has read it."""
 
     @property
     def is_outdated(self) -> bool:
-        """Tell whether a version newer than the current one is known to exist."""
+        """Return whether a version newer than the current one is known to exist."""
         return self.current is not None and self.newest_version > self.current.version
 
     def apply(self, configuration: Configuration, proved_s: float) -> bool:
-        """Take in a configuration read after ``proved_s``; tell whether it is a newer one."""
+        """Apply a configuration read after ``proved_s``; return whether it is newer."""
         is_newer = self.current is None or configuration.version > self.current.version
         if is_newer:
             self.current = configuration
@@ -102,17 +104,17 @@
         return is_newer
 
     def confirm(self, proved_s: float) -> None:
-        """Take in that no newer version existed at some time after ``proved_s``."""
+        """Record that no newer version existed at some time after ``proved_s``."""
         self._confirmed_s = max(self._confirmed_s, proved_s)
 
     def note_version(self, version: int) -> None:
-        """Take in that a version exists, whether or not this host can read it."""
+        """Record that a version exists, whether or not this host can read it."""
         self.newest_version = max(self.newest_version, version)
 
     def age_s(self, now_s: float) -> float:
-        """Return the time for which a newer version may have gone unseen; infinite at first."""
+        """Return for how long a newer version may have gone unnoticed; infinite at first."""
         return now_s - self._confirmed_s
 
     def stated_age_ms(self, now_s: float) -> int:
-        """Return the age in whole milliseconds as it is told to peers and logs."""
-        return math.ceil(min(self.age_s(now_s), MAX_STATED_AGE_S) * 1000)
+        """Return the age in whole milliseconds, bounded, for peers and logs."""
+        return math.ceil(min(self.age_s(now_s), MAX_REPORTED_AGE_S) * 1000)
--- a/yewloom/tests/test_key_trust.py
+++ b/yewloom/tests/test_key_trust.py
@@ -16,7 +16,7 @@
 from yewloom.entry_states import PeerBoard
 from yewloom.forward_request import Refusal
 from yewloom.ids import EntryHostId
-from yewloom.key_trust import PROOF_SHARE, KeyTrust
+from yewloom.key_trust import CONFIRMATION_FRACTION, KeyTrust
 from yewloom.platform.headers import WireHeaders
 from yewloom.quarantine import Quarantine
 from yewloom.request_admission import RequestAdmission
@@ -63,8 +63,8 @@
 
     def test_a_strict_host_refuses_keys_once_its_proof_is_too_old(self) -> None:
         host = Host(needs_proof=True)
-        self.assertEqual(host.status(REVOCATION_S * PROOF_SHARE), 200)
-        self.assertEqual(host.status(REVOCATION_S * PROOF_SHARE + 0.01), 503)
+        self.assertEqual(host.status(REVOCATION_S * CONFIRMATION_FRACTION), 200)
+        self.assertEqual(host.status(REVOCATION_S * CONFIRMATION_FRACTION + 0.01), 503)
 
     def test_another_host_serves_the_keys_last_known_through_the_outage(self) -> None:
         host = Host(needs_proof=False)
