--- a/yewloom/platforms.py
+++ b/yewloom/platforms.py
@@ -1,7 +1,7 @@
-"""The platform's object API: the only place where anything is agreed or kept.
+"""Client of the platform's object store, the only persistent and consistent storage of the system.
 
-``Platform`` is what the rest of the system sees; ``HttpPlatform`` speaks the HTTP form described
-in docs/platform-api.md. Values are JSON objects.
+``Platform`` is the interface that the rest of the system uses; ``HttpPlatform`` implements it over
+the HTTP API described in docs/platform-api.md. Values are JSON objects.
 """
 
 import json
@@ -22,13 +22,13 @@
 _WATCH_SLACK_S = 2.0
 
 FAILURES_TO_BE_DOWN = 2
-"""Calls in a row without an answer after which the platform counts as down."""
+"""Consecutive calls without an answer after which the platform is considered down."""
 
 T = TypeVar("T")
 
 
 class PlatformFailure(Enum):
-    """What is known after a platform call that gave no answer."""
+    """Why a platform call failed, and whether it may have taken effect."""
 
     CONFLICT = "conflict"
     NOT_APPLIED = "not_applied"
@@ -36,7 +36,7 @@
     FORBIDDEN = "forbidden"
     INVALID = "invalid"
     EXPIRED = "expired"
-    """A watch asked for history that the platform no longer has."""
+    """The watch started from a position that the platform no longer keeps."""
 
 
 @value_class
@@ -52,7 +52,7 @@
 
 @value_class
 class StoredObject:
-    """A key, its value as JSON text, and its version, which rises with each write from 1."""
+    """A key, its value as JSON text, and its version: 1 at creation, increased by each write."""
 
     key: str
     version: int
@@ -61,11 +61,11 @@
 
 @value_class
 class Listing:
-    """Objects, and the point in the platform's history from which a watch goes on.
+    """Objects, and the position in the platform's history from which to watch for changes.
 
-    ``removed`` holds the keys of objects that a watch reports as gone. ``proved_after_s`` is the
-    time after the call was sent at which nothing more had changed: that of a watch that ended
-    empty, else 0.
+    ``removed`` contains the keys that a watch reports as deleted. ``proved_after_s`` is the time
+    after sending the call up to which the answer is known to be complete: the duration of a watch
+    that ended without changes, otherwise 0.
     """
 
     objects: Sequence[StoredObject]
@@ -75,11 +75,11 @@
 
 
 class Platform(Protocol):
-    """The calls that the system makes to the platform."""
+    """The platform's operations."""
 
     @property
     def is_down(self) -> bool:
-        """Tell whether the latest calls got no answer, so that waiting for one more is in vain."""
+        """Return whether the latest calls got no answer, so that another call is likely to fail."""
         ...
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
@@ -89,24 +89,24 @@
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is the expected one (0: absent); return the new one."""
+        """Write an object if it has the expected version (0: absent); return the new version."""
         ...
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
-        """Read all objects below a prefix."""
+        """Read all objects whose keys start with a prefix."""
         ...
 
     async def watch(self, prefix: str, position: int) -> Result[Listing, PlatformError]:
-        """Wait for writes below a prefix after a position; the answer may be empty."""
+        """Wait for writes to keys with a prefix after a position; the result may be empty."""
         ...
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
-        """Read the lagging list of a data centre's hosts."""
+        """Read the list of a data centre's hosts, which may be out of date."""
         ...
 
 
 class HttpPlatform:
-    """The platform over HTTP. ``calls`` counts what was sent, by kind."""
+    """The platform over HTTP; ``calls`` counts the calls by kind."""
 
     def __init__(
         self,
@@ -126,7 +126,7 @@
 
     @property
     def is_down(self) -> bool:
-        """Tell whether the latest calls got no answer, so that waiting for one more is in vain."""
+        """Return whether the latest calls got no answer, so that another call is likely to fail."""
         return self._failures >= FAILURES_TO_BE_DOWN
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
@@ -142,7 +142,7 @@
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is the expected one (0: absent); return the new one."""
+        """Write an object if it has the expected version (0: absent); return the new version."""
         condition = (
             {"if-match": f'"{expected_version}"'} if expected_version else {"if-none-match": "*"}
         )
@@ -154,7 +154,7 @@
                 return Err(error)
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
-        """Read all objects below a prefix."""
+        """Read all objects whose keys start with a prefix."""
         match await self._call("list", "GET", f"/v1/objects?{urlencode({'prefix': prefix})}"):
             case Ok(answer):
                 return _decode(answer, _listing)
@@ -162,7 +162,7 @@
                 return Err(error)
 
     async def watch(self, prefix: str, position: int) -> Result[Listing, PlatformError]:
-        """Wait for writes below a prefix after a position; the answer may be empty."""
+        """Wait for writes to keys with a prefix after a position; the result may be empty."""
         query = urlencode(
             {
                 "prefix": prefix,
@@ -178,7 +178,7 @@
                 return Err(error)
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
-        """Read the lagging list of a data centre's hosts."""
+        """Read the list of a data centre's hosts, which may be out of date."""
         path = f"/v1/hosts?{urlencode({'data_centre': data_centre})}"
         match await self._call("hosts", "GET", path):
             case Ok(answer):
@@ -211,8 +211,8 @@
             )
         except HttpCallError as error:
             self._failures += 1
-            sent = error.failure is not HttpFailure.NOT_SENT
-            failure = PlatformFailure.AMBIGUOUS if sent else PlatformFailure.NOT_APPLIED
+            was_sent = error.failure is not HttpFailure.NOT_SENT
+            failure = PlatformFailure.AMBIGUOUS if was_sent else PlatformFailure.NOT_APPLIED
             return Err(PlatformError(failure, str(error)))
         self._failures = self._failures + 1 if answer.status >= 500 else 0
         return _check_status(answer)
@@ -224,7 +224,9 @@
     if answer.status in (409, 412):
         return Err(PlatformError(PlatformFailure.CONFLICT, "the object has another version"))
     if answer.status in (401, 403):
-        return Err(PlatformError(PlatformFailure.FORBIDDEN, "the token is missing or not allowed"))
+        return Err(
+            PlatformError(PlatformFailure.FORBIDDEN, "the token is missing or lacks permission")
+        )
     if answer.status in (429, 503):
         return Err(PlatformError(PlatformFailure.NOT_APPLIED, f"status {answer.status}"))
     failure = PlatformFailure.AMBIGUOUS if answer.status >= 500 else PlatformFailure.INVALID
@@ -235,7 +237,7 @@
     try:
         return Ok(build(answer.json()))
     except (ValueError, KeyError, TypeError, json_format.ParseError) as error:
-        return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"unreadable answer: {error}"))
+        return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"invalid answer: {error}"))
 
 
 def _stored_object(fields: Any) -> StoredObject:
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -1,7 +1,8 @@
-"""The operators' table: rows with versions that never go back, and edits of single cells.
+"""The operators' table: rows with increasing versions, and edits of single cells.
 
-The platform's version of a row decides which value is newer. A node applies a row only when its
-version is above the one that it has, so neither a restart nor a stale peer can revert a change.
+A row's version is that of its object in the platform. An entry host applies a row only if its
+version is higher than the one that it has, so neither a restart nor a stale peer can revert a
+change.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -27,18 +28,19 @@
 from yewloom.values import value_class
 
 HISTORY_LENGTH = 16
-"""Edits that a row remembers, so that an editor whose answer was lost can find its own."""
+"""Number of latest edits recorded in a row, so that a client that got no answer can find its own
+edit."""
 
 BUCKETS = 64
-"""Parts of the table that are compared one by one when two tables differ."""
+"""Number of parts of the table that are compared separately when two tables differ."""
 
 TABLE_PREFIX = "table/"
-"""Prefix of the platform keys that hold rows."""
+"""Prefix of the platform keys of rows."""
 
 
 @value_class
 class TableError:
-    """Why an edit can't be accepted, in one sentence with the remedy."""
+    """Why an edit is rejected and how to fix it, in one sentence."""
 
     sentence: str
 
@@ -47,10 +49,10 @@
 
 
 class Table:
-    """The rows that a node has in force.
+    """The rows that an entry host applies.
 
-    ``digest`` is 8 bytes over all names and versions; equal digests mean equal tables. When two
-    differ, the digests of their buckets tell which rows to send.
+    ``digest`` is an 8-byte hash of all names and versions; equal digests mean equal tables. If the
+    digests of two tables differ, those of their buckets show which rows to send.
     """
 
     def __init__(self) -> None:
@@ -58,7 +60,7 @@
         self._buckets: list[set[RowName]] = [set() for _ in range(BUCKETS)]
         self._bucket_digests = [0] * BUCKETS
         self._digest = 0
-        # Requests look rows up by kind far more often than rows change.
+        # Cached, since requests look up rows by kind far more often than rows change.
         self._by_kind: dict[RowKind, list[tuple[str, Row]]] = {}
 
     def __len__(self) -> int:
@@ -66,11 +68,11 @@
 
     @property
     def digest(self) -> bytes:
-        """Digest over the names and versions of all rows, deleted ones included."""
+        """Hash of the names and versions of all rows, deleted ones included."""
         return self._digest.to_bytes(8, "big")
 
     def apply(self, row: VersionedRow) -> bool:
-        """Put a row in force if it is newer than the one in force; tell whether it was."""
+        """Apply a row if it is newer than the current one; return whether it was applied."""
         name = RowName(row.name)
         current = self._rows.get(name)
         if current is not None and current.version >= row.version:
@@ -87,16 +89,16 @@
         return True
 
     def versions(self) -> list[RowVersion]:
-        """Return name and version of every row."""
+        """Return the name and version of every row, deleted ones included."""
         return [RowVersion(name=row.name, version=row.version) for row in self._rows.values()]
 
     @property
     def bucket_digests(self) -> list[int]:
-        """Digest of each bucket."""
+        """The digest of each bucket."""
         return list(self._bucket_digests)
 
     def rows_where_different(self, bucket_digests: Sequence[int]) -> list[VersionedRow]:
-        """Return the rows of all buckets in which someone with these digests differs."""
+        """Return the rows of all buckets whose digests differ from the given ones."""
         return [
             self._rows[name]
             for theirs, ours, names in zip(
@@ -107,36 +109,36 @@
         ]
 
     def get(self, name: RowName) -> VersionedRow | None:
-        """Return a row in force, or nothing if it is unknown or deleted."""
+        """Return a row; None if it is unknown or deleted."""
         row = self._rows.get(name)
         return None if row is None or row.row.deleted else row
 
     def rows(self) -> Iterator[VersionedRow]:
-        """Yield the rows that are not deleted, in order of name."""
+        """Yield the rows that are not deleted, sorted by name."""
         return (row for _, row in sorted(self._rows.items()) if not row.row.deleted)
 
     def policies(self) -> dict[PolicyName, PolicyRow]:
-        """Return the policies in order of name."""
+        """Return the policies, sorted by name."""
         return {PolicyName(n): row.policy for n, row in self._named(RowKind.POLICY)}
 
     def policies_for(self, model: ModelName) -> dict[PolicyName, PolicyRow]:
-        """Return the policies that serve a model, in order of name."""
+        """Return the policies for a model, sorted by name."""
         return {name: row for name, row in self.policies().items() if row.model == model}
 
     def customers(self) -> dict[CustomerId, CustomerRow]:
-        """Return the customers in order of name."""
+        """Return the customers, sorted by name."""
         return {CustomerId(n): row.customer for n, row in self._named(RowKind.CUSTOMER)}
 
     def services(self) -> dict[ServiceName, ServiceRow]:
-        """Return the plain services in order of name."""
+        """Return the plain services, sorted by name."""
         return {ServiceName(n): row.service for n, row in self._named(RowKind.SERVICE)}
 
     def experiments(self) -> dict[str, ExperimentRow]:
-        """Return the experiments in order of name."""
+        """Return the experiments, sorted by name."""
         return {n: row.experiment for n, row in self._named(RowKind.EXPERIMENT)}
 
     def _named(self, kind: RowKind) -> list[tuple[str, Row]]:
-        """Return the rows of a kind by their own names, in order."""
+        """Return the rows of a kind with their names without the kind, sorted by name."""
         if kind not in self._by_kind:
             prefix = f"{kind.value}/"
             self._by_kind[kind] = [
@@ -152,11 +154,11 @@
 
 
 def parse_row_name(text: str) -> Result[RowName, TableError]:
-    """Check the form ``kind/name`` of a row's name."""
+    """Return a row name after checking that it has the form ``kind/name``."""
     kind, _, name = text.partition("/")
     kinds = [kind.value for kind in RowKind]
     if kind not in kinds or not name or "/" in name or name != name.strip():
-        choice = ", ".join(f"{word}/NAME" for word in kinds)
+        choice = ", ".join(f"{kind_name}/NAME" for kind_name in kinds)
         return Err(TableError(f"{text!r} does not name a row; use one of {choice}."))
     return Ok(RowName(text))
 
@@ -164,9 +166,9 @@
 def edit_row(
     name: RowName, current: Row | None, cells: Mapping[str, str], change: RowChange
 ) -> Result[Row, TableError]:
-    """Return the row that results from setting cells by their dotted names.
+    """Return a row with cells set by their dotted names.
 
-    A row that does not exist yet starts from the defaults in the schema.
+    A row that does not exist yet starts from the schema's defaults.
     """
     edited = _new_version(current, change)
     kind = name.partition("/")[0]
@@ -184,14 +186,14 @@
 
 
 def delete_row(current: Row, change: RowChange) -> Row:
-    """Return the row that marks its name as deleted; the record itself stays."""
+    """Return the row marked as deleted; its record stays in the platform."""
     edited = _new_version(current, change)
     edited.deleted = True
     return edited
 
 
 def contains_attempt(row: Row, attempt: AttemptId) -> bool:
-    """Tell whether a write is among the latest of a row."""
+    """Return whether an attempt is among the latest writes recorded in a row."""
     return any(change.attempt_id == attempt for change in row.history)
 
 
@@ -206,7 +208,7 @@
 
 
 def _set_cell(target: Message, path: str, text: str) -> str | None:
-    """Set one cell in place and return what is wrong with it, if anything."""
+    """Set one cell in place; return an error message if the path or value is invalid."""
     head, _, rest = path.partition(".")
     fields = fields_of(target)
     field = fields.get(head)
--- a/yewloom/watchers.py
+++ b/yewloom/watchers.py
@@ -1,7 +1,7 @@
-"""Watching the platform for the table and the placements.
+"""Watches the platform for changes of the table, the placements and the shares.
 
-Only a few entry hosts of each data centre watch; the others learn by exchange. Rows and
-placements are applied by version, so it does not matter who brings them or how often.
+Only a few entry hosts of each data centre watch it; the others get changes by exchange with peers.
+Rows and placements are applied by version, so their source and repetition do not matter.
 """
 
 import structlog
@@ -21,12 +21,13 @@
 PLACEMENT_PREFIX = "placements/"
 SHARES_PREFIX = "shares/"
 
-MAX_LOOK_PAUSES = 40
-"""Most pauses between two looks of a host without the duty to watch at a platform that is down."""
+MAX_RECHECK_FACTOR = 40
+"""Longest interval, in poll intervals, at which a host without the duty to watch checks whether a
+platform that is down has recovered."""
 
 
 class Watcher:
-    """Follows one prefix of the platform while this entry host has the duty to."""
+    """Watches the keys with one prefix while this entry host has the duty to."""
 
     def __init__(self, node: Node, platform: Platform, prefix: str) -> None:
         self._node = node
@@ -35,12 +36,12 @@
         self._position: int | None = None
 
     async def run(self) -> None:
-        """Follow the prefix until cancelled."""
+        """Watch the prefix until cancelled."""
         pause_s = self._node.settings.platform.poll_interval_ms / 1000
         while True:
             has_duty = self._has_duty()
             if not has_duty and self._platform.is_down:
-                await self._look_again(pause_s)
+                await self._recheck(pause_s)
             elif not has_duty or not await self._step():
                 self._position = None
                 await trio.sleep(pause_s)
@@ -50,14 +51,17 @@
         is_new = not self._node.has_table
         return is_new or self._node.membership.has_platform_duty(WATCH_DUTY, count, now_s)
 
-    async def _look_again(self, pause_s: float) -> None:
-        """Find out now and then whether the platform answers again; all hosts may be waiting."""
+    async def _recheck(self, pause_s: float) -> None:
+        """Check after a random pause whether the platform answers again.
+
+        The pause is long, since all hosts may be waiting for the platform at the same time.
+        """
         self._position = None
-        await trio.sleep(pause_s * self._node.rng.uniform(1, MAX_LOOK_PAUSES))
+        await trio.sleep(pause_s * self._node.rng.uniform(1, MAX_RECHECK_FACTOR))
         await self._step()
 
     async def _step(self) -> bool:
-        """List once, then watch; tell whether the platform answered."""
+        """List on the first call, watch on later ones; return whether the platform answered."""
         if self._position is None:
             listing = await self._platform.list(self._prefix)
         else:
@@ -76,7 +80,7 @@
 
 
 def take_in_object(node: Node, stored: StoredObject) -> None:
-    """Apply one object that the platform holds."""
+    """Apply one object read from the platform."""
     try:
         if stored.key.startswith(TABLE_PREFIX):
             exchange.apply_rows(node, [parse_row(stored)], "platform")
@@ -85,21 +89,21 @@
         elif stored.key == f"{SHARES_PREFIX}{node.data_centre}":
             node.shares.apply(parse_shares(stored))
     except RecordError as error:
-        logger.error("object unreadable", reason=str(error))
+        logger.error("invalid object", reason=str(error))
 
 
 def parse_row(stored: StoredObject) -> VersionedRow:
-    """Decode a table row; raises RecordError."""
+    """Decode a table row; raise RecordError if it is invalid."""
     row = parse_record(stored, Row())
     name = stored.key.removeprefix(TABLE_PREFIX)
     return VersionedRow(name=name, version=stored.version, row=row)
 
 
 def parse_shares(stored: StoredObject) -> Shares:
-    """Decode a record of shares; raises RecordError."""
+    """Decode a shares record; raise RecordError if it is invalid."""
     return parse_record(stored, Shares())
 
 
 def parse_placement(stored: StoredObject) -> Placement:
-    """Decode a placement record; raises RecordError."""
+    """Decode a placement record; raise RecordError if it is invalid."""
     return parse_record(stored, Placement())
--- a/yewloom/writes.py
+++ b/yewloom/writes.py
@@ -1,8 +1,8 @@
-"""Conditional writes whose lost answers are settled.
+"""Conditional writes to the platform that are retried until their outcome is known.
 
-A write to the platform may take effect although its answer is lost, even later than a read that
-follows. So a write of unknown effect is sent again under the same condition until the platform
-gives a definite answer: at most one of the sendings can take effect.
+A write may take effect although its answer is lost, possibly even after a later read. So a write
+with an unknown outcome is sent again with the same expected version until the platform gives a
+definite answer; at most one of the attempts can take effect.
 """
 
 from collections.abc import Callable
@@ -16,14 +16,17 @@
 from yewloom.platforms import Platform, PlatformFailure, StoredObject
 from yewloom.values import value_class
 
-_PAUSE_S = 0.1
+_RETRY_PAUSE_S = 0.1
 
 MessageT = TypeVar("MessageT", bound=Message)
 
 
 @value_class
 class WriteConflict:
-    """Another write came first; ``current`` is what stands now, if it could be read."""
+    """Another write came first.
+
+    ``current`` is the stored object now; None if it is absent or could not be read.
+    """
 
     current: StoredObject | None
 
@@ -49,16 +52,16 @@
 
 
 def to_json(message: Message) -> str:
-    """Return a record as the JSON text kept in the platform."""
+    """Return a record as JSON text for the platform."""
     return json_format.MessageToJson(message, preserving_proto_field_name=True, indent=None)
 
 
 class RecordError(Exception):
-    """A record in the platform can't be decoded."""
+    """A record in the platform cannot be decoded."""
 
 
 def parse_record(stored: StoredObject, record: MessageT) -> MessageT:
-    """Decode a stored object into an empty record; raises RecordError."""
+    """Decode a stored object into an empty record; raise RecordError if it is invalid."""
     try:
         return json_format.Parse(stored.value, record, ignore_unknown_fields=True)
     except json_format.ParseError as error:
@@ -73,10 +76,10 @@
     is_ours: Callable[[StoredObject], bool],
     timeout_s: float,
 ) -> Result[StoredObject, WriteError]:
-    """Write a record conditionally and return what stands in the platform then.
+    """Write a record conditionally and return the object stored after that.
 
-    ``is_ours`` tells whether a stored object came from, or after, this very write; what stands
-    may then be a later value than the one written.
+    ``is_ours`` returns whether a stored object results from this write, or from a later write on
+    top of it; so the returned object may be newer than the one written.
     """
     deadline_s = trio.current_time() + timeout_s
     value = to_json(record)
@@ -95,7 +98,7 @@
             return Err(WriteNotApplied(error.detail))
         if trio.current_time() >= deadline_s:
             return Err(WriteUnsettled(error.detail))
-        await trio.sleep(_PAUSE_S)
+        await trio.sleep(_RETRY_PAUSE_S)
 
 
 async def _settle_conflict(
