--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -196,7 +196,7 @@
     Mutation(
         "membership: only a risen heartbeat keeps a member alive",
         "membership",
-        "if known is None or _rank(member) > _rank(known.member):",
+        "if known is None or _recency(member) > _recency(known.member):",
         "if True:",
         "test_membership",
     ),
--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -1,7 +1,8 @@
-"""Exchange between entry hosts: what one asks, what the other answers, and what is taken in.
+"""Pull-based exchange between entry hosts: building requests, answering them, applying answers.
 
-Exchange is by asking only. The one that asks counts the age of what it is told from before it
-asked, so a slow or paused peer can make knowledge look older, never fresher.
+State is only pulled, never pushed. The requesting host counts the age of an answer from the time
+before it sent the request, so a slow or paused peer can only make data look older than it is, never
+more recent.
 """
 
 from collections.abc import Iterable
@@ -25,7 +26,10 @@
 
 
 def ask(node: Node, now_s: float, wants_members: bool = True) -> ExchangeRequest:
-    """Return the question for a peer; the list of entry hosts is the largest part of an answer."""
+    """Return the request for a peer.
+
+    ``wants_members`` asks for the list of entry hosts, which is the largest part of an answer.
+    """
     return ExchangeRequest(
         sender=node.membership.me,
         table_digest=node.table.digest,
@@ -37,7 +41,7 @@
 
 
 def answer(node: Node, request: ExchangeRequest, now_s: float) -> ExchangeResponse:
-    """Return what a peer that asks should know."""
+    """Return the answer to a peer's request."""
     node.membership.merge([request.sender], now_s)
     response = ExchangeResponse(
         responder=node.membership.me,
@@ -55,7 +59,7 @@
 def _answer_shares(
     node: Node, request: ExchangeRequest, response: ExchangeResponse, now_s: float
 ) -> None:
-    """Tell a peer of the own data centre of the shares, and lend it what it lacks."""
+    """Add the shares to the answer for a peer in the same data centre, and lend to it."""
     node.obeyed_shares[request.share_state.instance] = request.share_state.obeyed_generation
     response.share_state.CopyFrom(node.share_state(now_s))
     if node.shares.shares.generation > request.shares_generation:
@@ -65,7 +69,7 @@
 
 
 def take_in(node: Node, response: ExchangeResponse, asked_s: float, now_s: float) -> bool:
-    """Take in a peer's answer; tell whether its table differs from the own one."""
+    """Apply a peer's answer; return whether its table differs from this host's."""
     node.membership.merge([*response.members, response.responder], now_s)
     node.shares.instance = node.instance
     apply_placements(node, response.placements)
@@ -79,32 +83,32 @@
 
 
 def ask_rows(node: Node) -> FetchRowsRequest:
-    """Return the question for the rows that are newer at a peer."""
+    """Return the request for the rows that differ at a peer."""
     return FetchRowsRequest(bucket_digests=node.table.bucket_digests)
 
 
 def answer_rows(node: Node, request: FetchRowsRequest) -> FetchRowsResponse:
-    """Return the rows that a peer may lack; a malformed question gets none."""
+    """Return the rows that a peer may lack; none if the request is malformed."""
     if len(request.bucket_digests) != BUCKETS:
         return FetchRowsResponse()
     return FetchRowsResponse(rows=node.table.rows_where_different(request.bucket_digests))
 
 
 def apply_rows(node: Node, rows: Iterable[VersionedRow], source: str) -> None:
-    """Put newer rows in force; older ones are passed over."""
+    """Apply newer rows; ignore older ones."""
     for row in rows:
         if node.table.apply(row):
             node.has_table = True
-            logger.info("row in force", row=row.name, version=row.version, source=source)
+            logger.info("row applied", row=row.name, version=row.version, source=source)
 
 
 def apply_placements(node: Node, placements: Iterable[Placement]) -> None:
-    """Take in newer placements; older ones are passed over."""
+    """Apply newer placements; ignore older ones."""
     for placement in placements:
         try:
             is_newer = node.fleet.apply_placement(placement)
         except PlacementError as error:
-            logger.error("placement refused", reason=str(error), data_centre=placement.data_centre)
+            logger.error("invalid placement", reason=str(error), data_centre=placement.data_centre)
             continue
         if is_newer:
             logger.info(
--- a/yewloom/membership.py
+++ b/yewloom/membership.py
@@ -1,9 +1,9 @@
-"""Membership of entry hosts, learnt by exchange, without the platform.
+"""Gossip-based membership of entry hosts, independent of the platform.
 
-Every entry host raises its own heartbeat counter. Another counts as alive while its counter or
-incarnation still rises; a repeated or delayed message can't keep a dead one alive. Work that is
-divided (watching the platform, probing endpoints) goes by rendezvous hashing over the live
-members, so all that see the same members agree without a word.
+Every entry host increments its own heartbeat counter. Others consider it alive while its counter or
+incarnation still rises, so a repeated or delayed message cannot keep a dead member alive. Shared
+duties (watching the platform, probing endpoints) are assigned by rendezvous hashing over the live
+members, so hosts that see the same members agree without communicating.
 """
 
 from collections.abc import Iterable
@@ -14,58 +14,58 @@
 from yewloom.schema.peer_pb2 import Member
 
 FORGET_FACTOR = 10
-"""A silent member is forgotten after this many times the bound for being gone."""
+"""A silent member is forgotten after this multiple of ``dead_after_s``."""
 
 
 @dataclass
-class _Known:
+class _KnownMember:
     member: Member
     advanced_s: float
 
 
 class Membership:
-    """The entry hosts that one entry host knows, itself included.
+    """The entry hosts known to one entry host, itself included.
 
-    Times are seconds of the caller's monotonic clock; ``dead_after_s`` is the silence after which
-    a member counts as gone.
+    Times are seconds on the caller's monotonic clock; ``dead_after_s`` is the time without a
+    heartbeat after which a member is considered dead.
     """
 
     def __init__(self, me: Member, dead_after_s: float) -> None:
         self._me = me
         self._dead_after_s = dead_after_s
-        self._known: dict[EntryHostId, _Known] = {}
+        self._known: dict[EntryHostId, _KnownMember] = {}
 
     @property
     def me(self) -> Member:
         """This entry host's own entry."""
         return self._me
 
-    def beat(self) -> None:
-        """Raise the own heartbeat counter."""
+    def increment_heartbeat(self) -> None:
+        """Increment this entry host's heartbeat counter."""
         self._me.heartbeat += 1
 
     def start_leaving(self) -> None:
-        """Tell the others that this entry host is about to stop."""
+        """Announce that this entry host is about to stop."""
         self._me.leaving = True
 
     def set_cut_off(self, is_cut_off: bool) -> None:
-        """Tell the others whether the platform answers this entry host."""
+        """Announce whether the platform is unreachable from this entry host."""
         self._me.is_cut_off = is_cut_off
 
     def merge(self, members: Iterable[Member], now_s: float) -> None:
-        """Take in what another entry host knows."""
+        """Merge the members known to another entry host."""
         for member in members:
             if member.id == self._me.id:
-                self._outlive(member)
+                self._supersede(member)
                 continue
             known = self._known.get(EntryHostId(member.id))
-            if known is None or _rank(member) > _rank(known.member):
-                self._known[EntryHostId(member.id)] = _Known(member, now_s)
-        self._forget(now_s)
+            if known is None or _recency(member) > _recency(known.member):
+                self._known[EntryHostId(member.id)] = _KnownMember(member, now_s)
+        self._forget_dead(now_s)
 
     def alive(self, now_s: float) -> list[Member]:
-        """Return the live members, this one included, in order of id."""
-        live = [k.member for k in self._known.values() if self._is_alive(k, now_s)]
+        """Return the live members, this one included, sorted by id."""
+        live = [known.member for known in self._known.values() if self._is_alive(known, now_s)]
         return sorted([self._me, *live], key=lambda member: member.id)
 
     def alive_in(self, data_centre: DataCentreId, now_s: float) -> list[Member]:
@@ -73,18 +73,18 @@
         return [m for m in self.alive(now_s) if m.data_centre == data_centre]
 
     def has_platform_duty(self, duty: str, count: int, now_s: float) -> bool:
-        """Tell the same of a duty that needs the platform.
+        """Return the same as ``has_duty`` for a duty that needs the platform.
 
-        Members that are cut off from it stand back, unless all are.
+        Members that cannot reach the platform are not chosen, unless no member can.
         """
         members = self.alive_in(DataCentreId(self._me.data_centre), now_s)
-        has_reach = [member for member in members if not member.is_cut_off]
-        return self._is_chosen(duty, count, has_reach or members)
+        connected = [member for member in members if not member.is_cut_off]
+        return self._is_chosen(duty, count, connected or members)
 
     def has_duty(self, duty: str, count: int, now_s: float) -> bool:
-        """Tell whether this entry host is among the ``count`` that carry a duty.
+        """Return whether this entry host is among the ``count`` members chosen for a duty.
 
-        Only live members of the own data centre that are not leaving carry duties.
+        Only live members of the same data centre that are not leaving are chosen.
         """
         members = self.alive_in(DataCentreId(self._me.data_centre), now_s)
         return self._is_chosen(duty, count, members)
@@ -94,21 +94,24 @@
         chosen = sorted(candidates, key=lambda m: _weight(duty, m.id), reverse=True)[:count]
         return any(member.id == self._me.id for member in chosen)
 
-    def _outlive(self, rumour: Member) -> None:
-        """Rise above an entry of an earlier process with the same name and a faster clock."""
-        if rumour.incarnation > self._me.incarnation:
-            self._me.incarnation = rumour.incarnation + 1
+    def _supersede(self, reported: Member) -> None:
+        """Raise the own incarnation above that of an earlier process of this host.
 
-    def _is_alive(self, known: _Known, now_s: float) -> bool:
+        The earlier incarnation may be higher if the clock ran faster then.
+        """
+        if reported.incarnation > self._me.incarnation:
+            self._me.incarnation = reported.incarnation + 1
+
+    def _is_alive(self, known: _KnownMember, now_s: float) -> bool:
         return now_s - known.advanced_s < self._dead_after_s
 
-    def _forget(self, now_s: float) -> None:
+    def _forget_dead(self, now_s: float) -> None:
         oldest_s = now_s - FORGET_FACTOR * self._dead_after_s
         for name in [n for n, known in self._known.items() if known.advanced_s < oldest_s]:
             del self._known[name]
 
 
-def _rank(member: Member) -> tuple[int, int]:
+def _recency(member: Member) -> tuple[int, int]:
     return member.incarnation, member.heartbeat
 
 
--- a/yewloom/peers.py
+++ b/yewloom/peers.py
@@ -1,4 +1,4 @@
-"""The peer interface: gRPC between entry hosts, on the one trio loop by ``trio-asyncio``."""
+"""The gRPC interface between entry hosts, run in the trio event loop through ``trio-asyncio``."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -33,26 +33,26 @@
 
 
 class PeerServicer(peer_pb2_grpc.PeerServicer):
-    """Answers the questions of peers."""
+    """Answers the requests of peers."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
-    async def Exchange(  # noqa: N802 - the name is the schema's
+    async def Exchange(  # noqa: N802 - name given by the schema
         self, request: ExchangeRequest, context: object
     ) -> ExchangeResponse:
-        """Tell a peer what this entry host knows."""
+        """Return this entry host's state to a peer."""
         return exchange.answer(self._node, request, trio.current_time())
 
-    async def FetchRows(  # noqa: N802 - the name is the schema's
+    async def FetchRows(  # noqa: N802 - name given by the schema
         self, request: FetchRowsRequest, context: object
     ) -> FetchRowsResponse:
-        """Send a peer the rows that it lacks."""
+        """Return the rows that a peer lacks."""
         return exchange.answer_rows(self._node, request)
 
 
 class PeerExchange:
-    """Asks peers in turn, a few in each round."""
+    """Exchanges state with a few random peers in each round."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -65,7 +65,7 @@
         interval_s = self._node.settings.peers.exchange_interval_ms / 1000
         try:
             while True:
-                self._node.membership.beat()
+                self._node.membership.increment_heartbeat()
                 wants_members = self._is_members_due()
                 async with trio.open_nursery() as nursery:
                     for address in self._choose_peers():
@@ -77,7 +77,7 @@
                     await trio_asyncio.aio_as_trio(channel.close)()
 
     def _choose_peers(self) -> list[str]:
-        """Return a few peers of the own data centre, and one of each other one."""
+        """Return the addresses of a few peers in this data centre and of one in each other one."""
         node, now_s = self._node, trio.current_time()
         others: dict[str, list[Member]] = {}
         for member in node.membership.alive(now_s):
@@ -90,9 +90,9 @@
         return sorted(addresses | self._seeds_to_try(now_s))
 
     def _seeds_to_try(self, now_s: float) -> set[str]:
-        """Return one seed that is not known alive, so that a healed cut is found."""
-        known = {member.peer_address for member in self._node.membership.alive(now_s)}
-        missing = sorted(set(self._node.settings.peers.seeds.split()) - known)
+        """Return one seed address without a live member, to detect the end of a partition."""
+        live = {member.peer_address for member in self._node.membership.alive(now_s)}
+        missing = sorted(set(self._node.settings.peers.seeds.split()) - live)
         return {self._node.rng.choice(missing)} if missing else set()
 
     def _is_members_due(self) -> bool:
@@ -106,8 +106,8 @@
         asked_s = trio.current_time()
         stub = peer_pb2_grpc.PeerStub(self._channel(address))  # type: ignore[no-untyped-call]
         try:
-            question = exchange.ask(self._node, asked_s, wants_members)
-            response = await self._call(stub.Exchange, question)
+            request = exchange.ask(self._node, asked_s, wants_members)
+            response = await self._call(stub.Exchange, request)
             if exchange.take_in(self._node, response, asked_s, trio.current_time()):
                 rows = await self._call(stub.FetchRows, exchange.ask_rows(self._node))
                 exchange.apply_rows(self._node, rows.rows, f"peer {response.responder.id}")
@@ -117,10 +117,10 @@
                 await self._drop_channel(address)
 
     async def _drop_channel(self, address: str) -> None:
-        """Open a new channel for the next exchange.
+        """Close a channel, so that the next exchange opens a new one.
 
-        A connection may fall silent without a reset, and the channel would go on using it until
-        the system gives it up, after minutes.
+        A connection may become unresponsive without a reset, and the channel would keep using it
+        until the operating system gives it up, after minutes.
         """
         channel = self._channels.pop(address, None)
         if channel is not None:
--- a/yewloom/tests/test_membership.py
+++ b/yewloom/tests/test_membership.py
@@ -45,7 +45,7 @@
     @rule(name=st.sampled_from(NAMES))
     def beat(self, name: str) -> None:
         if self.is_alive[name]:
-            self.nodes[name].beat()
+            self.nodes[name].increment_heartbeat()
             self.last_beat_s[name] = self.now_s
 
     @rule(asker=st.sampled_from(NAMES), answerer=st.sampled_from(NAMES))
