--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -52,8 +52,8 @@
     Removal(
         "peers pass configurations on",
         "peer_configurations",
-        "if self._book.is_outdated:\n                await trio.sleep(STORE_FIRST_S)",
-        "if False:\n                await trio.sleep(STORE_FIRST_S)",
+        "if self._book.is_outdated:\n                await trio.sleep(STORE_HEAD_START_S)",
+        "if False:\n                await trio.sleep(STORE_HEAD_START_S)",
     ),
     Removal(
         "the large model's weights on hosts of small groups",
--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -43,7 +43,7 @@
     Mutation(
         "following: a peer's word proves nothing where a change is missing",
         "followed_position",
-        "if word.changed_at > self.position:",
+        "if report.changed_at > self.position:",
         "if False:",
         "test_followed_position",
     ),
@@ -64,7 +64,7 @@
     Mutation(
         "following: who is told nothing recent asks the store",
         "follow_duty",
-        "return age_s > self._patience_s",
+        "return age_s > self._fallback_s",
         "return False",
         "test_follow_duty",
     ),
@@ -366,7 +366,7 @@
     Mutation(
         "late: a peer's news ends a pause",
         "followers",
-        "        self._has_news.set()\n",
+        "        self._relist_event.set()\n",
         "",
         "test_followers",
     ),
@@ -394,7 +394,7 @@
     Mutation(
         "foreign entries: a listing drops the endpoint at once",
         "intake",
-        "            self._drop_unreadable(unreadable)\n",
+        "            self._remove_unreadable(unreadable)\n",
         "",
         "test_foreign_entries",
     ),
@@ -457,15 +457,15 @@
     Mutation(
         "restart: what a host remembers of the old process is forgotten",
         "intake",
-        "        self._selector.forget(endpoint.id)\n        self._on_start(endpoint.id)\n",
+        "        self._selector.forget(endpoint.id)\n        self._on_restart(endpoint.id)\n",
         "",
         "test_intake",
     ),
     Mutation(
         "late: news that was listed for ends no further pause",
         "followers",
-        "            await self._has_news.wait()\n        self._has_news = trio.Event()\n",
-        "            await self._has_news.wait()\n",
+        "            await self._relist_event.wait()\n        self._relist_event = trio.Event()\n",
+        "            await self._relist_event.wait()\n",
         "test_followers",
     ),
     Mutation(
--- a/tools/mutations_lateness.py
+++ b/tools/mutations_lateness.py
@@ -104,7 +104,7 @@
     Mutation(
         "late: a peer's reports count from when they may have come",
         "peer_intake",
-        "group.age_ms / 1000, came_s)",
+        "group.age_ms / 1000, arrived_s)",
         "group.age_ms / 1000, now_s)",
         "test_peer_reports",
     ),
--- a/tools/mutations_limits.py
+++ b/tools/mutations_limits.py
@@ -55,8 +55,8 @@
     Mutation(
         "named limits: a silent host keeps its part for a time",
         "entry_states",
-        "if now_s - h.heard_s < SHARE_KEPT_S",
-        "if p in self._heard",
+        "if now_s - received.received_s < LIMIT_SHARE_RETENTION_S",
+        "if peer in self._live",
         "test_peer_reports",
     ),
     Mutation(
--- a/yewloom/directory.py
+++ b/yewloom/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that the platform lists, and the groups that they say they belong to."""
+"""The endpoints listed in the store, and the groups to which they report to belong."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -7,13 +7,15 @@
 from yewloom.ids import DataCentreId, GroupId, HostId, ModelName, ServiceName
 from yewloom.values import value_class
 
-LAPSE_GRACE_S = 2.5
-"""Time after the store's return for which endpoints that it had dropped stay listed: it lists
-those that live again within about 2 s."""
+OUTAGE_GRACE_S = 2.5
+"""Time for which endpoints missing from the first listing after a store outage are kept.
+
+Entries may expire during an outage; endpoints that are still running register again within about
+2 s of the store's recovery."""
 
 
 class MemberState(Enum):
-    """State of an endpoint within its group, as it reports it."""
+    """State of an endpoint within its group, as reported by the endpoint."""
 
     JOINING = "joining"
     READY = "ready"
@@ -24,7 +26,7 @@
 
 @value_class
 class GroupKey:
-    """One formation of a group; a new formation has a higher generation."""
+    """Identifies one formation of a group; each new formation has a higher generation."""
 
     group_id: GroupId
     generation: int
@@ -32,7 +34,7 @@
 
 @value_class
 class Membership:
-    """An endpoint's place in a group; rank 0 leads and takes the requests."""
+    """An endpoint's position in a group; the leader has rank 0 and receives the requests."""
 
     key: GroupKey
     rank: int
@@ -41,12 +43,12 @@
 
 @value_class
 class Endpoint:
-    """An endpoint as the platform lists it.
+    """An endpoint as listed in the store.
 
     ``models`` are those that it serves, or served in its last group; ``staged`` are the models
-    whose weights its host keeps. ``started_unix_ms`` tells the processes apart that run one after
-    the other under the same id, and not which came first, since clocks are set back; it is 0 if
-    the endpoint does not say.
+    whose weights are stored on its host. ``started_unix_ms`` distinguishes successive processes
+    with the same id. It does not order them, since clocks may be set back. It is 0 if the endpoint
+    does not report it.
     """
 
     id: HostId
@@ -61,34 +63,35 @@
     started_unix_ms: int = 0
 
     def is_prepared_for(self, model: ModelName) -> bool:
-        """Tell whether it can join a group of a model without a load.
+        """Return whether it can join a group of a model without loading weights.
 
-        An engine still holds the model of its last group, also when its host keeps the weights of
-        another one; joining a group of the same model takes it a moment, and a load many seconds.
+        An engine keeps the model of its last group in memory, even if the weights staged on its
+        host are those of another model. Joining a group of the same model is almost immediate,
+        whereas loading weights takes many seconds.
         """
         return model in self.staged or model in self.models
 
 
 class EndpointDirectory:
-    """All listed endpoints, indexed by service and group."""
+    """All listed endpoints, indexed by id, service and group."""
 
     def __init__(self) -> None:
         self.by_id: dict[HostId, Endpoint] = {}
         self.is_known = False
-        self._lapsing: dict[HostId, float] = {}
+        self._removal_due_s: dict[HostId, float] = {}
         self._by_service: defaultdict[ServiceName, dict[HostId, Endpoint]] = defaultdict(dict)
         self._leaders: defaultdict[ServiceName, dict[HostId, Endpoint]] = defaultdict(dict)
         self._members: defaultdict[GroupKey, dict[int, Endpoint]] = defaultdict(dict)
 
     def replace_all(self, endpoints: Iterable[Endpoint], now_s: float, after_outage: bool) -> None:
-        """Take in a whole listing.
+        """Replace the contents by a full listing.
 
-        After an outage of the store, endpoints that it lacks stay listed for a moment.
+        After a store outage, endpoints missing from the listing are kept for OUTAGE_GRACE_S.
         """
         listed = {endpoint.id: endpoint for endpoint in endpoints}
         for missing in set(self.by_id) - set(listed):
             if after_outage:
-                self._lapsing.setdefault(missing, now_s + LAPSE_GRACE_S)
+                self._removal_due_s.setdefault(missing, now_s + OUTAGE_GRACE_S)
             else:
                 self.remove(missing)
         for endpoint in listed.values():
@@ -107,8 +110,8 @@
             self._leaders[endpoint.service][endpoint.id] = endpoint
 
     def remove(self, endpoint_id: HostId) -> None:
-        """Drop one endpoint, if it is listed."""
-        self._lapsing.pop(endpoint_id, None)
+        """Remove one endpoint, if it is present."""
+        self._removal_due_s.pop(endpoint_id, None)
         endpoint = self.by_id.pop(endpoint_id, None)
         if endpoint is None:
             return
@@ -121,21 +124,23 @@
             if not members:
                 del self._members[endpoint.membership.key]
 
-    def drop_lapsed(self, now_s: float) -> list[HostId]:
-        """Drop endpoints that did not come back in time after an outage; return them."""
-        lapsed = [endpoint for endpoint, until_s in self._lapsing.items() if now_s >= until_s]
-        for endpoint in lapsed:
-            self.remove(endpoint)
-        return lapsed
+    def remove_expired(self, now_s: float) -> list[HostId]:
+        """Remove and return endpoints that were not listed again in time after an outage."""
+        expired = [
+            endpoint_id for endpoint_id, due_s in self._removal_due_s.items() if now_s >= due_s
+        ]
+        for endpoint_id in expired:
+            self.remove(endpoint_id)
+        return expired
 
     def of_service(self, service: ServiceName) -> Iterable[Endpoint]:
         """Return the endpoints of a service."""
         return self._by_service[service].values()
 
     def leaders_of(self, service: ServiceName) -> Iterable[Endpoint]:
-        """Return the endpoints of a service that lead a group, which alone take its requests."""
+        """Return the group leaders of a service; only leaders receive requests."""
         return self._leaders[service].values()
 
     def members(self, key: GroupKey) -> Mapping[int, Endpoint]:
-        """Return the listed members of a group by rank."""
+        """Return the listed members of a group, keyed by rank."""
         return self._members.get(key, {})
--- a/yewloom/entry_addresses.py
+++ b/yewloom/entry_addresses.py
@@ -1,4 +1,4 @@
-"""The addresses by which the entry hosts find each other: one object for each in the store."""
+"""Discovery of entry hosts: each one publishes its address as an object in the store."""
 
 import structlog
 import trio
@@ -16,21 +16,24 @@
 
 ADDRESS_KIND = "yewloom-entry-hosts"
 
-FIRST_INTERVAL_S = 3.0
-"""Pause between the first two reads of the peers' addresses, which may be seconds old; it doubles
-with each read."""
+FIRST_READ_INTERVAL_S = 3.0
+"""Pause between the first two reads of the peers' addresses; it doubles with each read.
 
-ADDRESS_INTERVAL_S = 15.0
-"""Longest pause between two reads. The addresses change only with the machines, and a host that
-starts makes itself known to those that it reads here."""
+The addresses are read from a cache that may lag by seconds."""
 
-ADDRESS_RETRY_S = 0.5
-"""Pause before the addresses are read again while none is known."""
+MAX_READ_INTERVAL_S = 15.0
+"""Longest pause between two reads.
+
+Addresses change only when hosts are added or replaced, and a host that starts announces itself to
+the peers whose addresses it reads."""
+
+READ_RETRY_S = 0.5
+"""Pause between reads while no peer is known or the own address is not published yet."""
 
 
 @value_class
 class PeerAddress:
-    """Where a peer reads datagrams, as ip:port, and its data centre."""
+    """The address on which a peer receives datagrams, as ip:port, and its data centre."""
 
     address: str
     data_centre: DataCentreId
@@ -56,20 +59,23 @@
         self.by_peer: dict[EntryHostId, PeerAddress] = {}
 
     async def run(self) -> None:
-        """Publish and read until cancelled."""
-        interval_s = FIRST_INTERVAL_S
+        """Publish the own address and read those of the peers until cancelled."""
+        interval_s = FIRST_READ_INTERVAL_S
         while True:
             await self._read()
             if not self._is_published:
                 self._is_published = await self._publish()
             if self._is_published and self.by_peer:
                 await trio.sleep(interval_s)
-                interval_s = min(2 * interval_s, ADDRESS_INTERVAL_S)
+                interval_s = min(2 * interval_s, MAX_READ_INTERVAL_S)
             else:
-                await trio.sleep(ADDRESS_RETRY_S)
+                await trio.sleep(READ_RETRY_S)
+
+    def add_reported(self, peer: EntryHostId, address: PeerAddress) -> bool:
+        """Add an address that a peer reported itself, if unknown; return whether it was added.
 
-    def learn(self, peer: EntryHostId, address: PeerAddress) -> bool:
-        """Take in a peer's own word of its address, until the store tells; return if it is news."""
+        The address read from the store replaces it later.
+        """
         if peer == self._host_id or peer in self.by_peer:
             return False
         self._board.know(peer)
@@ -77,7 +83,7 @@
         return True
 
     async def _publish(self) -> bool:
-        """Write this host's address; tell whether the store holds it."""
+        """Write this host's address; return whether the store has it."""
         key = f"{ADDRESS_KIND}/{self._host_id}"
         own = EntryAddress(address=self.own.address, data_centre=self.own.data_centre)
         value = to_json(own)
@@ -86,43 +92,43 @@
                 return True
             case Err(error):
                 if error.failure is not PlatformFailure.CONFLICT:
-                    logger.info("address not written", reason=str(error))
+                    logger.info("cannot write own address to store", reason=str(error))
                     return False
         return await self._replace(key, value)
 
     async def _replace(self, key: str, value: str) -> bool:
-        """Write this host's address in place of the one that stands."""
+        """Overwrite the stored address of this host."""
         match await self._platform.get(key):
             case Ok(stored):
                 if stored is None:
                     return False
                 return (await self._platform.update(key, value, stored.version)).is_ok()
             case Err(error):
-                logger.info("address not read", reason=str(error))
+                logger.info("cannot read own address from store", reason=str(error))
         return False
 
     async def _read(self) -> None:
-        """Read the peers' addresses, and whether the store holds this host's own."""
+        """Read the peers' addresses, and check whether the store has this host's own."""
         match await self._stale_platform.list(ADDRESS_KIND):
             case Ok(listing):
                 pass
             case Err(error):
-                logger.info("addresses not read", reason=str(error))
+                logger.info("cannot read peer addresses from store", reason=str(error))
                 return
         for stored in listing.objects:
-            self._take(stored)
+            self._apply(stored)
 
-    def _take(self, stored: StoredObject) -> None:
+    def _apply(self, stored: StoredObject) -> None:
         peer = EntryHostId(stored.key.partition("/")[2])
         try:
             record = parse_record(stored, EntryAddress())
             address = check_address(record.address)
         except (RecordError, ValueError) as error:
-            logger.error("record unreadable", reason=str(error))
+            logger.error("invalid address record in store", reason=str(error))
             return
         self._board.know(peer)
-        found = PeerAddress(address, DataCentreId(record.data_centre))
+        peer_address = PeerAddress(address, DataCentreId(record.data_centre))
         if peer != self._host_id:
-            self.by_peer[peer] = found
-        elif found == self.own:
-            self._is_published = True  # By an earlier process of this host.
+            self.by_peer[peer] = peer_address
+        elif peer_address == self.own:
+            self._is_published = True  # Written by an earlier process of this host.
--- a/yewloom/follow_duty.py
+++ b/yewloom/follow_duty.py
@@ -1,38 +1,43 @@
-"""Who follows the store: a few entry hosts of each data centre, and whoever hears too little.
+"""Selection of the entry hosts that follow the store, that is, list and watch its objects.
 
-The others take the configuration's age and the changes of endpoints from those few, so the calls to
-the store grow with the data centres and not with the entry hosts. A host that is told nothing
-recent asks the store itself, whatever the reason: peers that died, that are cut off, or that claim
-a duty which they do not carry out.
+A few hosts of each data centre follow it; the others learn the configuration's age and changes of
+endpoints from those followers. So the number of calls to the store grows with the number of data
+centres and not with the number of entry hosts. A host whose information gets too old calls the
+store itself, whatever the reason: followers that died, are partitioned, or do not do their duty.
 """
 
 from collections.abc import Callable
 
 from yewloom.entry_states import PeerBoard
-from yewloom.follow_times import PATIENCE_SPREAD_S, FollowTimes
+from yewloom.follow_times import MAX_FALLBACK_JITTER_S, FollowTimes
 from yewloom.hashing import hash64
 from yewloom.ids import EntryHostId
 from yewloom.values import value_class
 
 FOLLOWERS = 2
-"""Entry hosts of a data centre that follow the store: the coordinator and one that stands by, since
-either may die or be cut off from it."""
+"""Entry hosts of a data centre that follow the store: the coordinator and a standby, since either
+may die or lose its connection to the store."""
 
 LISTEN_S = 0.6
-"""Time for which a host that starts listens for its peers before it takes a duty: their messages
-come every 0.2 s, and those that start together have heard each other by then."""
+"""Time for which a starting host only listens to its peers before it may become a follower.
+
+Peers send messages every 0.2 s, so hosts that start together have heard each other by then.
+"""
 
 
 @value_class
 class Standing:
-    """Whether the store answers a host that is not about to stop, and whether it coordinates."""
+    """Whether a host can follow the store, and whether it is its data centre's coordinator.
+
+    ``can_follow`` is true if the store answers the host and the host is not about to stop.
+    """
 
     can_follow: bool
     is_coordinator: bool
 
 
 class FollowDuty:
-    """Tells whether this host follows the store now."""
+    """Decides whether this host follows the store now."""
 
     def __init__(
         self,
@@ -40,46 +45,47 @@
         board: PeerBoard,
         standing: Callable[[], Standing],
         times: FollowTimes,
-        patience_draw: float,
-        is_listening: Callable[[], bool] = lambda: False,
+        fallback_jitter: float,
+        is_starting: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Take ``patience_draw`` from 0 to 1, drawn for this host.
+        """Create the duty of one host.
 
-        ``is_listening`` tells whether this host has only just started, so that its peers may not
-        have been heard yet.
+        ``fallback_jitter`` is a random number from 0 to 1, drawn for this host. ``is_starting``
+        returns whether this host started within the last LISTEN_S, so that it may not have heard
+        its peers yet.
         """
-        self.is_listening = is_listening
+        self.is_starting = is_starting
         self._ranks: dict[EntryHostId, int] = {}
         self._me = me
         self._board = board
         self.standing = standing
         self._standby_s = times.standby_s
-        self._patience_s = times.patience_s + PATIENCE_SPREAD_S * patience_draw
+        self._fallback_s = times.fallback_s + MAX_FALLBACK_JITTER_S * fallback_jitter
 
     def is_mine(self) -> bool:
-        """Tell whether this host is among the followers of its data centre.
+        """Return whether this host is among the followers of its data centre.
 
-        A coordinator follows, since its plans need the latest; the rest goes by rendezvous hashing
-        over the hosts that can reach the store.
+        The coordinator always is, since its plans need the latest state. The other followers are
+        chosen by rendezvous hashing among the hosts that can reach the store.
         """
         standing = self.standing()
         if standing.is_coordinator:
             return True
-        if self.is_listening():
-            return False  # Else all hosts that start together would follow.
+        if self.is_starting():
+            return False  # Otherwise all hosts that start together would follow.
         near = self._board.near_states()
         peers = [peer for peer, state in near.items() if state.can_follow]
         if not peers and not standing.can_follow:
-            peers = list(near)  # While the store answers nobody, the same few go on asking for all.
+            peers = list(near)  # While the store answers no host, the chosen few keep calling it.
         others = [peer for peer in peers if not near[peer].is_coordinator]
         places = FOLLOWERS - min(len(peers) - len(others), FOLLOWERS - 1)
         before = sum(self._rank(peer) < self._rank(self._me) for peer in others)
         return before < places
 
     def near_followers(self) -> set[EntryHostId]:
-        """Return the peers that may be followers of this data centre, as seen from here.
+        """Return the peers that may be followers of this data centre, as seen from this host.
 
-        A few too many do no harm: what they are told more often than the others costs little.
+        Including too many is harmless: the extra messages that they get cost little.
         """
         near = self._board.near_states()
         ranked = sorted(near, key=self._rank)
@@ -88,28 +94,29 @@
         return coordinators | set(first_able) | set(ranked[:FOLLOWERS])
 
     def must_ask(self, age_s: float) -> bool:
-        """Tell whether this host asks the store, given the age of what it knows.
+        """Return whether this host must call the store, given the age of its information.
 
-        One that stands by asks where the coordinator tells it too little, and so finds out what
-        there is before the others miss it.
+        A standby calls the store if the coordinator's messages do not keep it up to date; its
+        threshold is lower than that of the hosts without the duty, so it passes changes on before
+        they call.
         """
         if not self.is_mine():
-            return age_s > self._patience_s
-        return not self._stands_by() or age_s > self._standby_s
+            return age_s > self._fallback_s
+        return not self._is_standby() or age_s > self._standby_s
 
-    def _stands_by(self) -> bool:
-        """Tell whether a peer that the store answers coordinates, and so follows it."""
+    def _is_standby(self) -> bool:
+        """Return whether another host is the coordinator and can reach the store."""
         if self.standing().is_coordinator:
             return False
         near = self._board.near_states().values()
         return any(peer.is_coordinator and peer.can_follow for peer in near)
 
     def near_hosts(self) -> int:
-        """Return how many hosts of this data centre were heard lately, this one included."""
+        """Return the number of live hosts in this data centre, this one included."""
         return len(self._board.near_states()) + 1
 
     def _rank(self, host: EntryHostId) -> int:
-        """Return a host's place among others, which is drawn once and the same everywhere."""
+        """Return a host's rank for rendezvous hashing: a hash that is the same on every host."""
         rank = self._ranks.get(host)
         if rank is None:
             rank = self._ranks[host] = hash64(host)
--- a/yewloom/follow_times.py
+++ b/yewloom/follow_times.py
@@ -1,40 +1,46 @@
-"""How long watches of the store last, and how old news may be before another host asks for it.
+"""Duration of watches on the store, and the ages at which other hosts call the store themselves.
 
-A change must be in force everywhere within a time that the settings state, also while the host that
-follows the store for its data centre dies or is cut off right before it. So watches are as long as
-that leaves time for one host after the other to find out, and no longer than the settings allow:
-each watch that ends without news is a call.
+A change must take effect on every host within the time set by ``configuration_apply_ms``, even if
+the host that follows the store for its data centre dies or loses its connection right before the
+change. So watches are kept short enough for the standby and then the other hosts to call the store
+in time. They should not be shorter than that, since each watch that ends without changes costs a
+call, and they never exceed the limits in the settings.
 """
 
 from yewloom.schema.entry_pb2 import EntrySettings
 from yewloom.values import value_class
 
-WATCH_SHARE = 0.4
-"""Longest watch as a part of the time within which a change must be in force."""
+MAX_WATCH_FRACTION = 0.4
+"""Longest watch, as a fraction of the time within which a change must take effect."""
 
-WORD_S = 0.35
-"""Time from the end of a watch until all peers have heard of it: a message and a half."""
+PROPAGATION_S = 0.35
+"""Time from the end of a watch until all peers know its result: about one and a half message
+intervals."""
 
-STANDBY_HEAD_S = 0.15
-"""Time by which the host that stands by asks before the others, so that they hear from it."""
+STANDBY_LEAD_S = 0.15
+"""Time by which the standby calls the store before the other hosts, so that they hear from it
+instead."""
 
-PATIENCE_SPREAD_S = 0.3
-"""Greatest further patience of the others, so that not all of them ask the store at once."""
+MAX_FALLBACK_JITTER_S = 0.3
+"""Greatest random delay added for the other hosts, so that they do not all call at once."""
 
 
 @value_class
 class FollowTimes:
-    """Longest watch, and the ages of news at which the standby and then the others ask."""
+    """Duration of watches, and the ages of information at which other hosts call the store.
+
+    The standby calls at ``standby_s``, the hosts without the duty at ``fallback_s``.
+    """
 
     watch_s: float
     standby_s: float
-    patience_s: float
+    fallback_s: float
 
 
 def follow_times(settings: EntrySettings) -> FollowTimes:
-    """Return the times that follow from an entry host's settings."""
+    """Return the times derived from an entry host's settings."""
     store = settings.store
-    longest_ms = min(store.configuration_watch_ms, store.endpoint_watch_ms)
-    watch_ms = min(longest_ms, settings.bounds.configuration_apply_ms * WATCH_SHARE)
-    standby_s = watch_ms / 1000 + WORD_S
-    return FollowTimes(watch_ms / 1000, standby_s, standby_s + STANDBY_HEAD_S)
+    max_watch_ms = min(store.configuration_watch_ms, store.endpoint_watch_ms)
+    watch_ms = min(max_watch_ms, settings.bounds.configuration_apply_ms * MAX_WATCH_FRACTION)
+    standby_s = watch_ms / 1000 + PROPAGATION_S
+    return FollowTimes(watch_ms / 1000, standby_s, standby_s + STANDBY_LEAD_S)
--- a/yewloom/followed_position.py
+++ b/yewloom/followed_position.py
@@ -1,80 +1,82 @@
-"""How far this host knows one kind of the store's objects, and since when that is proved."""
+"""The position in the store's history up to which this host knows all objects of one kind."""
 
 import math
 
 from yewloom.schema.entry_pb2 import ListingWord
 
 RELAY_GRACE_S = 0.3
-"""Time for which changes that a peer has and this host lacks may still be on their way: a message
-and a half."""
+"""Time that a change known to a peer may take to reach this host: about one and a half message
+intervals."""
 
-LISTED_SILENCE_S = 2.0
-"""Time after a listing for which nothing is told, unless it is known when the last change was. A
-listing does not tell, so all peers would have to ask the store; one of their watches does."""
+LISTING_REPORT_DELAY_S = 2.0
+"""Time after a listing for which no report is sent, unless the last change's position is known.
+
+A listing does not contain that position. A report without it would make all peers call the store;
+a peer's watch reveals it in the meantime."""
 
 
 class FollowedPosition:
     """The position up to which all changes are known; None before the first listing.
 
-    ``changed_at`` is a position from which on nothing has changed since. Times are seconds of this
-    host's clock.
+    Nothing has changed between ``changed_at`` and ``position``. At ``proved_s`` no change was
+    missing. Times are seconds on this host's clock.
     """
 
     def __init__(self) -> None:
         self.position: int | None = None
         self.changed_at = 0
         self.proved_s = float("-inf")
-        self._silent_until_s = float("-inf")
-        self._needed = 0
+        self._withhold_until_s = float("-inf")
+        self._missing_position = 0
         self._behind_since_s = float("inf")
 
     def forget(self) -> None:
-        """Take in that changes may have been missed."""
+        """Reset the position, since changes may have been missed."""
         self.position = None
 
     def take_listing(self, position: int, proved_s: float) -> None:
-        """Take in a whole listing as of a position, current at ``proved_s``."""
+        """Record a full listing as of a position, current at ``proved_s``."""
         if self.position is None or position > self.position:
             self.changed_at = position
-            self._silent_until_s = proved_s + LISTED_SILENCE_S
+            self._withhold_until_s = proved_s + LISTING_REPORT_DELAY_S
         self._advance(position, proved_s)
 
     def take_changes(self, position: int, has_changed: bool, proved_s: float) -> None:
-        """Take in all changes up to a position, if any, current at ``proved_s``."""
+        """Record all changes up to a position, current at ``proved_s``; there may be none."""
         if has_changed:
             self.changed_at = max(self.changed_at, position)
-            self._silent_until_s = float("-inf")
+            self._withhold_until_s = float("-inf")
         self._advance(position, proved_s)
 
-    def continues(self, base: int, position: int) -> bool:
-        """Tell whether changes from ``base`` to ``position`` can be taken in, and are news."""
+    def can_apply(self, base: int, position: int) -> bool:
+        """Return whether changes from ``base`` to ``position`` are new and leave no gap."""
         return self.position is not None and base <= self.position < position
 
-    def on_word(self, word: ListingWord, confirmed_s: float, now_s: float) -> None:
-        """Take in a peer's word that it knew all changes at ``confirmed_s``."""
+    def on_peer_report(self, report: ListingWord, confirmed_s: float, now_s: float) -> None:
+        """Process a peer's report that it knew all changes at ``confirmed_s``."""
         if self.position is None:
             return
-        if word.changed_at > self.position:
-            self._needed = max(self._needed, word.changed_at)
+        if report.changed_at > self.position:
+            self._missing_position = max(self._missing_position, report.changed_at)
             self._behind_since_s = min(self._behind_since_s, now_s)
             return
         # The peer knows of no change that this host lacks.
-        if self.position <= word.position and word.changed_at <= self.changed_at:
-            self.changed_at = word.changed_at
-            self._silent_until_s = float("-inf")
-        self._advance(word.position, confirmed_s)
-
-    def word(self, now_s: float) -> ListingWord | None:
-        """Return what peers should be told; None if nothing yet."""
-        if self.position is None or now_s < self._silent_until_s:
+        if self.position <= report.position and report.changed_at <= self.changed_at:
+            self.changed_at = report.changed_at
+            self._withhold_until_s = float("-inf")
+        self._advance(report.position, confirmed_s)
+
+    def report(self, now_s: float) -> ListingWord | None:
+        """Return the report for peers; None while there is nothing to report."""
+        if self.position is None or now_s < self._withhold_until_s:
             return None
         age_ms = math.ceil((now_s - self.proved_s) * 1000)
         return ListingWord(changed_at=self.changed_at, position=self.position, age_ms=age_ms)
 
     def age_s(self, now_s: float) -> float:
-        """Return the time for which a change may have gone unseen.
+        """Return for how long a change may have gone unnoticed.
 
-        It is infinite once a change that a peer knows has not come in time.
+        The age is infinite if a change known to a peer did not arrive within RELAY_GRACE_S.
         """
         if self.position is None or now_s - self._behind_since_s > RELAY_GRACE_S:
             return float("inf")
@@ -84,5 +86,5 @@
         if self.position is None or position > self.position:
             self.position = position
         self.proved_s = max(self.proved_s, proved_s)
-        if self.position >= self._needed:
+        if self.position >= self._missing_position:
             self._behind_since_s = float("inf")
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -1,6 +1,6 @@
-"""Following the platform's objects of one kind: a listing, then watches from there on.
+"""Follows the platform's objects of one kind: a full listing, then watches from its position.
 
-A host that need not ask the platform itself rests, and learns of changes from its peers.
+A host that does not have to call the platform itself stays idle and gets changes from its peers.
 """
 
 from collections.abc import Callable
@@ -15,17 +15,17 @@
 
 logger = structlog.get_logger(__name__)
 
-REST_S = 0.2
-"""Pause between two looks whether this host must ask the platform: a peer's interval."""
+IDLE_CHECK_S = 0.2
+"""Interval at which an idle host checks whether it must call the platform: the interval of peers'
+messages."""
 
 
 @value_class
 class Update:
-    """What one call to the platform brought.
+    """The result of one call to the platform.
 
-    ``base`` is the position that a watch went on from; None says that the listing holds all
-    objects of the kind. At ``proved_s`` nothing had changed that it does not tell;
-    ``after_outage`` says that earlier calls failed.
+    ``base`` is the position from which a watch started; it is None for a full listing. The update
+    contains all changes made until ``proved_s``. ``after_outage`` is true if earlier calls failed.
     """
 
     listing: Listing
@@ -34,23 +34,23 @@
     after_outage: bool
 
     @property
-    def is_whole(self) -> bool:
-        """Tell whether the listing holds all objects of the kind."""
+    def is_full_listing(self) -> bool:
+        """Return whether the listing contains all objects of the kind."""
         return self.base is None
 
     @property
     def has_changes(self) -> bool:
-        """Tell whether anything may have changed."""
-        return self.is_whole or bool(self.listing.objects or self.listing.removed)
+        """Return whether anything may have changed."""
+        return self.is_full_listing or bool(self.listing.objects or self.listing.removed)
 
 
 @value_class
 class FollowPace:
-    """How a kind is followed.
+    """When to call the platform.
 
-    ``must_ask`` tells whether this host asks the platform. ``pause_s`` is the time for which
-    changes are gathered, and ``retry_pause_s`` that from a call without an answer to the next one,
-    after so many in a row.
+    ``must_ask`` returns whether this host has to call the platform. ``pause_s`` returns the pause
+    after a watch with changes, in which further changes accumulate. ``retry_pause_s`` returns the
+    pause between a failed call and the next one, given the number of consecutive failures.
     """
 
     must_ask: Callable[[], bool]
@@ -59,7 +59,7 @@
 
 
 class Follower:
-    """Follows one kind and hands each update on."""
+    """Follows the objects of one kind and passes each update to ``take``."""
 
     def __init__(
         self,
@@ -76,11 +76,11 @@
         self._pace = pace
         self._failures = 0
         self._watch_scope: trio.CancelScope | None = None
-        self._has_news = trio.Event()
+        self._relist_event = trio.Event()
 
     @property
     def is_answered(self) -> bool:
-        """Tell whether the platform answered the latest call."""
+        """Return whether the platform answered the latest call."""
         return not self._failures
 
     async def run(self) -> None:
@@ -89,26 +89,29 @@
             if self._must_list() or self._pace.must_ask():
                 await self._step()
             else:
-                await self._pause(REST_S)
+                await self._pause(IDLE_CHECK_S)
 
     def list_anew(self) -> None:
-        """End a watch or a pause that has missed a change, and list."""
+        """Cancel the current watch or pause and list again, since a change was missed."""
         self._followed.forget()
-        self._has_news.set()
+        self._relist_event.set()
         if self._watch_scope is not None:
             self._watch_scope.cancel()
 
     async def _pause(self, for_s: float) -> bool:
-        """Wait, unless a listing is asked for, or was since the last pause; tell whether it was."""
+        """Wait until a listing is requested or the time is over; return whether it was requested.
+
+        A request made since the last pause counts too.
+        """
         with trio.move_on_after(for_s) as timer:
-            await self._has_news.wait()
-        self._has_news = trio.Event()
+            await self._relist_event.wait()
+        self._relist_event = trio.Event()
         return not timer.cancelled_caught
 
     def _must_list(self) -> bool:
-        """Tell whether the next call lists: at first, and after a failed one.
+        """Return whether the next call must list: at the start, and after a failed call.
 
-        Objects that lapsed while the platform was away come back, which only a listing shows.
+        Objects that expired during an outage may be registered again, which only a listing shows.
         """
         return self._followed.position is None or self._failures > 0
 
@@ -126,49 +129,50 @@
             case Ok(listing):
                 proved_s = asked_s + listing.proved_after_s
                 update = Update(listing, base, proved_s, self._failures > 0)
-                self._take_in(update)
+                self._apply(update)
                 if base is not None and update.has_changes:
                     await trio.sleep(self._pace.pause_s())
             case Err(error):
                 await self._on_error(error, asked_s)
 
-    def _take_in(self, update: Update) -> None:
-        if self._failures and update.is_whole:
+    def _apply(self, update: Update) -> None:
+        if self._failures and update.is_full_listing:
             logger.info("platform regained", kind=self._kind, failures=self._failures)
         if update.base is not None and self._followed.position is None:
-            return  # A listing was asked for while the watch's answer was on its way.
-        if not self._is_overtaken(update):
+            return  # A listing was requested while the watch's answer was in transit.
+        if not self._is_outdated(update):
             self._take(update)
         position = update.listing.position
-        if update.is_whole:
+        if update.is_full_listing:
             self._followed.take_listing(position, update.proved_s)
         else:
             self._followed.take_changes(position, update.has_changes, update.proved_s)
-        if update.is_whole:
+        if update.is_full_listing:
             self._failures = 0
 
-    def _is_overtaken(self, update: Update) -> bool:
-        """Tell whether peers told later changes while a call was on its way."""
+    def _is_outdated(self, update: Update) -> bool:
+        """Return whether later changes arrived from peers while the call was in progress."""
         known = self._followed.position
         return update.has_changes and known is not None and update.listing.position < known
 
     async def _on_error(self, error: PlatformError, asked_s: float) -> None:
-        """Wait after an error; until the platform answers again, peers may tell of changes.
+        """Wait before the next call; changes from peers are still applied meanwhile.
 
-        The pause counts from the failed call. Behind one that waited for its time-out nothing is
-        left of it, since its connection alone may be to blame. A host that comes to have the duty
-        meanwhile waits no longer than one with it.
+        The pause counts from the start of the failed call. So a call that waited for its time-out
+        is retried at once, since the fault may be in its connection alone. The pause is evaluated
+        again at each step, so a host that becomes a follower meanwhile waits no longer than other
+        followers do.
         """
         if error.failure is PlatformFailure.EXPIRED:
-            logger.info("history gone, listing anew", kind=self._kind)
+            logger.info("watch position expired, listing again", kind=self._kind)
             self._followed.forget()
             return
         if not self._failures:
             logger.warning("platform lost", kind=self._kind, reason=str(error))
         self._failures += 1
-        while (left_s := self._retry_left_s(asked_s)) > 0:
-            if await self._pause(min(left_s, REST_S)):
+        while (remaining_s := self._remaining_pause_s(asked_s)) > 0:
+            if await self._pause(min(remaining_s, IDLE_CHECK_S)):
                 return
 
-    def _retry_left_s(self, asked_s: float) -> float:
+    def _remaining_pause_s(self, asked_s: float) -> float:
         return asked_s + self._pace.retry_pause_s(self._failures) - trio.current_time()
--- a/yewloom/own_state.py
+++ b/yewloom/own_state.py
@@ -1,4 +1,4 @@
-"""What an entry host tells its peers of itself."""
+"""Builds the state that an entry host sends to its peers."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -16,7 +16,7 @@
 
 @value_class
 class EntryIdentity:
-    """One process of an entry host: two of the same host differ in when they started."""
+    """Identifies one process of an entry host; successive processes differ in their start time."""
 
     host_id: EntryHostId
     data_centre: DataCentreId
@@ -24,7 +24,7 @@
 
 
 class OwnState:
-    """Gathers the state of this host, numbered so that peers can tell which is the latest."""
+    """Collects this host's state, with sequence numbers by which peers recognise the latest one."""
 
     def __init__(
         self,
@@ -45,8 +45,8 @@
         self._standing = standing
         self._sequence = 0
 
-    def next(self, now_s: float) -> EntryState:
-        """Return the state at ``now_s``, under the next number."""
+    def next_state(self, now_s: float) -> EntryState:
+        """Return the state at ``now_s`` with the next sequence number."""
         self._sequence += 1
         configuration, standing = self._book.current, self._standing()
         state = EntryState(
@@ -64,12 +64,12 @@
             stalled=self._stalls.reported(now_s),
             unreachable=self._stalls.reported_unreachable(now_s),
             moving=[
-                GroupMovement(leader=head, age_ms=math.ceil(age_s * 1000))
-                for head, age_s in self._stalls.moving(now_s).items()
+                GroupMovement(leader=leader, age_ms=math.ceil(age_s * 1000))
+                for leader, age_s in self._stalls.moving(now_s).items()
             ],
             can_follow=standing.can_follow,
             is_coordinator=standing.is_coordinator,
-            listing=self._followed_endpoints.word(now_s),
+            listing=self._followed_endpoints.report(now_s),
         )
         for topic in self._topics:
             topic.write(state, now_s)
--- a/yewloom/peer_configurations.py
+++ b/yewloom/peer_configurations.py
@@ -1,10 +1,10 @@
-"""Configurations passed on among the entry hosts, when the store turns one of them away.
+"""Transfer of configurations between entry hosts, for hosts that cannot reach the store.
 
-A host that hears of a newer configuration and can't read it may serve no key, since that
-configuration may have taken it away. Its peers have the object as the store gave it; the host asks
-one of them for it over HTTP, at the port of the peer's datagrams. What comes is decoded as if the
-store had sent it, never replaces a newer one, and proves nothing by itself: how current it is
-follows from the peers' words, as ever.
+A host that learns of a newer configuration but cannot read it may not accept any key, since the
+newer configuration may have revoked it. Its peers keep the object in its stored form; the host
+requests it from one of them over HTTP, at the port number that the peer also uses for datagrams.
+The answer is decoded like an object from the store and never replaces a newer one. It does not
+confirm that the configuration is current; as always, that follows from the peers' reports.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,51 +27,52 @@
 
 logger = structlog.get_logger(__name__)
 
-STORE_FIRST_S = 0.3
-"""Time for which the store alone is asked for a configuration that a peer knows: it answers in some
-10 ms, also while it is busy."""
+STORE_HEAD_START_S = 0.3
+"""Time for which only the store is asked for a newer configuration before peers are asked too.
 
-LOOK_S = 0.1
-"""Pause between two looks for a newer configuration, and between two questions."""
+The store answers in some 10 ms, even under load."""
+
+CHECK_INTERVAL_S = 0.1
+"""Pause between checks for a newer configuration, and between rounds of requests to peers."""
 
 ANSWER_TIMEOUT_S = 0.5
-"""Longest wait for a peer's answer: some 100 KB at most, within a region."""
+"""Longest wait for a peer's answer, which is some 100 KB at most and comes from within a region."""
 
 NOT_FOUND = 404
 OK = 200
 
-_QUESTION = OutgoingRequest(b"GET", b"/configuration", [(b"host", b"peer")], b"")
+_REQUEST = OutgoingRequest(b"GET", b"/configuration", [(b"host", b"peer")], b"")
 
 
-class Intake(Protocol):
-    """Where configurations are taken in."""
+class ConfigurationReceiver(Protocol):
+    """Applies configurations received from peers."""
 
     latest: StoredObject | None
 
     def take_from_peer(self, stored: StoredObject) -> None:
-        """Take in a configuration that a peer had read from the store."""
+        """Apply a configuration that a peer read from the store."""
         ...
 
 
 class PeerConfigurations:
-    """Answers peers' questions for the configuration, and asks them.
+    """Sends the configuration to peers on request, and requests it from them.
 
-    ``addresses_knowing`` returns the addresses of peers that have at least some version.
+    ``addresses_knowing`` returns the addresses of the peers that have at least a given version.
     """
 
     def __init__(
         self,
         book: ConfigurationBook,
-        intake: Intake,
+        receiver: ConfigurationReceiver,
         addresses_knowing: Callable[[int], Iterable[str]],
     ) -> None:
         self._book = book
-        self._intake = intake
+        self._receiver = receiver
         self._addresses_knowing = addresses_knowing
 
     async def answer(self, request: CallerRequest, reply: Reply) -> None:
-        """Answer a peer with the configuration as the store gave it."""
-        stored = self._intake.latest
+        """Answer a peer's request with the configuration in its stored form."""
+        stored = self._receiver.latest
         if stored is None:
             await reply.send_whole(NOT_FOUND, [], b"")
             return
@@ -79,36 +80,38 @@
         await reply.send_whole(OK, [], shared.SerializeToString())
 
     async def run(self) -> None:
-        """Ask peers whenever the store does not bring what they know, until cancelled."""
+        """Until cancelled, get newer configurations from peers if the store does not answer."""
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             if self._book.is_outdated:
-                await trio.sleep(STORE_FIRST_S)
-                await self._ask_peers()
+                await trio.sleep(STORE_HEAD_START_S)
+                await self._fetch_from_peers()
 
-    async def _ask_peers(self) -> None:
+    async def _fetch_from_peers(self) -> None:
         for address in self._addresses_knowing(self._book.newest_version):
             if not self._book.is_outdated:
                 return
-            await self._ask(address)
+            await self._fetch(address)
 
-    async def _ask(self, address: str) -> None:
+    async def _fetch(self, address: str) -> None:
         with trio.move_on_after(ANSWER_TIMEOUT_S) as limit:
             try:
-                shared = await _read(address)
+                shared = await _request(address)
             except (ExchangeError, DecodeError) as error:
-                logger.info("peer gave no configuration", peer=address, reason=str(error))
+                logger.info("cannot get configuration from peer", peer=address, reason=str(error))
                 return
             if shared is not None:
-                self._intake.take_from_peer(StoredObject(shared.key, shared.version, shared.value))
+                self._receiver.take_from_peer(
+                    StoredObject(shared.key, shared.version, shared.value)
+                )
         if limit.cancelled_caught:
-            logger.info("peer gave no configuration", peer=address, reason="no answer in time")
+            logger.info("cannot get configuration from peer", peer=address, reason="timed out")
 
 
-async def _read(address: str) -> SharedObject | None:
-    """Return what a peer has; None if it has nothing."""
+async def _request(address: str) -> SharedObject | None:
+    """Return a peer's configuration; None if it has none."""
     async with open_exchange(address, CONNECT_TIMEOUT_S) as exchange:
-        await exchange.send(_QUESTION)
+        await exchange.send(_REQUEST)
         head = await exchange.head()
         body = await exchange.whole_body()
     return SharedObject.FromString(body) if head.status == OK else None
--- a/yewloom/peer_intake.py
+++ b/yewloom/peer_intake.py
@@ -1,11 +1,11 @@
-"""What the peers of an entry host tell, taken in: their states, and changes of endpoints."""
+"""Processes the messages that an entry host receives from peers: states and endpoint changes."""
 
 from collections.abc import Callable, Sequence
 
 import structlog
 
 from yewloom.configuration import ConfigurationBook
-from yewloom.entry_states import ConfigurationWord, PeerBoard
+from yewloom.entry_states import ConfirmedConfiguration, PeerBoard
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import HostId
 from yewloom.listed_endpoints import ChangedEndpoints, decode_changes
@@ -17,9 +17,9 @@
 
 
 class PeerIntake:
-    """Hands on what a message tells, each part to where it is kept.
+    """Passes each part of a message to the component that handles it.
 
-    ``read_configuration`` is called once for each version that is newer than this host's.
+    ``read_configuration`` is called once for each reported version newer than this host's.
     """
 
     def __init__(
@@ -39,50 +39,52 @@
         self._take_changes = take_changes
         self._reports = reports
         self._read_configuration = read_configuration
-        self._asked_for_version = 0
+        self._requested_version = 0
 
-    def take(self, message: EntryMessage, now_s: float, came_s: float) -> None:
-        """Take in a message that is read at ``now_s`` and came at ``came_s`` at the earliest.
+    def take(self, message: EntryMessage, now_s: float, arrived_s: float) -> None:
+        """Process a message read at ``now_s`` that arrived at ``arrived_s`` at the earliest.
 
-        What it reports of groups counts from then: by now it may be long over.
+        Its reports on groups are dated to ``arrived_s``, since they may be outdated by now.
         """
         match message.WhichOneof("content"):
             case "state":
-                self._take_state(message.state, now_s, came_s)
+                self._take_state(message.state, now_s, arrived_s)
             case "changes":
-                self._take_told(message.changes)
+                self._take_endpoint_changes(message.changes)
 
-    def _take_state(self, state: EntryState, now_s: float, came_s: float) -> None:
-        words = self._board.take(state, now_s)
-        if words.configuration is not None:
-            self._take_configuration_word(words.configuration)
-        if words.listing is not None:
-            self._followed_endpoints.on_word(words.listing.word, words.listing.confirmed_s, now_s)
-        for head in state.stalled:
-            self._reports.stands_still(HostId(head), came_s)
-        for head in state.unreachable:
-            self._reports.is_unreachable(HostId(head), came_s)
+    def _take_state(self, state: EntryState, now_s: float, arrived_s: float) -> None:
+        confirmed = self._board.take(state, now_s)
+        if confirmed.configuration is not None:
+            self._take_configuration(confirmed.configuration)
+        if confirmed.listing is not None:
+            self._followed_endpoints.on_peer_report(
+                confirmed.listing.report, confirmed.listing.confirmed_s, now_s
+            )
+        for leader in state.stalled:
+            self._reports.on_stalled(HostId(leader), arrived_s)
+        for leader in state.unreachable:
+            self._reports.on_unreachable(HostId(leader), arrived_s)
         for group in state.moving:
-            self._reports.moves(HostId(group.leader), group.age_ms / 1000, came_s)
+            self._reports.on_progress(HostId(group.leader), group.age_ms / 1000, arrived_s)
         for topic in self._topics:
-            topic.take(state, came_s, now_s)
+            topic.take(state, arrived_s, now_s)
 
-    def _take_configuration_word(self, word: ConfigurationWord) -> None:
+    def _take_configuration(self, confirmed: ConfirmedConfiguration) -> None:
         current = self._book.current
-        self._book.note_version(word.version)
+        self._book.note_version(confirmed.version)
         if current is None:
             return
-        if word.version == current.version:
-            self._book.confirm(word.confirmed_s)
-        elif word.version > max(current.version, self._asked_for_version):
-            self._asked_for_version = word.version
-            logger.info("peer has a newer configuration", version=word.version)
+        if confirmed.version == current.version:
+            self._book.confirm(confirmed.confirmed_s)
+        elif confirmed.version > max(current.version, self._requested_version):
+            self._requested_version = confirmed.version
+            logger.info("peer has a newer configuration", version=confirmed.version)
             self._read_configuration()
 
-    def _take_told(self, told: EndpointChanges) -> None:
+    def _take_endpoint_changes(self, message: EndpointChanges) -> None:
         try:
-            changes = decode_changes(told)
+            changes = decode_changes(message)
         except ValueError as error:
-            logger.error("message unreadable", reason=str(error))
+            logger.error("invalid endpoint changes from peer", reason=str(error))
             return
         self._take_changes(changes)
--- a/yewloom/peer_topics.py
+++ b/yewloom/peer_topics.py
@@ -1,4 +1,4 @@
-"""Topics that entry hosts tell each other of beside their load and the configuration."""
+"""Interface of components that add their own fields to the messages between entry hosts."""
 
 from typing import Protocol
 
@@ -6,12 +6,12 @@
 
 
 class PeerTopic(Protocol):
-    """One topic: its part of the messages to peers and of those that they send."""
+    """A component's part of the messages sent to peers and received from them."""
 
     def write(self, state: EntryState, now_s: float) -> None:
-        """Add what peers should know to a message."""
+        """Add this topic's fields to an outgoing message."""
         ...
 
     def take(self, state: EntryState, came_s: float, now_s: float) -> None:
-        """Take in a peer's message that is read now and came at ``came_s`` at the earliest."""
+        """Process a peer's message read at ``now_s`` that arrived at ``came_s`` at the earliest."""
         ...
--- a/yewloom/store_retries.py
+++ b/yewloom/store_retries.py
@@ -1,42 +1,48 @@
-"""How long a host waits before it calls a store again that did not answer.
+"""Back-off of calls to a store that does not answer.
 
-All hosts of a data centre find out at the same moment that the store is away, and all would go on
-asking. The few with the duty to follow it ask more and more seldom, up to a bound that keeps its
-return from going unseen for long; the others share a rate that does not grow with their number, and
-hear from those with the duty when it is back.
+All hosts of a data centre notice an outage at the same time and would all keep calling the store.
+The few hosts with the duty to follow it back off exponentially, up to a bound so that its recovery
+is noticed soon. The others share a total rate that does not grow with their number, and learn of
+the recovery from the hosts with the duty.
 """
 
 from yewloom.values import value_class
 
-MOST_DUTY_FACTOR = 4.0
-"""Longest pause of a host with the duty, as a multiple of its first one."""
+MAX_DUTY_FACTOR = 4.0
+"""Longest pause of a host with the duty, as a multiple of its first pause."""
 
-LEAST_IDLE_FACTOR = 5.0
-"""Shortest pause of a host without the duty, as a multiple of the first one of a host with it."""
+MIN_IDLE_FACTOR = 5.0
+"""Shortest pause of a host without the duty, as a multiple of the first pause of a host with it."""
 
 IDLE_SPACING_S = 0.5
-"""Time between two calls of all hosts of a data centre that do not have the duty."""
+"""Average time between calls, counted over all hosts of a data centre without the duty."""
 
-SPREAD = 0.5
-"""Width of the range that pauses are drawn from, as a part of the pause, so that hosts which failed
-together do not call together."""
+JITTER = 0.5
+"""Width of the range of random pauses, as a fraction of the pause.
+
+It prevents hosts whose calls failed at the same time from retrying at the same time.
+"""
 
 
 @value_class
 class StoreRetries:
-    """The pauses of one host; ``first_pause_s`` is from the settings, ``draw`` from 0 to 1."""
+    """Pauses of one host.
+
+    ``first_pause_s`` comes from the settings; ``draw`` is a random number from 0 to 1, drawn for
+    this host.
+    """
 
     first_pause_s: float
     draw: float
 
     def pause_s(self, failures: int, has_duty: bool, near_hosts: int) -> float:
-        """Return the pause behind so many failures in a row.
+        """Return the pause after a number of consecutive failures.
 
-        ``near_hosts`` counts the hosts of this data centre.
+        ``near_hosts`` is the number of hosts in this data centre.
         """
-        spread = 1 - SPREAD / 2 + SPREAD * self.draw
+        jitter = 1 - JITTER / 2 + JITTER * self.draw
         if has_duty:
-            factor = min(2.0 ** max(0, failures - 1), MOST_DUTY_FACTOR)
-            return self.first_pause_s * factor * spread
-        least_s = self.first_pause_s * LEAST_IDLE_FACTOR
-        return max(least_s, near_hosts * IDLE_SPACING_S) * spread
+            factor = min(2.0 ** max(0, failures - 1), MAX_DUTY_FACTOR)
+            return self.first_pause_s * factor * jitter
+        min_pause_s = self.first_pause_s * MIN_IDLE_FACTOR
+        return max(min_pause_s, near_hosts * IDLE_SPACING_S) * jitter
--- a/yewloom/tests/test_directory.py
+++ b/yewloom/tests/test_directory.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from yewloom.directory import (
-    LAPSE_GRACE_S,
+    OUTAGE_GRACE_S,
     Endpoint,
     EndpointDirectory,
     GroupKey,
@@ -81,6 +81,6 @@
         directory.replace_all([make_engine("a"), make_engine("b")], 0.0, after_outage=False)
         directory.replace_all([], 10.0, after_outage=True)
         directory.put(make_engine("a"))
-        self.assertEqual(directory.drop_lapsed(10.0 + LAPSE_GRACE_S - 0.1), [])
-        self.assertEqual(directory.drop_lapsed(10.0 + LAPSE_GRACE_S), [HostId("b")])
+        self.assertEqual(directory.remove_expired(10.0 + OUTAGE_GRACE_S - 0.1), [])
+        self.assertEqual(directory.remove_expired(10.0 + OUTAGE_GRACE_S), [HostId("b")])
         self.assertEqual(set(directory.by_id), {"a"})
--- a/yewloom/tests/test_entry_addresses.py
+++ b/yewloom/tests/test_entry_addresses.py
@@ -33,7 +33,7 @@
         self._host = host
         self._sequence = 0
 
-    def next(self, now_s: float) -> EntryState:
+    def next_state(self, now_s: float) -> EntryState:
         """Return the next state."""
         self._sequence += 1
         return EntryState(
@@ -100,11 +100,11 @@
         platform = FakePlatform()
         addresses = _addresses(ME, "10.0.0.1:1", platform)
         told, stored = PeerAddress("10.0.0.2:1", HALL), PeerAddress("10.0.0.3:1", HALL)
-        self.assertTrue(addresses.learn(PEER, told))
+        self.assertTrue(addresses.add_reported(PEER, told))
         self.assertEqual(addresses.by_peer, {PEER: told})
         addresses.by_peer[PEER] = stored
-        self.assertFalse(addresses.learn(PEER, told))
-        self.assertFalse(addresses.learn(ME, told))
+        self.assertFalse(addresses.add_reported(PEER, told))
+        self.assertFalse(addresses.add_reported(ME, told))
         self.assertEqual(addresses.by_peer, {PEER: stored})
 
     def test_two_hosts_of_which_one_read_of_the_other_hear_each_other(self) -> None:
--- a/yewloom/tests/test_entry_states.py
+++ b/yewloom/tests/test_entry_states.py
@@ -5,7 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.entry_states import FRESH_S, REMOTE_FRESH_S, PeerBoard, PeerWords
+from yewloom.entry_states import (
+    MIN_REMOTE_STATE_TTL_S,
+    MIN_STATE_TTL_S,
+    PeerBoard,
+    PeerConfirmations,
+)
 from yewloom.ids import EntryHostId, HostId
 from yewloom.schema.entry_pb2 import EndpointLoad, EntryState, ListingWord
 from yewloom.tests.entry_support import HALL
@@ -50,7 +55,7 @@
     def test_a_silent_peer_stops_counting(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         board.take(_state(1, running=5), 0.0)
-        board.drop_silent(FRESH_S + 0.1)
+        board.drop_silent(MIN_STATE_TTL_S + 0.1)
         self.assertEqual(board.running(HostId("a")), 0)
         self.assertEqual(board.live_peers(), 0)
 
@@ -66,7 +71,7 @@
         board = PeerBoard(ME, HALL, started_unix_ms=STARTED_UNIX_MS + 1)
         # That life's clock had another origin, so its times mean nothing to this one.
         state = _state(1, echoed_ms=300_000_000, version=7)
-        self.assertEqual(board.take(state, 99.0), PeerWords())
+        self.assertEqual(board.take(state, 99.0), PeerConfirmations())
         state = _state(2, echoed_ms=50_000, version=7)
         state.echoed_started_unix_ms = STARTED_UNIX_MS + 1
         self.assertIsNotNone(board.take(state, 99.0).configuration)
@@ -76,24 +81,24 @@
         state.listing.CopyFrom(ListingWord(changed_at=3, position=9, age_ms=700))
         word = PeerBoard(ME, HALL, STARTED_UNIX_MS).take(state, 99.0).listing
         assert word is not None
-        self.assertEqual((word.word.position, word.confirmed_s), (9, 49.3))
+        self.assertEqual((word.report.position, word.confirmed_s), (9, 49.3))
 
     def test_a_peer_elsewhere_is_heard_less_often_and_counts_longer(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         state = _state(1, running=5)
         state.data_centre = "hall-b"
         board.take(state, 0.0)
-        board.drop_silent(FRESH_S + 0.1)
+        board.drop_silent(MIN_STATE_TTL_S + 0.1)
         self.assertEqual(board.running(HostId("a")), 5)
-        board.drop_silent(REMOTE_FRESH_S + 0.1)
+        board.drop_silent(MIN_REMOTE_STATE_TTL_S + 0.1)
         self.assertEqual(board.running(HostId("a")), 0)
 
     def test_without_an_echo_or_a_version_nothing_is_proved(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
-        self.assertEqual(board.take(_state(1, version=7), 0.0), PeerWords())
-        self.assertEqual(board.take(_state(2, echoed_ms=1), 0.0), PeerWords())
+        self.assertEqual(board.take(_state(1, version=7), 0.0), PeerConfirmations())
+        self.assertEqual(board.take(_state(2, echoed_ms=1), 0.0), PeerConfirmations())
 
     def test_own_datagrams_are_ignored(self) -> None:
         board = PeerBoard(EntryHostId("peer"), HALL)
-        self.assertEqual(board.take(_state(1, running=3), 0.0), PeerWords())
+        self.assertEqual(board.take(_state(1, running=3), 0.0), PeerConfirmations())
         self.assertEqual(board.running(HostId("a")), 0)
--- a/yewloom/tests/test_follow_duty.py
+++ b/yewloom/tests/test_follow_duty.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.entry_states import FRESH_S, PeerBoard
+from yewloom.entry_states import MIN_STATE_TTL_S, PeerBoard
 from yewloom.follow_duty import FOLLOWERS, FollowDuty, Standing
-from yewloom.follow_times import PATIENCE_SPREAD_S, FollowTimes, follow_times
+from yewloom.follow_times import MAX_FALLBACK_JITTER_S, FollowTimes, follow_times
 from yewloom.ids import EntryHostId
 from yewloom.schema.entry_pb2 import EntrySettings, EntryState
 from yewloom.tests.entry_support import HALL
@@ -80,7 +80,7 @@
         for standing in (Standing(True, False), Standing(True, True)):
             duty = FollowDuty(me, board, partial(replace, standing), TIMES, 0.5, lambda: True)
             self.assertEqual(duty.is_mine(), standing.is_coordinator)
-            self.assertTrue(duty.must_ask(TIMES.patience_s + PATIENCE_SPREAD_S + 0.01))
+            self.assertTrue(duty.must_ask(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
 
     def test_peers_elsewhere_do_not_follow_for_this_data_centre(self) -> None:
         states = [_state(name) for name in NAMES]
@@ -95,15 +95,15 @@
         for state in states:
             board.take(state, 0.0)
         duty = FollowDuty(EntryHostId(resting), board, lambda: Standing(True, False), TIMES, 0.5)
-        board.drop_silent(FRESH_S + 0.1)
+        board.drop_silent(MIN_STATE_TTL_S + 0.1)
         self.assertTrue(duty.is_mine())
 
     def test_a_host_that_is_told_nothing_recent_asks_itself(self) -> None:
         states = [_state(name) for name in NAMES]
         resting = next(name for name in NAMES if not _duty(name, states).is_mine())
         duty = _duty(resting, states)
-        self.assertFalse(duty.must_ask(TIMES.patience_s))
-        self.assertTrue(duty.must_ask(TIMES.patience_s + PATIENCE_SPREAD_S + 0.01))
+        self.assertFalse(duty.must_ask(TIMES.fallback_s))
+        self.assertTrue(duty.must_ask(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
 
     def test_a_coordinator_always_asks_and_the_other_follower_stands_by(self) -> None:
         states = [_state(name, is_coordinator=name == "e3") for name in NAMES]
@@ -138,6 +138,6 @@
         times = follow_times(settings)
         self.assertLessEqual(times.watch_s, min(longest_ms, 0.4 * apply_ms) / 1000)
         self.assertLess(times.watch_s, times.standby_s)
-        self.assertLess(times.standby_s, times.patience_s)
+        self.assertLess(times.standby_s, times.fallback_s)
         if apply_ms >= 2000:
-            self.assertLess(times.patience_s + PATIENCE_SPREAD_S, apply_ms / 1000 - 0.3)
+            self.assertLess(times.fallback_s + MAX_FALLBACK_JITTER_S, apply_ms / 1000 - 0.3)
--- a/yewloom/tests/test_followed_position.py
+++ b/yewloom/tests/test_followed_position.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from yewloom.followed_position import LISTED_SILENCE_S, RELAY_GRACE_S, FollowedPosition
+from yewloom.followed_position import LISTING_REPORT_DELAY_S, RELAY_GRACE_S, FollowedPosition
 from yewloom.schema.entry_pb2 import ListingWord
 
 INF = float("inf")
@@ -20,19 +20,19 @@
         self.followed.take_changes(10, True, 1.0)
 
     def test_a_peer_that_knows_no_more_proves_what_is_known(self) -> None:
-        self.followed.on_word(ListingWord(changed_at=10, position=30), 5.0, 6.0)
+        self.followed.on_peer_report(ListingWord(changed_at=10, position=30), 5.0, 6.0)
         self.assertEqual((self.followed.position, self.followed.age_s(6.0)), (30, 1.0))
 
     def test_a_peer_that_knows_more_proves_nothing(self) -> None:
-        self.followed.on_word(ListingWord(changed_at=12, position=30), 5.0, 6.0)
+        self.followed.on_peer_report(ListingWord(changed_at=12, position=30), 5.0, 6.0)
         self.assertEqual((self.followed.position, self.followed.age_s(6.0)), (10, 5.0))
 
     def test_a_change_that_does_not_come_in_time_makes_the_host_ask(self) -> None:
         word = ListingWord(changed_at=12, position=30)
-        self.followed.on_word(word, 5.0, 6.0)
+        self.followed.on_peer_report(word, 5.0, 6.0)
         # Words of peers that know no more must not put the question off.
-        self.followed.on_word(ListingWord(changed_at=10, position=11), 5.9, 6.1)
-        self.followed.on_word(word, 5.9, 6.2)
+        self.followed.on_peer_report(ListingWord(changed_at=10, position=11), 5.9, 6.1)
+        self.followed.on_peer_report(word, 5.9, 6.2)
         self.assertLess(self.followed.age_s(6.0 + RELAY_GRACE_S - 0.01), INF)
         self.assertEqual(self.followed.age_s(6.0 + RELAY_GRACE_S + 0.01), INF)
         self.followed.take_changes(12, True, 6.3)
@@ -41,29 +41,29 @@
     def test_a_listing_is_told_once_the_last_change_before_it_is_known(self) -> None:
         self.followed.forget()
         self.followed.take_listing(20, 2.0)
-        self.assertIsNone(self.followed.word(2.1))
+        self.assertIsNone(self.followed.report(2.1))
         # A word from before the listing tells nothing of the time in between.
-        self.followed.on_word(ListingWord(changed_at=12, position=19), 2.0, 2.2)
-        self.assertIsNone(self.followed.word(2.2))
-        self.followed.on_word(ListingWord(changed_at=12, position=21), 2.2, 2.3)
-        word = self.followed.word(2.3)
+        self.followed.on_peer_report(ListingWord(changed_at=12, position=19), 2.0, 2.2)
+        self.assertIsNone(self.followed.report(2.2))
+        self.followed.on_peer_report(ListingWord(changed_at=12, position=21), 2.2, 2.3)
+        word = self.followed.report(2.3)
         assert word is not None
         self.assertEqual((word.changed_at, word.position), (12, 21))
 
     def test_a_listing_that_nobody_knows_more_of_is_told_after_a_while(self) -> None:
         self.followed.forget()
         self.followed.take_listing(20, 2.0)
-        word = self.followed.word(2.0 + LISTED_SILENCE_S)
+        word = self.followed.report(2.0 + LISTING_REPORT_DELAY_S)
         assert word is not None
         self.assertEqual((word.changed_at, word.position), (20, 20))
 
     def test_changes_are_taken_only_without_a_gap(self) -> None:
-        self.assertTrue(self.followed.continues(8, 12))
-        self.assertTrue(self.followed.continues(10, 12))
-        self.assertFalse(self.followed.continues(11, 12))
-        self.assertFalse(self.followed.continues(8, 10))
+        self.assertTrue(self.followed.can_apply(8, 12))
+        self.assertTrue(self.followed.can_apply(10, 12))
+        self.assertFalse(self.followed.can_apply(11, 12))
+        self.assertFalse(self.followed.can_apply(8, 10))
         self.followed.forget()
-        self.assertFalse(self.followed.continues(8, 12))
+        self.assertFalse(self.followed.can_apply(8, 12))
         self.assertEqual(self.followed.age_s(1.0), INF)
 
 
@@ -127,14 +127,14 @@
             return
         base, position, value = self.told[pick % len(self.told)]
         host = self.hosts[number]
-        if host.followed.continues(base, position):
+        if host.followed.can_apply(base, position):
             host.value = value
             host.followed.take_changes(position, True, float("-inf"))
 
     @rule(number=st.integers(0, 2))
     def speak(self, number: int) -> None:
         followed = self.hosts[number].followed
-        word = followed.word(1e6)
+        word = followed.report(1e6)
         if word is not None:
             self.words.append((word, round(max(followed.proved_s, 0.0))))
 
@@ -142,7 +142,7 @@
     def hear_a_word(self, number: int, pick: int) -> None:
         if self.words:
             word, confirmed = self.words[pick % len(self.words)]
-            self.hosts[number].followed.on_word(word, float(confirmed), 0.0)
+            self.hosts[number].followed.on_peer_report(word, float(confirmed), 0.0)
 
     @invariant()
     def what_a_host_holds_is_what_its_position_says(self) -> None:
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from yewloom.followed_position import FollowedPosition
-from yewloom.followers import REST_S, Follower, FollowPace, Update
+from yewloom.followers import IDLE_CHECK_S, Follower, FollowPace, Update
 from yewloom.ids import DataCentreId
 from yewloom.platforms import Listing, PlatformError, PlatformFailure, StoredObject
 from yewloom.schema.records_pb2 import Host
@@ -79,7 +79,7 @@
         platform = _ScriptedPlatform(Listing([STORED], 5), Listing([], 7), Listing([STORED], 9))
         updates = _follow(platform)
         self.assertEqual(platform.calls, ["list", "watch 5", "watch 7", "watch 9"])
-        self.assertEqual([update.is_whole for update in updates], [True, False, False])
+        self.assertEqual([update.is_full_listing for update in updates], [True, False, False])
 
     def test_an_update_counts_from_before_its_call_or_from_a_proof(self) -> None:
         proved = Listing([], 7, proved_after_s=0.4)
@@ -126,7 +126,7 @@
                 await trio.sleep(3.0)
                 self.assertEqual(platform.calls, ["list"])
                 pause_s[0] = RETRY_PAUSE_S
-                await trio.sleep(REST_S + 0.1)
+                await trio.sleep(IDLE_CHECK_S + 0.1)
                 self.assertEqual(platform.calls[:2], ["list", "list"])
                 nursery.cancel_scope.cancel()
 
@@ -141,7 +141,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(5)
-                self.assertTrue(followed.continues(5, 9))
+                self.assertTrue(followed.can_apply(5, 9))
                 followed.take_changes(9, True, float("-inf"))
                 self.assertFalse(follower.is_answered)
                 await trio.sleep(20)
@@ -246,7 +246,7 @@
                 nursery.cancel_scope.cancel()
 
         run_on_mock_clock(main)
-        self.assertLess(looks, 5.0 / REST_S + 5)
+        self.assertLess(looks, 5.0 / IDLE_CHECK_S + 5)
 
     def test_nothing_is_left_of_a_pause_behind_a_call_that_waited_for_its_timeout(self) -> None:
         silent = PlatformError(PlatformFailure.AMBIGUOUS, "timed out")
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -8,7 +8,7 @@
 from yewloom.crash_record import CRASHES, TELL_S, EndpointProcess
 from yewloom.directory import EndpointDirectory
 from yewloom.endpoint_limits import EndpointLimits
-from yewloom.entry_states import SHARE_KEPT_S, PeerBoard
+from yewloom.entry_states import LIMIT_SHARE_RETENTION_S, PeerBoard
 from yewloom.follow_duty import Standing
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import EntryHostId, Fingerprint, HostId
@@ -74,7 +74,7 @@
 
     def message(self, now_s: float) -> EntryState:
         """Return what this host tells."""
-        return self._own.next(now_s)
+        return self._own.next_state(now_s)
 
     def tell(self, other: "Host", now_s: float, read_late_s: float = 0.0) -> None:
         """Send the other host a message, which it may read late; both have one clock here."""
@@ -227,4 +227,4 @@
         self.me.tell(self.peer, 1.0)
         self.peer.board.drop_silent(10.0)
         self.assertEqual(len(self.peer.board.sharing_hosts(10.0)), 2)
-        self.assertEqual(len(self.peer.board.sharing_hosts(1.0 + SHARE_KEPT_S)), 1)
+        self.assertEqual(len(self.peer.board.sharing_hosts(1.0 + LIMIT_SHARE_RETENTION_S)), 1)
--- a/yewloom/tests/test_peer_turns.py
+++ b/yewloom/tests/test_peer_turns.py
@@ -6,9 +6,9 @@
 from yewloom.entry_states import PeerBoard
 from yewloom.ids import DataCentreId, EntryHostId, HostId
 from yewloom.peer_turns import (
-    NEAR_PEERS_AT_ONCE,
+    MIN_NEAR_RECIPIENTS,
+    MIN_REMOTE_RECIPIENTS,
     NEAR_ROUND_S,
-    REMOTE_PEERS_AT_ONCE,
     REMOTE_ROUND_S,
     SEND_INTERVAL_S,
     PeerTurns,
@@ -27,7 +27,7 @@
     remote: Sequence[EntryHostId],
     always: Container[EntryHostId],
 ) -> list[EntryHostId]:
-    return [turn.peer for turn in turns.next(near, remote, always)]
+    return [turn.peer for turn in turns.next_turns(near, remote, always)]
 
 
 class TestPeerTurns(unittest.TestCase):
@@ -42,7 +42,7 @@
         told: list[EntryHostId] = []
         for _ in range(22 * 45):
             message = _told(turns, near, remote, ())
-            self.assertEqual(len(message), NEAR_PEERS_AT_ONCE + REMOTE_PEERS_AT_ONCE)
+            self.assertEqual(len(message), MIN_NEAR_RECIPIENTS + MIN_REMOTE_RECIPIENTS)
             told += message
         self.assertEqual(len({told.count(peer) for peer in near}), 1)
         self.assertEqual(len({told.count(peer) for peer in remote}), 1)
@@ -57,7 +57,7 @@
             told = _told(turns, near, [], {near[3], near[9]})
             self.assertLessEqual({near[3], near[9]}, set(told))
             self.assertEqual(len(told), len(set(told)))
-            self.assertEqual(len(told), NEAR_PEERS_AT_ONCE + 2)
+            self.assertEqual(len(told), MIN_NEAR_RECIPIENTS + 2)
 
     def test_a_host_that_is_alone_tells_nobody(self) -> None:
         self.assertEqual(_told(PeerTurns(), [], [], ()), [])
@@ -79,7 +79,7 @@
         turns, told, seen = PeerTurns(), dict.fromkeys(boards, 0), set[int]()
         for step in range(int(6 * REMOTE_ROUND_S / SEND_INTERVAL_S)):
             now_s = step * SEND_INTERVAL_S
-            for turn in turns.next(*peers, always=()):
+            for turn in turns.next_turns(*peers, always=()):
                 if turn.peer not in boards:
                     continue
                 told[turn.peer] += 1
@@ -103,7 +103,7 @@
     def test_no_peer_waits_longer_for_its_turn_than_a_round(self) -> None:
         turns = PeerTurns()
         for near, remote in ((2, 6), (42, 152), (220, 880)):
-            told = turns.next(_hosts("near", near), _hosts("remote", remote), always=())
+            told = turns.next_turns(_hosts("near", near), _hosts("remote", remote), always=())
             near_s = max(t.interval_s for t in told if t.peer.startswith("near"))
             remote_s = max(t.interval_s for t in told if t.peer.startswith("remote"))
             self.assertLessEqual(round(near_s, 6), NEAR_ROUND_S)
--- a/yewloom/tests/test_store_retries.py
+++ b/yewloom/tests/test_store_retries.py
@@ -4,9 +4,9 @@
 
 from yewloom.store_retries import (
     IDLE_SPACING_S,
-    LEAST_IDLE_FACTOR,
-    MOST_DUTY_FACTOR,
-    SPREAD,
+    JITTER,
+    MAX_DUTY_FACTOR,
+    MIN_IDLE_FACTOR,
     StoreRetries,
 )
 
@@ -31,19 +31,19 @@
         for hosts in (9, 43, 48, 220):
             calls = sum(_calls(host, hosts, has_duty=False) for host in range(hosts))
             # Each finds out once; the rest is a rate of all of them together.
-            least_interval_s = IDLE_SPACING_S * (1 - SPREAD / 2)
+            least_interval_s = IDLE_SPACING_S * (1 - JITTER / 2)
             self.assertLessEqual(calls - hosts, OUTAGE_S / least_interval_s)
 
     def test_a_small_data_centre_is_no_busier_than_its_first_pause_allows(self) -> None:
         pause_s = StoreRetries(FIRST_PAUSE_S, 0.5).pause_s(1, False, near_hosts=1)
-        self.assertEqual(pause_s, FIRST_PAUSE_S * LEAST_IDLE_FACTOR)
+        self.assertEqual(pause_s, FIRST_PAUSE_S * MIN_IDLE_FACTOR)
 
     def test_a_host_with_the_duty_asks_again_soon_and_then_less_often(self) -> None:
         retries = StoreRetries(FIRST_PAUSE_S, 0.5)
         pauses_s = [retries.pause_s(failures, True, 43) for failures in range(1, 8)]
         self.assertEqual(pauses_s[0], FIRST_PAUSE_S)
         self.assertEqual(pauses_s, sorted(pauses_s))
-        self.assertEqual(pauses_s[-1], FIRST_PAUSE_S * MOST_DUTY_FACTOR)
+        self.assertEqual(pauses_s[-1], FIRST_PAUSE_S * MAX_DUTY_FACTOR)
 
     def test_hosts_that_failed_together_do_not_call_together(self) -> None:
         pauses_s = {StoreRetries(FIRST_PAUSE_S, n / 10).pause_s(3, True, 9) for n in range(10)}
