--- a/yewloom/tests/test_directory.py
+++ b/yewloom/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the listed endpoints and their groups."""
+"""Tests of the directory of listed endpoints and their groups."""
 
 import unittest
 
@@ -20,10 +20,10 @@
 
 
 class TestEndpointDirectory(unittest.TestCase):
-    """What is listed, and for how long."""
+    """Indexes of the directory, and removal of endpoints."""
 
     @given(st.lists(st.tuples(NAMES, st.booleans())))
-    def test_indexes_follow_any_changes(self, changes: list[tuple[str, bool]]) -> None:
+    def test_indexes_match_any_sequence_of_changes(self, changes: list[tuple[str, bool]]) -> None:
         directory = EndpointDirectory()
         expected: dict[HostId, Endpoint] = {}
         for name, is_listed in changes:
@@ -38,14 +38,16 @@
         self.assertEqual({e.id for e in directory.of_service(ENGINES)}, set(expected))
 
     @given(st.lists(st.tuples(NAMES, st.sampled_from([None, 0, 1]))))
-    def test_leaders_follow_any_changes(self, changes: list[tuple[str, int | None]]) -> None:
-        """A choice looks at the leaders alone, of hundreds of endpoints."""
+    def test_leaders_match_any_sequence_of_changes(
+        self, changes: list[tuple[str, int | None]]
+    ) -> None:
+        """Endpoint selection scans only the leaders instead of hundreds of endpoints."""
         directory = EndpointDirectory()
         for name, rank in changes:
-            place = None
+            membership = None
             if rank is not None:
-                place = Membership(GroupKey(GroupId("g"), 1), rank, MemberState.OPEN)
-            directory.put(make_engine(name, membership=place))
+                membership = Membership(GroupKey(GroupId("g"), 1), rank, MemberState.OPEN)
+            directory.put(make_engine(name, membership=membership))
         leaders = {
             e.id for e in directory.by_id.values() if e.membership and e.membership.rank == 0
         }
@@ -54,7 +56,7 @@
             directory.remove(HostId(name))
         self.assertEqual(list(directory.leaders_of(ENGINES)), [])
 
-    def test_members_are_found_by_group_and_leave_with_their_entry(self) -> None:
+    def test_members_are_indexed_by_group_until_removed(self) -> None:
         directory = EndpointDirectory()
         key = put_group(directory, "g", SMALL, ["a", "b"])
         self.assertEqual([e.id for e in directory.members(key).values()], ["a", "b"])
@@ -63,20 +65,20 @@
         directory.put(make_engine("a"))
         self.assertEqual(directory.members(key), {})
 
-    def test_a_member_that_joined_another_group_leaves_the_first(self) -> None:
+    def test_member_that_joins_another_group_is_removed_from_the_first(self) -> None:
         directory = EndpointDirectory()
         first = put_group(directory, "g", SMALL, ["a", "b"], MemberState.READY)
         second = put_group(directory, "h", SMALL, ["b", "c"], MemberState.READY, generation=2)
         self.assertEqual(list(directory.members(first)), [0])
         self.assertEqual(len(directory.members(second)), 2)
 
-    def test_a_listing_in_calm_times_drops_what_it_lacks(self) -> None:
+    def test_listing_without_outage_removes_missing_endpoints_at_once(self) -> None:
         directory = EndpointDirectory()
         directory.replace_all([make_engine("a"), make_engine("b")], 0.0, after_outage=False)
         directory.replace_all([make_engine("a")], 1.0, after_outage=False)
         self.assertEqual(set(directory.by_id), {"a"})
 
-    def test_after_an_outage_missing_endpoints_stay_for_the_grace_only(self) -> None:
+    def test_endpoints_missing_after_an_outage_are_kept_for_the_grace_period(self) -> None:
         directory = EndpointDirectory()
         directory.replace_all([make_engine("a"), make_engine("b")], 0.0, after_outage=False)
         directory.replace_all([], 10.0, after_outage=True)
--- a/yewloom/tests/test_entry_addresses.py
+++ b/yewloom/tests/test_entry_addresses.py
@@ -1,4 +1,4 @@
-"""Tests of how entry hosts find each other: the pattern is a start of very many at once."""
+"""Tests of the discovery of entry hosts, in view of very many that start at once."""
 
 import unittest
 from typing import cast
@@ -23,11 +23,11 @@
 ME, PEER = EntryHostId("me"), EntryHostId("peer")
 
 LIMIT_S = 20.0
-"""Longest wait for peers to hear each other; they take some 0.4 s."""
+"""Longest wait for peers to hear each other, which takes some 0.4 s."""
 
 
 class _OwnState:
-    """Tells who a host is, and numbers its messages."""
+    """A state with only the host's identity and sequence numbers."""
 
     def __init__(self, host: EntryHostId) -> None:
         self._host = host
@@ -46,7 +46,7 @@
 
 
 class _Host:
-    """One entry host's exchange, which reads no store."""
+    """The exchange of one entry host, with an empty store."""
 
     def __init__(self, host: EntryHostId) -> None:
         self.board = PeerBoard(host, HALL, 1)
@@ -67,15 +67,15 @@
 
 
 class TestPublishing(unittest.TestCase):
-    """A host writes its address only where the store does not hold it."""
+    """A host writes its address only if the store does not have it yet."""
 
-    def _writes(self, known: str | None) -> int:
-        """Return how many writes a host at 10.0.0.1:1 makes."""
+    def _count_writes(self, stored: str | None) -> int:
+        """Return the number of writes of a host at 10.0.0.1:1, given the address already stored."""
         platform = FakePlatform()
 
         async def main() -> None:
-            if known is not None:
-                before = to_json(EntryAddress(address=known, data_centre=HALL))
+            if stored is not None:
+                before = to_json(EntryAddress(address=stored, data_centre=HALL))
                 await platform.update(f"{ADDRESS_KIND}/{ME}", before, 0)
             platform.calls.clear()
             with trio.move_on_after(60):
@@ -85,29 +85,31 @@
         self.assertIn("10.0.0.1:1", platform.objects[f"{ADDRESS_KIND}/{ME}"].value)
         return platform.calls["update"]
 
-    def test_a_host_that_starts_again_at_its_address_writes_nothing(self) -> None:
-        self.assertEqual(self._writes("10.0.0.1:1"), 0)
+    def test_host_that_restarts_at_the_same_address_writes_nothing(self) -> None:
+        self.assertEqual(self._count_writes("10.0.0.1:1"), 0)
 
-    def test_a_host_that_is_new_or_has_moved_writes_its_address_once(self) -> None:
-        self.assertEqual(self._writes(None), 1)
-        self.assertEqual(self._writes("10.0.0.2:1"), 2)  # The first one finds the old address.
+    def test_host_that_is_new_or_has_moved_writes_its_address_once(self) -> None:
+        self.assertEqual(self._count_writes(None), 1)
+        self.assertEqual(
+            self._count_writes("10.0.0.2:1"), 2
+        )  # The first write conflicts with the old address.
 
 
-class TestLearning(unittest.TestCase):
-    """A peer that this host has not read of tells where to answer."""
+class TestReportedAddresses(unittest.TestCase):
+    """A peer that is not in the list read from the store yet reports its own address."""
 
-    def test_the_stores_word_stands_and_a_peers_own_fills_a_gap(self) -> None:
+    def test_address_from_the_store_takes_precedence_over_a_reported_one(self) -> None:
         platform = FakePlatform()
         addresses = _addresses(ME, "10.0.0.1:1", platform)
-        told, stored = PeerAddress("10.0.0.2:1", HALL), PeerAddress("10.0.0.3:1", HALL)
-        self.assertTrue(addresses.add_reported(PEER, told))
-        self.assertEqual(addresses.by_peer, {PEER: told})
+        reported, stored = PeerAddress("10.0.0.2:1", HALL), PeerAddress("10.0.0.3:1", HALL)
+        self.assertTrue(addresses.add_reported(PEER, reported))
+        self.assertEqual(addresses.by_peer, {PEER: reported})
         addresses.by_peer[PEER] = stored
-        self.assertFalse(addresses.add_reported(PEER, told))
-        self.assertFalse(addresses.add_reported(ME, told))
+        self.assertFalse(addresses.add_reported(PEER, reported))
+        self.assertFalse(addresses.add_reported(ME, reported))
         self.assertEqual(addresses.by_peer, {PEER: stored})
 
-    def test_two_hosts_of_which_one_read_of_the_other_hear_each_other(self) -> None:
+    def test_two_hosts_hear_each_other_although_only_one_knows_the_other(self) -> None:
         async def main() -> None:
             hosts = [_Host(ME), _Host(PEER)]
             hosts[0].addresses.by_peer[PEER] = hosts[1].addresses.own
@@ -115,7 +117,7 @@
                 for host in hosts:
                     nursery.start_soon(host.exchange.run)
                 with trio.fail_after(LIMIT_S):
-                    while not all(h.board.live_peers() for h in hosts):  # noqa: ASYNC110 - datagrams
+                    while not all(h.board.live_peers() for h in hosts):  # noqa: ASYNC110 - no event
                         await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
 
--- a/yewloom/tests/test_entry_exchange.py
+++ b/yewloom/tests/test_entry_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the datagrams among entry hosts."""
+"""Tests of the datagram exchange between entry hosts."""
 
 import unittest
 from unittest.mock import Mock
@@ -20,9 +20,9 @@
 
 
 class TestEntryExchange(unittest.TestCase):
-    """What the exchange bears."""
+    """Recovery from errors."""
 
-    def test_it_can_be_begun_anew_after_an_error(self) -> None:
+    def test_exchange_can_be_run_again_after_an_error(self) -> None:
         async def main() -> None:
             board = PeerBoard(ME, HALL)
             own = PeerAddress(free_address(), HALL)
--- a/yewloom/tests/test_entry_states.py
+++ b/yewloom/tests/test_entry_states.py
@@ -1,4 +1,4 @@
-"""Tests of what entry hosts learn from each other."""
+"""Tests of the states that entry hosts receive from each other."""
 
 import unittest
 
@@ -36,54 +36,54 @@
 
 
 class TestPeerBoard(unittest.TestCase):
-    """Load, and words on the configuration."""
+    """Loads, and reports on the configuration and the endpoints."""
 
     @given(st.permutations(list(range(1, 7))))
-    def test_datagrams_in_any_order_leave_the_latest(self, order: list[int]) -> None:
+    def test_latest_state_is_kept_whatever_the_order_of_datagrams(self, order: list[int]) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         for sequence in order:
             board.take(_state(sequence, running=sequence), 0.0)
         self.assertEqual(board.running(HostId("a")), 6)
 
-    def test_a_peer_that_restarted_begins_anew(self) -> None:
+    def test_state_of_a_restarted_peer_replaces_that_of_its_earlier_process(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         board.take(_state(90, running=5, started=1), 0.0)
         board.take(_state(1, running=2, started=2), 0.0)
         board.take(_state(91, running=5, started=1), 0.0)
         self.assertEqual(board.running(HostId("a")), 2)
 
-    def test_a_silent_peer_stops_counting(self) -> None:
+    def test_loads_of_a_silent_peer_are_dropped(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         board.take(_state(1, running=5), 0.0)
         board.drop_silent(MIN_STATE_TTL_S + 0.1)
         self.assertEqual(board.running(HostId("a")), 0)
         self.assertEqual(board.live_peers(), 0)
 
-    def test_a_word_counts_from_what_this_host_had_sent(self) -> None:
+    def test_report_is_dated_to_the_echoed_message_of_this_host(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         state = _state(1, echoed_ms=50_000, version=7)
-        word = board.take(state, 99.0).configuration
-        assert word is not None
-        # However long the datagram was on its way, it proves nothing later than that.
-        self.assertEqual((word.version, word.confirmed_s), (7, 48.5))
+        confirmed = board.take(state, 99.0).configuration
+        assert confirmed is not None
+        # The datagram's delay must not make the report look more recent than the echoed message.
+        self.assertEqual((confirmed.version, confirmed.confirmed_s), (7, 48.5))
 
-    def test_an_echo_of_an_earlier_life_of_this_host_proves_nothing(self) -> None:
+    def test_echo_of_an_earlier_process_of_this_host_confirms_nothing(self) -> None:
         board = PeerBoard(ME, HALL, started_unix_ms=STARTED_UNIX_MS + 1)
-        # That life's clock had another origin, so its times mean nothing to this one.
+        # The earlier process had a clock with another origin, so its times cannot be compared.
         state = _state(1, echoed_ms=300_000_000, version=7)
         self.assertEqual(board.take(state, 99.0), PeerConfirmations())
         state = _state(2, echoed_ms=50_000, version=7)
         state.echoed_started_unix_ms = STARTED_UNIX_MS + 1
         self.assertIsNotNone(board.take(state, 99.0).configuration)
 
-    def test_a_word_on_the_endpoints_counts_from_there_too(self) -> None:
+    def test_report_on_the_endpoints_is_dated_to_the_echoed_message_too(self) -> None:
         state = _state(1, echoed_ms=50_000)
         state.listing.CopyFrom(ListingWord(changed_at=3, position=9, age_ms=700))
-        word = PeerBoard(ME, HALL, STARTED_UNIX_MS).take(state, 99.0).listing
-        assert word is not None
-        self.assertEqual((word.report.position, word.confirmed_s), (9, 49.3))
+        confirmed = PeerBoard(ME, HALL, STARTED_UNIX_MS).take(state, 99.0).listing
+        assert confirmed is not None
+        self.assertEqual((confirmed.report.position, confirmed.confirmed_s), (9, 49.3))
 
-    def test_a_peer_elsewhere_is_heard_less_often_and_counts_longer(self) -> None:
+    def test_state_of_a_peer_in_another_data_centre_is_valid_for_longer(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         state = _state(1, running=5)
         state.data_centre = "hall-b"
@@ -93,7 +93,7 @@
         board.drop_silent(MIN_REMOTE_STATE_TTL_S + 0.1)
         self.assertEqual(board.running(HostId("a")), 0)
 
-    def test_without_an_echo_or_a_version_nothing_is_proved(self) -> None:
+    def test_message_without_echo_or_version_confirms_nothing(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
         self.assertEqual(board.take(_state(1, version=7), 0.0), PeerConfirmations())
         self.assertEqual(board.take(_state(2, echoed_ms=1), 0.0), PeerConfirmations())
--- a/yewloom/tests/test_follow_duty.py
+++ b/yewloom/tests/test_follow_duty.py
@@ -1,4 +1,4 @@
-"""Tests of who follows the store."""
+"""Tests of the selection of the entry hosts that follow the store."""
 
 import unittest
 from dataclasses import replace
@@ -30,7 +30,7 @@
 
 
 def _duty(me: str, states: list[EntryState], is_coordinator: bool = False) -> FollowDuty:
-    """Return the duty of a host that has heard all others."""
+    """Return the duty of a host that has received the state of all others."""
     board = PeerBoard(EntryHostId(me), HALL)
     for state in states:
         board.take(state, 0.0)
@@ -40,10 +40,10 @@
 
 
 class TestFollowDuty(unittest.TestCase):
-    """A few of each data centre, and nobody left without."""
+    """A few hosts of each data centre follow the store, and the others get recent information."""
 
     @given(st.sets(st.sampled_from(NAMES)), st.one_of(st.none(), st.sampled_from(NAMES)))
-    def test_enough_follow_whoever_is_cut_off_or_coordinates(
+    def test_enough_hosts_follow_whichever_are_cut_off_or_coordinate(
         self, cut_off: set[str], coordinator: str | None
     ) -> None:
         states = [_state(name, name not in cut_off, name == coordinator) for name in NAMES]
@@ -56,7 +56,7 @@
             self.assertIn(coordinator, followers)
 
     @given(st.sets(st.sampled_from(NAMES)), st.one_of(st.none(), st.sampled_from(NAMES)))
-    def test_each_host_knows_those_near_it_that_follow_and_reach_the_store(
+    def test_each_host_knows_the_followers_in_its_data_centre(
         self, cut_off: set[str], coordinator: str | None
     ) -> None:
         states = [_state(name, name not in cut_off, name == coordinator) for name in NAMES]
@@ -67,45 +67,45 @@
             self.assertLessEqual(followers - {name}, set(duty.near_followers()))
             self.assertLessEqual(len(duty.near_followers()), 2 * FOLLOWERS + 1)
 
-    def test_a_few_go_on_asking_while_the_store_answers_nobody(self) -> None:
+    def test_chosen_hosts_keep_following_while_the_store_answers_no_host(self) -> None:
         states = [_state(name, can_follow=False) for name in NAMES]
         followers = [name for name in NAMES if _duty(name, states).is_mine()]
         self.assertEqual(len(followers), FOLLOWERS)
 
-    def test_a_host_that_hears_nobody_follows(self) -> None:
+    def test_host_without_live_peers_follows(self) -> None:
         self.assertTrue(_duty("e1", []).is_mine())
 
-    def test_hosts_that_start_together_listen_for_each_other_before_they_follow(self) -> None:
+    def test_starting_hosts_follow_only_as_coordinator_but_call_if_information_is_old(self) -> None:
         me, board = EntryHostId("e1"), PeerBoard(EntryHostId("e1"), HALL)
         for standing in (Standing(True, False), Standing(True, True)):
             duty = FollowDuty(me, board, partial(replace, standing), TIMES, 0.5, lambda: True)
             self.assertEqual(duty.is_mine(), standing.is_coordinator)
             self.assertTrue(duty.must_ask(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
 
-    def test_peers_elsewhere_do_not_follow_for_this_data_centre(self) -> None:
+    def test_peers_in_other_data_centres_are_not_counted_as_followers(self) -> None:
         states = [_state(name) for name in NAMES]
         for state in states:
             state.data_centre = "elsewhere"
         self.assertTrue(all(_duty(name, states).is_mine() for name in NAMES))
 
-    def test_a_follower_that_falls_silent_is_replaced(self) -> None:
+    def test_silent_follower_is_replaced(self) -> None:
         states = [_state(name) for name in NAMES]
-        resting = next(name for name in NAMES if not _duty(name, states).is_mine())
-        board = PeerBoard(EntryHostId(resting), HALL)
+        idle = next(name for name in NAMES if not _duty(name, states).is_mine())
+        board = PeerBoard(EntryHostId(idle), HALL)
         for state in states:
             board.take(state, 0.0)
-        duty = FollowDuty(EntryHostId(resting), board, lambda: Standing(True, False), TIMES, 0.5)
+        duty = FollowDuty(EntryHostId(idle), board, lambda: Standing(True, False), TIMES, 0.5)
         board.drop_silent(MIN_STATE_TTL_S + 0.1)
         self.assertTrue(duty.is_mine())
 
-    def test_a_host_that_is_told_nothing_recent_asks_itself(self) -> None:
+    def test_host_without_recent_information_calls_the_store(self) -> None:
         states = [_state(name) for name in NAMES]
-        resting = next(name for name in NAMES if not _duty(name, states).is_mine())
-        duty = _duty(resting, states)
+        idle = next(name for name in NAMES if not _duty(name, states).is_mine())
+        duty = _duty(idle, states)
         self.assertFalse(duty.must_ask(TIMES.fallback_s))
         self.assertTrue(duty.must_ask(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
 
-    def test_a_coordinator_always_asks_and_the_other_follower_stands_by(self) -> None:
+    def test_coordinator_always_calls_the_store_and_the_other_follower_is_standby(self) -> None:
         states = [_state(name, is_coordinator=name == "e3") for name in NAMES]
         self.assertTrue(_duty("e3", states, is_coordinator=True).must_ask(0.0))
         duties = [_duty(name, states) for name in NAMES if name != "e3"]
@@ -113,30 +113,30 @@
         self.assertFalse(standby.must_ask(TIMES.standby_s))
         self.assertTrue(standby.must_ask(TIMES.standby_s + 0.01))
 
-    def test_nobody_stands_by_for_a_coordinator_that_the_store_turns_away(self) -> None:
+    def test_no_host_is_standby_for_a_coordinator_that_cannot_reach_the_store(self) -> None:
         states = [_state(name, name != "e3", is_coordinator=name == "e3") for name in NAMES]
         able = [_duty(name, states) for name in NAMES if name != "e3"]
         self.assertTrue(any(duty.is_mine() and duty.must_ask(0.0) for duty in able))
 
-    def test_while_nobody_coordinates_all_followers_ask(self) -> None:
+    def test_all_followers_call_the_store_while_there_is_no_coordinator(self) -> None:
         states = [_state(name) for name in NAMES]
-        asking = [name for name in NAMES if _duty(name, states).must_ask(0.0)]
-        self.assertEqual(len(asking), FOLLOWERS)
+        calling = [name for name in NAMES if _duty(name, states).must_ask(0.0)]
+        self.assertEqual(len(calling), FOLLOWERS)
 
 
 class TestFollowTimes(unittest.TestCase):
-    """A change is in force in time although its first reader has just died."""
+    """A change takes effect in time even if the first host that would read it has just died."""
 
     @given(st.integers(500, 60_000), st.integers(100, 30_000))
-    def test_one_host_after_the_other_asks_within_the_time_for_a_change(
-        self, apply_ms: int, longest_ms: int
+    def test_standby_and_then_the_others_call_within_the_time_for_a_change(
+        self, apply_ms: int, max_watch_ms: int
     ) -> None:
         settings = EntrySettings()
         settings.bounds.configuration_apply_ms = apply_ms
-        settings.store.configuration_watch_ms = longest_ms
-        settings.store.endpoint_watch_ms = 2 * longest_ms
+        settings.store.configuration_watch_ms = max_watch_ms
+        settings.store.endpoint_watch_ms = 2 * max_watch_ms
         times = follow_times(settings)
-        self.assertLessEqual(times.watch_s, min(longest_ms, 0.4 * apply_ms) / 1000)
+        self.assertLessEqual(times.watch_s, min(max_watch_ms, 0.4 * apply_ms) / 1000)
         self.assertLess(times.watch_s, times.standby_s)
         self.assertLess(times.standby_s, times.fallback_s)
         if apply_ms >= 2000:
--- a/yewloom/tests/test_followed_position.py
+++ b/yewloom/tests/test_followed_position.py
@@ -1,4 +1,4 @@
-"""Tests of how far a host knows the store's objects."""
+"""Tests of the position up to which a host knows the store's objects."""
 
 import unittest
 
@@ -13,51 +13,51 @@
 
 
 class TestFollowedPosition(unittest.TestCase):
-    """Words of peers, and changes that are still missing."""
+    """Reports of peers, and changes that are still missing."""
 
     def setUp(self) -> None:
         self.followed = FollowedPosition()
         self.followed.take_changes(10, True, 1.0)
 
-    def test_a_peer_that_knows_no_more_proves_what_is_known(self) -> None:
+    def test_report_of_a_peer_without_further_changes_confirms_the_position(self) -> None:
         self.followed.on_peer_report(ListingWord(changed_at=10, position=30), 5.0, 6.0)
         self.assertEqual((self.followed.position, self.followed.age_s(6.0)), (30, 1.0))
 
-    def test_a_peer_that_knows_more_proves_nothing(self) -> None:
+    def test_report_of_a_peer_with_further_changes_confirms_nothing(self) -> None:
         self.followed.on_peer_report(ListingWord(changed_at=12, position=30), 5.0, 6.0)
         self.assertEqual((self.followed.position, self.followed.age_s(6.0)), (10, 5.0))
 
-    def test_a_change_that_does_not_come_in_time_makes_the_host_ask(self) -> None:
-        word = ListingWord(changed_at=12, position=30)
-        self.followed.on_peer_report(word, 5.0, 6.0)
-        # Words of peers that know no more must not put the question off.
+    def test_change_that_does_not_arrive_in_time_makes_the_age_infinite(self) -> None:
+        report = ListingWord(changed_at=12, position=30)
+        self.followed.on_peer_report(report, 5.0, 6.0)
+        # Reports of peers without the change must not postpone the call to the store.
         self.followed.on_peer_report(ListingWord(changed_at=10, position=11), 5.9, 6.1)
-        self.followed.on_peer_report(word, 5.9, 6.2)
+        self.followed.on_peer_report(report, 5.9, 6.2)
         self.assertLess(self.followed.age_s(6.0 + RELAY_GRACE_S - 0.01), INF)
         self.assertEqual(self.followed.age_s(6.0 + RELAY_GRACE_S + 0.01), INF)
         self.followed.take_changes(12, True, 6.3)
         self.assertAlmostEqual(self.followed.age_s(6.5), 0.2)
 
-    def test_a_listing_is_told_once_the_last_change_before_it_is_known(self) -> None:
+    def test_listing_is_reported_once_the_last_change_before_it_is_known(self) -> None:
         self.followed.forget()
         self.followed.take_listing(20, 2.0)
         self.assertIsNone(self.followed.report(2.1))
-        # A word from before the listing tells nothing of the time in between.
+        # A report from before the listing does not cover the time in between.
         self.followed.on_peer_report(ListingWord(changed_at=12, position=19), 2.0, 2.2)
         self.assertIsNone(self.followed.report(2.2))
         self.followed.on_peer_report(ListingWord(changed_at=12, position=21), 2.2, 2.3)
-        word = self.followed.report(2.3)
-        assert word is not None
-        self.assertEqual((word.changed_at, word.position), (12, 21))
+        report = self.followed.report(2.3)
+        assert report is not None
+        self.assertEqual((report.changed_at, report.position), (12, 21))
 
-    def test_a_listing_that_nobody_knows_more_of_is_told_after_a_while(self) -> None:
+    def test_listing_is_reported_after_a_delay_if_its_last_change_stays_unknown(self) -> None:
         self.followed.forget()
         self.followed.take_listing(20, 2.0)
-        word = self.followed.report(2.0 + LISTING_REPORT_DELAY_S)
-        assert word is not None
-        self.assertEqual((word.changed_at, word.position), (20, 20))
+        report = self.followed.report(2.0 + LISTING_REPORT_DELAY_S)
+        assert report is not None
+        self.assertEqual((report.changed_at, report.position), (20, 20))
 
-    def test_changes_are_taken_only_without_a_gap(self) -> None:
+    def test_changes_are_applied_only_without_a_gap(self) -> None:
         self.assertTrue(self.followed.can_apply(8, 12))
         self.assertTrue(self.followed.can_apply(10, 12))
         self.assertFalse(self.followed.can_apply(11, 12))
@@ -68,7 +68,7 @@
 
 
 class _Store:
-    """A store whose single object changes; each change raises the revision."""
+    """A store with one object; each change increments the revision."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -87,14 +87,14 @@
 
 
 class RelayMachine(RuleBasedStateMachine):
-    """Watches, told changes and words in any order, late and lost, never leave a gap unseen."""
+    """No gap goes unnoticed, whatever the order, delay and loss of watches, changes and reports."""
 
     def __init__(self) -> None:
         super().__init__()
         self.store = _Store()
         self.hosts = [_Host(), _Host(), _Host()]
-        self.told: list[tuple[int, int, int]] = []
-        self.words: list[tuple[ListingWord, int]] = []
+        self.sent_changes: list[tuple[int, int, int]] = []
+        self.sent_reports: list[tuple[ListingWord, int]] = []
 
     @rule(of_other_kind=st.booleans())
     def change(self, of_other_kind: bool) -> None:
@@ -103,8 +103,8 @@
             self.store.changes.append(self.store.revision)
 
     @rule(number=st.integers(0, 2))
-    def ask_the_store(self, number: int) -> None:
-        """List at first, then watch; tell the changes to peers, who may hear them later."""
+    def call_store(self, number: int) -> None:
+        """List at first, then watch; send the changes to peers, which may receive them later."""
         host, now = self.hosts[number], self.store.revision
         base = host.followed.position
         value = self.store.value_at(now)
@@ -115,44 +115,44 @@
         else:
             host.followed.take_changes(now, has_changed, float(now))
         if base is not None and has_changed:
-            self.told.append((base, now, value))
+            self.sent_changes.append((base, now, value))
 
     @rule(number=st.integers(0, 2))
-    def lose_track(self, number: int) -> None:
+    def forget_position(self, number: int) -> None:
         self.hosts[number].followed.forget()
 
     @rule(number=st.integers(0, 2), pick=st.integers(0, 100))
-    def hear_changes(self, number: int, pick: int) -> None:
-        if not self.told:
+    def receive_changes(self, number: int, pick: int) -> None:
+        if not self.sent_changes:
             return
-        base, position, value = self.told[pick % len(self.told)]
+        base, position, value = self.sent_changes[pick % len(self.sent_changes)]
         host = self.hosts[number]
         if host.followed.can_apply(base, position):
             host.value = value
             host.followed.take_changes(position, True, float("-inf"))
 
     @rule(number=st.integers(0, 2))
-    def speak(self, number: int) -> None:
+    def send_report(self, number: int) -> None:
         followed = self.hosts[number].followed
-        word = followed.report(1e6)
-        if word is not None:
-            self.words.append((word, round(max(followed.proved_s, 0.0))))
+        report = followed.report(1e6)
+        if report is not None:
+            self.sent_reports.append((report, round(max(followed.proved_s, 0.0))))
 
     @rule(number=st.integers(0, 2), pick=st.integers(0, 100))
-    def hear_a_word(self, number: int, pick: int) -> None:
-        if self.words:
-            word, confirmed = self.words[pick % len(self.words)]
-            self.hosts[number].followed.on_peer_report(word, float(confirmed), 0.0)
+    def receive_report(self, number: int, pick: int) -> None:
+        if self.sent_reports:
+            report, confirmed = self.sent_reports[pick % len(self.sent_reports)]
+            self.hosts[number].followed.on_peer_report(report, float(confirmed), 0.0)
 
     @invariant()
-    def what_a_host_holds_is_what_its_position_says(self) -> None:
+    def value_matches_position(self) -> None:
         for host in self.hosts:
             if host.followed.position is not None:
                 assert host.value == self.store.value_at(host.followed.position)
 
     @invariant()
-    def what_is_proved_holds(self) -> None:
-        """A proof at some revision means that no change up to there is missing."""
+    def confirmed_changes_are_present(self) -> None:
+        """A confirmation at some revision means that no change up to it is missing."""
         for host in self.hosts:
             followed = host.followed
             if followed.position is not None and followed.proved_s > 0:
