--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -1,4 +1,4 @@
-"""Tests of following the platform's objects through outages and lost history."""
+"""Tests of following the platform's objects through outages and expired watch positions."""
 
 import unittest
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 
 
 class _ScriptedPlatform:
-    """Answers calls from a list, each after a pause; then watches wait for ever."""
+    """Gives a list of answers, each after a pause; further calls never return."""
 
     is_down = False
 
@@ -60,7 +60,7 @@
 def _follow(
     platform: _ScriptedPlatform, for_s: float = 60.0, pace: FollowPace = PACE
 ) -> list[Update]:
-    """Follow for a while and return the updates."""
+    """Follow for a time and return the updates."""
     updates: list[Update] = []
 
     async def main() -> None:
@@ -73,26 +73,26 @@
 
 
 class TestFollower(unittest.TestCase):
-    """What is listed anew, and what an update proves."""
+    """When a follower lists again, and how long it pauses."""
 
-    def test_a_watch_goes_on_from_the_listing(self) -> None:
+    def test_watch_continues_from_the_position_of_the_listing(self) -> None:
         platform = _ScriptedPlatform(Listing([STORED], 5), Listing([], 7), Listing([STORED], 9))
         updates = _follow(platform)
         self.assertEqual(platform.calls, ["list", "watch 5", "watch 7", "watch 9"])
         self.assertEqual([update.is_full_listing for update in updates], [True, False, False])
 
-    def test_an_update_counts_from_before_its_call_or_from_a_proof(self) -> None:
+    def test_update_is_dated_to_the_start_of_its_call_or_to_proved_after_s(self) -> None:
         proved = Listing([], 7, proved_after_s=0.4)
         updates = _follow(_ScriptedPlatform(Listing([], 5), proved))
         self.assertAlmostEqual(updates[1].proved_s - updates[0].proved_s, 0.5 + 0.4)
 
-    def test_lost_history_is_listed_anew_at_once_and_is_no_outage(self) -> None:
+    def test_expired_position_is_listed_again_at_once_and_is_no_outage(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), EXPIRED, Listing([], 9))
         updates = _follow(platform)
         self.assertEqual(platform.calls[2], "list")
         self.assertFalse(updates[-1].after_outage)
 
-    def test_after_an_outage_the_first_listing_says_so(self) -> None:
+    def test_first_listing_after_an_outage_is_marked(self) -> None:
         platform = _ScriptedPlatform(
             Listing([], 5), LOST, LOST, Listing([], 9), Listing([], 11), EXPIRED, Listing([], 12)
         )
@@ -100,21 +100,21 @@
         self.assertEqual(platform.calls[2:4], ["list", "list"])
         self.assertEqual([u.after_outage for u in updates], [False, True, False, False])
 
-    def test_a_host_without_the_duty_lists_once_and_then_rests(self) -> None:
+    def test_host_without_the_duty_lists_once_and_then_stays_idle(self) -> None:
         platform = _ScriptedPlatform(Listing([STORED], 5), Listing([], 7))
-        resting = replace(PACE, must_ask=lambda: False)
-        self.assertEqual(len(_follow(platform, pace=resting)), 1)
+        idle = replace(PACE, must_ask=lambda: False)
+        self.assertEqual(len(_follow(platform, pace=idle)), 1)
         self.assertEqual(platform.calls, ["list"])
 
-    def test_the_pause_of_so_many_failures_is_kept_while_the_platform_is_away(self) -> None:
-        resting = replace(PACE, must_ask=lambda: False, retry_pause_s=lambda failures: 2 * failures)
+    def test_pauses_depend_on_the_number_of_failures_during_an_outage(self) -> None:
+        idle = replace(PACE, must_ask=lambda: False, retry_pause_s=lambda failures: 2 * failures)
         waited_s = 2.0 + 4.0
         platform = _ScriptedPlatform(LOST, LOST, Listing([], 9), pause_s=0.0)
-        self.assertEqual(len(_follow(platform, for_s=waited_s - 0.1, pace=resting)), 0)
+        self.assertEqual(len(_follow(platform, for_s=waited_s - 0.1, pace=idle)), 0)
         platform = _ScriptedPlatform(LOST, LOST, Listing([], 9), pause_s=0.0)
-        self.assertEqual(len(_follow(platform, for_s=waited_s + 0.1, pace=resting)), 1)
+        self.assertEqual(len(_follow(platform, for_s=waited_s + 0.1, pace=idle)), 1)
 
-    def test_a_host_that_comes_to_have_the_duty_waits_no_longer_than_one_with_it(self) -> None:
+    def test_host_that_becomes_a_follower_waits_no_longer_than_other_followers(self) -> None:
         platform = _ScriptedPlatform(LOST, Listing([], 9), pause_s=0.0)
         pause_s = [60.0]
 
@@ -132,7 +132,7 @@
 
         run_on_mock_clock(main)
 
-    def test_a_host_that_the_platform_turns_away_goes_on_with_what_peers_tell(self) -> None:
+    def test_host_without_access_to_the_platform_continues_with_changes_from_peers(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), *[LOST] * 20, Listing([STORED], 8))
         followed, updates = FollowedPosition(), list[Update]()
 
@@ -149,21 +149,21 @@
                 nursery.cancel_scope.cancel()
 
         run_on_mock_clock(main)
-        # The first listing after the outage is older than what the peers told.
+        # The first listing after the outage is older than the changes from peers, so it is ignored.
         self.assertEqual(len(updates), 1)
         self.assertEqual(platform.calls[-1], "watch 9")
 
-    def test_a_listing_asked_for_as_a_watch_is_answered_is_not_forgotten(self) -> None:
+    def test_listing_requested_while_a_watch_returns_is_not_lost(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), Listing([], 7), Listing([], 9))
         followed = FollowedPosition()
 
         async def main() -> None:
             follower = Follower(platform, "k", lambda update: None, followed, PACE)
-            answer = platform.watch
+            original_watch = platform.watch
 
             async def watch(prefix: str, position: int) -> Result[Listing, PlatformError]:
-                found = await answer(prefix, position)
-                followed.forget()  # Too late to end this watch.
+                found = await original_watch(prefix, position)
+                followed.forget()  # Too late to cancel this watch.
                 return found
 
             platform.watch = watch  # type: ignore[method-assign]
@@ -173,7 +173,7 @@
         run_on_mock_clock(main)
         self.assertEqual(platform.calls, ["list", "watch 5", "list"])
 
-    def test_a_watch_that_peers_overtook_changes_nothing(self) -> None:
+    def test_watch_that_is_older_than_changes_from_peers_is_ignored(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), Listing([STORED], 8))
         followed, updates = FollowedPosition(), list[Update]()
 
@@ -184,7 +184,7 @@
             follower = Follower(platform, "k", take, followed, PACE)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
-                await trio.sleep(0.7)  # The watch from 5 is on its way.
+                await trio.sleep(0.7)  # The watch from 5 is in progress.
                 followed.take_changes(9, True, 0.0)
                 await trio.sleep(5)
                 nursery.cancel_scope.cancel()
@@ -193,7 +193,7 @@
         self.assertEqual(len(updates), 1)
         self.assertEqual(platform.calls[-1], "watch 9")
 
-    def test_a_watch_that_missed_a_change_can_be_ended(self) -> None:
+    def test_watch_that_missed_a_change_can_be_cancelled(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), pause_s=0.1)
 
         async def main() -> None:
@@ -208,12 +208,12 @@
         run_on_mock_clock(main)
         self.assertEqual(platform.calls, ["list", "watch 5", "list"])
 
-    def test_a_host_that_waits_after_a_failed_call_lists_when_a_peer_has_news(self) -> None:
+    def test_host_that_waits_after_a_failed_call_lists_as_soon_as_requested(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), LOST, Listing([], 9), pause_s=0.0)
-        resting = replace(PACE, retry_pause_s=lambda failures: 5 * RETRY_PAUSE_S)
+        slow_retry = replace(PACE, retry_pause_s=lambda failures: 5 * RETRY_PAUSE_S)
 
         async def main() -> None:
-            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), resting)
+            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), slow_retry)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(0.5)
@@ -225,30 +225,30 @@
 
         run_on_mock_clock(main)
 
-    def test_news_that_comes_while_a_listing_is_under_way_does_not_keep_the_host_busy(self) -> None:
+    def test_request_during_a_listing_does_not_cause_a_busy_loop(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), Listing([], 7))
-        looks = 0
+        checks = 0
 
         def must_ask() -> bool:
-            nonlocal looks
-            looks += 1
-            self.assertLess(looks, 100)
+            nonlocal checks
+            checks += 1
+            self.assertLess(checks, 100)
             return False
 
         async def main() -> None:
-            resting = replace(PACE, must_ask=must_ask)
-            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), resting)
+            idle = replace(PACE, must_ask=must_ask)
+            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), idle)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(0.2)
-                follower.list_anew()  # The first listing is on its way.
+                follower.list_anew()  # The first listing is in progress.
                 await trio.sleep(5.0)
                 nursery.cancel_scope.cancel()
 
         run_on_mock_clock(main)
-        self.assertLess(looks, 5.0 / IDLE_CHECK_S + 5)
+        self.assertLess(checks, 5.0 / IDLE_CHECK_S + 5)
 
-    def test_nothing_is_left_of_a_pause_behind_a_call_that_waited_for_its_timeout(self) -> None:
+    def test_call_that_waited_for_its_timeout_is_retried_without_a_pause(self) -> None:
         silent = PlatformError(PlatformFailure.AMBIGUOUS, "timed out")
         platform = _ScriptedPlatform(Listing([], 5), silent, Listing([], 9), pause_s=1.5)
         self.assertEqual(len(_follow(platform, for_s=4.6)), 2)
--- a/yewloom/tests/test_foreign_entries.py
+++ b/yewloom/tests/test_foreign_entries.py
@@ -1,7 +1,7 @@
-"""Tests of entries that other writers put beside those of the endpoints.
+"""Tests of invalid entries that other programs write among those of the endpoints.
 
-Such an entry names no endpoint, also where its id named one before; the others of its listing or
-watch hold, no input ends a task, and peers are told the same.
+An invalid entry counts as removed, even if its id belonged to an endpoint before. The other entries
+of the same listing or watch are applied, no input ends a task, and peers get the same changes.
 """
 
 import json
@@ -44,7 +44,7 @@
 }
 
 DEEP = b"[" * 100_000 + b"]" * 100_000
-"""A value that a recursive reader can't take in."""
+"""A value nested too deeply for a recursive parser."""
 
 JSON_VALUES = st.recursive(
     st.none()
@@ -59,7 +59,7 @@
 
 
 class _Caller(HttpCaller):
-    """Answers each call with the next body."""
+    """An HTTP client that answers each call with the next body."""
 
     def __init__(self, *bodies: bytes) -> None:
         super().__init__(1.0)
@@ -71,21 +71,21 @@
 
 
 class Host:
-    """What an entry host makes of listings and watches; ``told`` is what its peers get."""
+    """An entry host that applies listings and watches; ``sent`` holds its messages to peers."""
 
     def __init__(self) -> None:
         self.directory = EndpointDirectory()
-        self.told: list[ChangedEndpoints] = []
+        self.sent: list[ChangedEndpoints] = []
         followed = FollowedPosition()
         selector = make_selector(self.directory)
-        self.intake = EndpointIntake(StoreRecords(), self.directory, selector, followed, self._tell)
+        self.intake = EndpointIntake(StoreRecords(), self.directory, selector, followed, self._send)
 
-    def _tell(self, changes: ChangedEndpoints) -> None:
+    def _send(self, changes: ChangedEndpoints) -> None:
         message = encode_changes(changes).SerializeToString()
-        self.told.append(decode_changes(type(encode_changes(changes)).FromString(message)))
+        self.sent.append(decode_changes(type(encode_changes(changes)).FromString(message)))
 
     def take(self, listing: Listing, base: int | None, after_outage: bool = False) -> None:
-        """Take in a listing, or a watch from a position."""
+        """Apply a listing, or a watch from a position."""
 
         async def main() -> None:
             self.intake.take(Update(listing, base, trio.current_time(), after_outage))
@@ -94,7 +94,7 @@
 
     @property
     def listed(self) -> set[str]:
-        """Return the names of the endpoints that requests may go to."""
+        """Return the ids of the listed endpoints."""
         return set(self.directory.by_id)
 
 
@@ -108,7 +108,7 @@
 
 
 def _read(body: bytes, watches: bool) -> Listing:
-    """Return what the adapter reads from the body of a listing or a watch."""
+    """Return the adapter's result for the body of a listing or a watch."""
 
     async def main() -> Listing:
         store = ObjectStore(_Caller(body), "store:1", 1.5, random.Random(1))
@@ -151,9 +151,9 @@
 
 
 class TestForeignEntries(unittest.TestCase):
-    """A good entry beside one of another writer."""
+    """Valid entries next to an invalid one."""
 
-    def test_such_an_entry_names_no_endpoint_and_the_others_hold(self) -> None:
+    def test_invalid_entry_is_ignored_and_the_others_are_applied(self) -> None:
         for what, spec in BAD_SPECS.items():
             with self.subTest(what):
                 items = [_item("a", _text(GOOD)), _item("b", spec), _item("c", _text(GOOD))]
@@ -161,24 +161,26 @@
                 host.take(_read_listing(items), None)
                 self.assertEqual(host.listed, {"a", "c"})
 
-    def test_a_watch_takes_the_endpoint_away_that_its_id_named_before(self) -> None:
+    def test_invalid_entry_in_a_watch_removes_the_endpoint_of_its_id(self) -> None:
         for what, spec in BAD_SPECS.items():
             with self.subTest(what):
                 host = Host()
                 host.take(_read_listing([_item("b", _text(GOOD))]), None)
                 host.take(_read_watch([_item("a", _text(GOOD)), _item("b", spec)]), 1)
                 self.assertEqual(host.listed, {"a"})
-                [told] = host.told
-                self.assertEqual([endpoint.id for endpoint in told.endpoints], ["a"])
-                self.assertEqual(told.removed, ["b"])
+                [sent] = host.sent
+                self.assertEqual([endpoint.id for endpoint in sent.endpoints], ["a"])
+                self.assertEqual(sent.removed, ["b"])
 
-    def test_a_listing_takes_it_away_at_once_also_after_an_outage(self) -> None:
+    def test_invalid_entry_in_a_listing_removes_the_endpoint_at_once_even_after_an_outage(
+        self,
+    ) -> None:
         host = Host()
         host.take(_read_listing([_item("b", _text(GOOD))]), None)
         host.take(_read_listing([_item("b", b"{}")]), None, after_outage=True)
         self.assertEqual(host.listed, set())
 
-    def test_each_change_leaves_one_line(self) -> None:
+    def test_each_invalid_revision_is_logged_once(self) -> None:
         host = Host()
         with mock.patch("yewloom.intake.logger") as logger:
             for _ in range(3):
@@ -187,14 +189,14 @@
         revisions = [line.kwargs["revision"] for line in logger.error.call_args_list]
         self.assertEqual(revisions, [3, 4])
 
-    def test_an_entry_that_can_be_read_again_names_an_endpoint_again(self) -> None:
+    def test_entry_that_becomes_valid_again_adds_the_endpoint_again(self) -> None:
         host = Host()
         host.take(_read_listing([_item("b", b"{}")]), None)
         host.take(_read_watch([_item("b", _text(GOOD), revision=4)]), 1)
         self.assertEqual(host.listed, {"b"})
 
     @given(JSON_VALUES, st.sampled_from([None, *GOOD]), st.booleans())
-    def test_no_input_ends_a_task(self, value: Any, field: str | None, watches: bool) -> None:
+    def test_no_input_raises(self, value: Any, field: str | None, watches: bool) -> None:
         spec = _text(value if field is None else GOOD | {field: value})
         items = [_item("a", _text(GOOD)), _item("b", spec)]
         host = Host()
@@ -207,10 +209,10 @@
 
 
 class TestForeignRecords(unittest.TestCase):
-    """Records of this project's own kinds, as another writer spoils them."""
+    """Records of the project's own kinds, overwritten by another program."""
 
     @given(JSON_VALUES)
-    def test_a_record_is_decoded_or_named(self, value: Any) -> None:
+    def test_record_is_decoded_or_named_in_the_error(self, value: Any) -> None:
         stored = StoredObject("kind/a", 3, json.dumps(value))
         for record in (EntryAddress(), Lease(), Placement()):
             try:
@@ -218,7 +220,7 @@
             except RecordError as error:
                 self.assertIn("kind/a", str(error))
 
-    def test_an_address_that_is_none_leaves_the_others(self) -> None:
+    def test_invalid_address_does_not_affect_the_others(self) -> None:
         platform = FakePlatform()
         for name, address in (("a", "somewhere:1"), ("b", ""), ("c", "10.1.0.1:7")):
             record = EntryAddress(address=address, data_centre="hall-a")
--- a/yewloom/tests/test_intake.py
+++ b/yewloom/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Tests of taking in endpoints, from the store and from peers."""
+"""Tests of applying endpoints from the store and from peers."""
 
 import unittest
 from dataclasses import replace
@@ -26,30 +26,30 @@
 
 
 class TestEndpointIntake(unittest.TestCase):
-    """What comes from the store is told; what peers tell is taken without a gap."""
+    """Changes from the store are sent to peers; those from peers are applied only without a gap."""
 
     def setUp(self) -> None:
         self.directory = EndpointDirectory()
         self.followed = FollowedPosition()
-        self.told: list[ChangedEndpoints] = []
+        self.sent: list[ChangedEndpoints] = []
         selector = make_selector(self.directory)
         self.intake = EndpointIntake(
-            StoreRecords(), self.directory, selector, self.followed, self.told.append
+            StoreRecords(), self.directory, selector, self.followed, self.sent.append
         )
         self.directory.put(make_plain("a"))
         self.followed.take_listing(5, 0.0)
 
-    def test_changes_of_a_watch_are_told_and_its_empty_end_is_not(self) -> None:
+    def test_changes_of_a_watch_are_sent_to_peers_but_an_empty_watch_is_not(self) -> None:
         self.intake.take(Update(Listing([], 7), 5, 0.0, False))
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.sent, [])
         changes = Listing([_stored("b", 9)], 9, ["servers/a"])
         self.intake.take(Update(changes, 7, 0.0, False))
-        self.assertEqual(len(self.told), 1)
-        self.assertEqual((self.told[0].base, self.told[0].position), (7, 9))
-        self.assertEqual([endpoint.id for endpoint in self.told[0].endpoints], ["b"])
-        self.assertEqual(list(self.told[0].removed), ["a"])
+        self.assertEqual(len(self.sent), 1)
+        self.assertEqual((self.sent[0].base, self.sent[0].position), (7, 9))
+        self.assertEqual([endpoint.id for endpoint in self.sent[0].endpoints], ["b"])
+        self.assertEqual(list(self.sent[0].removed), ["a"])
 
-    def test_told_changes_are_taken_in_once(self) -> None:
+    def test_changes_from_peers_are_applied_once(self) -> None:
         changes = ChangedEndpoints(4, 8, [make_plain("b")], [HostId("a")])
         self.intake.take_told(changes)
         self.assertEqual(set(self.directory.by_id), {"b"})
@@ -58,14 +58,14 @@
         self.intake.take_told(changes)
         self.assertEqual(set(self.directory.by_id), set())
 
-    def test_told_changes_after_a_gap_are_left_to_the_store(self) -> None:
+    def test_changes_from_peers_after_a_gap_are_ignored(self) -> None:
         self.intake.take_told(ChangedEndpoints(6, 8, [make_plain("b")], [HostId("a")]))
         self.assertEqual(set(self.directory.by_id), {"a"})
         self.assertEqual(self.followed.position, 5)
 
 
 class TestListedEndpoints(unittest.TestCase):
-    """Endpoints as messages."""
+    """Encoding of endpoints as messages."""
 
     @given(
         st.sampled_from([None, *MemberState]),
@@ -73,7 +73,7 @@
         st.sampled_from([None, LARGE, SMALL]),
         st.integers(0, 31),
     )
-    def test_an_endpoint_comes_back_as_it_was(
+    def test_endpoint_is_unchanged_after_encoding_and_decoding(
         self, state: MemberState | None, is_leaving: bool, staged: object, rank: int
     ) -> None:
         key = GroupKey(GroupId("g"), 2**40)
@@ -83,31 +83,31 @@
         data = encode_endpoint(endpoint).SerializeToString()
         self.assertEqual(decode_endpoint(ListedEndpoint.FromString(data)), endpoint)
 
-    def test_an_unknown_state_is_an_error(self) -> None:
+    def test_unknown_state_is_an_error(self) -> None:
         message = ListedEndpoint(id="i", membership=EndpointMembership(state="new"))
         with self.assertRaises(ValueError):
             decode_endpoint(message)
 
 
-async def _take_in_loop(intake: EndpointIntake, update: Update) -> None:
+async def _take(intake: EndpointIntake, update: Update) -> None:
     intake.take(update)
 
 
 class TestRestarts(unittest.TestCase):
-    """Another process runs under an endpoint's id, and nothing of the earlier one counts."""
+    """A new process with an endpoint's id does not inherit the state of the earlier one."""
 
     def setUp(self) -> None:
         self.directory, self.followed = EndpointDirectory(), FollowedPosition()
         self.selector = make_selector(self.directory)
-        self.started: list[HostId] = []
-        self.told: list[ChangedEndpoints] = []
+        self.restarted: list[HostId] = []
+        self.sent: list[ChangedEndpoints] = []
         self.intake = EndpointIntake(
             StoreRecords(),
             self.directory,
             self.selector,
             self.followed,
-            self.told.append,
-            self.started.append,
+            self.sent.append,
+            self.restarted.append,
         )
         self.directory.put(replace(make_plain("a"), started_unix_ms=7))
         self.followed.take_listing(5, 0.0)
@@ -116,47 +116,47 @@
     def _is_avoided(self) -> bool:
         return self.selector._is_avoided(self.directory.by_id[HostId("a")], 1.0)
 
-    def _take(self, started_unix_ms: int, how: str) -> None:
-        """Take an entry in by a listing, a watch, or a peer's word."""
+    def _take(self, started_unix_ms: int, source: str) -> None:
+        """Apply an entry from a listing, a watch or a peer."""
         stored = _stored("a", 9)
         value = stored.value.replace("{", f'{{"born": {started_unix_ms}, ', 1)
         stored = StoredObject(stored.key, stored.version, value)
-        match how:
+        match source:
             case "listing":
                 update = Update(Listing([stored], 9), None, 0.0, False)
-                run_on_mock_clock(partial(_take_in_loop, self.intake, update))
+                run_on_mock_clock(partial(_take, self.intake, update))
             case "watch":
                 self.intake.take(Update(Listing([stored], 9), 5, 0.0, False))
             case "peer":
                 endpoint = StoreRecords().decode_endpoint(stored)
                 self.intake.take_told(ChangedEndpoints(5, 9, [endpoint], []))
 
-    def test_it_starts_with_nothing_whoever_tells_of_it_first_and_whatever_its_clock(self) -> None:
-        for how in ("listing", "watch", "peer"):
+    def test_state_is_discarded_after_a_restart_whatever_the_source_and_clock(self) -> None:
+        for source in ("listing", "watch", "peer"):
             for started_unix_ms in (9, 3):
-                with self.subTest(how=how, started_unix_ms=started_unix_ms):
+                with self.subTest(source=source, started_unix_ms=started_unix_ms):
                     self.setUp()
-                    self._take(started_unix_ms, how)
+                    self._take(started_unix_ms, source)
                     self.assertFalse(self._is_avoided())
-                    self.assertEqual(self.started, ["a"])
+                    self.assertEqual(self.restarted, ["a"])
                     listed = self.directory.by_id[HostId("a")]
                     self.assertEqual(listed.started_unix_ms, started_unix_ms)
 
-    def test_an_entry_of_the_same_process_changes_nothing_of_that(self) -> None:
-        for how in ("listing", "watch", "peer"):
+    def test_state_is_kept_for_an_entry_of_the_same_process(self) -> None:
+        for source in ("listing", "watch", "peer"):
             self.setUp()
-            self._take(7, how)
+            self._take(7, source)
             self.assertTrue(self._is_avoided())
-            self.assertEqual(self.started, [])
+            self.assertEqual(self.restarted, [])
 
-    def test_a_peers_late_word_of_the_earlier_process_is_not_taken(self) -> None:
+    def test_late_change_from_a_peer_about_the_earlier_process_is_ignored(self) -> None:
         self._take(9, "watch")
         self.followed.take_changes(9, True, 0.0)
         late = replace(make_plain("a"), started_unix_ms=7)
         self.intake.take_told(ChangedEndpoints(5, 8, [late], []))
         self.assertEqual(self.directory.by_id[HostId("a")].started_unix_ms, 9)
 
-    def test_peers_are_told_which_process_it_is(self) -> None:
+    def test_start_time_is_sent_to_peers(self) -> None:
         self._take(9, "watch")
-        [endpoint] = self.told[0].endpoints
+        [endpoint] = self.sent[0].endpoints
         self.assertEqual(decode_endpoint(encode_endpoint(endpoint)).started_unix_ms, 9)
