--- a/yewloom/tests/test_key_trust.py
+++ b/yewloom/tests/test_key_trust.py
@@ -1,7 +1,7 @@
-"""Tests of whom a host serves during an outage of the store that outlasts its proofs.
+"""Tests of which requests a host serves in a store outage that outlasts its confirmations.
 
-The load is that of an outage of 11 s, the longest of the trial deployments, in which callers go on
-asking with known and unknown keys while hosts start, and other hosts may hear of changes.
+The outage takes 11 s, like the longest one in the trial deployments. Meanwhile callers keep sending
+requests with known and unknown keys, hosts start, and other hosts may learn of changes.
 """
 
 import unittest
@@ -30,7 +30,7 @@
 
 
 class Host:
-    """The admission of a host that read a configuration at 0 s, if any, and nothing since."""
+    """The admission of a host that read a configuration at 0 s, or none, and nothing since."""
 
     def __init__(self, needs_proof: bool, has_configuration: bool = True) -> None:
         self.book = ConfigurationBook()
@@ -47,7 +47,7 @@
         )
 
     def status(self, at_s: float, key: str = "k1", path: str = "/s/1") -> int:
-        """Return how a request is answered that comes at some time."""
+        """Return the status of the answer to a request received at some time."""
         headers = [(b"host", b"x.example"), (b"authorization", f"Token {key}".encode())]
         headers.append((b"yewloom-request-id", b"r1"))
         source = CallerRequest(b"POST", path.encode(), headers, b"", at_s, at_s, 1, None)
@@ -59,19 +59,19 @@
 
 
 class TestOutage(unittest.TestCase):
-    """Who is served while no proof comes."""
+    """Answers while the configuration is not confirmed."""
 
-    def test_a_strict_host_refuses_keys_once_its_proof_is_too_old(self) -> None:
+    def test_strict_host_refuses_keys_once_its_confirmation_is_too_old(self) -> None:
         host = Host(needs_proof=True)
         self.assertEqual(host.status(REVOCATION_S * CONFIRMATION_FRACTION), 200)
         self.assertEqual(host.status(REVOCATION_S * CONFIRMATION_FRACTION + 0.01), 503)
 
-    def test_another_host_serves_the_keys_last_known_through_the_outage(self) -> None:
+    def test_other_hosts_accept_the_last_known_keys_during_the_outage(self) -> None:
         host = Host(needs_proof=False)
         for at_s in (0.0, REVOCATION_S, OUTAGE_S):
             self.assertEqual(host.status(at_s), 200)
 
-    def test_a_host_that_hears_of_a_newer_configuration_refuses_keys_until_it_has_read_it(
+    def test_host_that_learns_of_a_newer_configuration_refuses_keys_until_it_has_read_it(
         self,
     ) -> None:
         host = Host(needs_proof=False)
@@ -82,16 +82,16 @@
         host.book.apply(make_configuration(route, version=4), 0.0)
         self.assertEqual(host.status(OUTAGE_S), 200)
 
-    def test_a_host_that_starts_during_the_outage_refuses_for_now(self) -> None:
+    def test_host_that_starts_during_the_outage_asks_callers_to_retry(self) -> None:
         self.assertEqual(Host(needs_proof=False, has_configuration=False).status(1.0), 503)
 
     @given(st.booleans(), st.floats(0.0, 100.0), st.booleans())
-    def test_what_is_not_known_is_refused_for_good_only_by_a_configuration_that_is_in_force(
+    def test_unknown_keys_and_routes_are_refused_permanently_only_by_a_recent_configuration(
         self, needs_proof: bool, at_s: float, is_outdated: bool
     ) -> None:
         host = Host(needs_proof)
         if is_outdated:
             host.book.note_version(4)
-        is_proved = at_s <= APPLY_S and not is_outdated
-        self.assertEqual(host.status(at_s, key="k9"), 401 if is_proved else 503)
-        self.assertEqual(host.status(at_s, path="/none/"), 404 if is_proved else 503)
+        is_confirmed = at_s <= APPLY_S and not is_outdated
+        self.assertEqual(host.status(at_s, key="k9"), 401 if is_confirmed else 503)
+        self.assertEqual(host.status(at_s, path="/none/"), 404 if is_confirmed else 503)
--- a/yewloom/tests/test_membership.py
+++ b/yewloom/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership: who is alive, and who carries which duty."""
+"""Tests of membership: which members are alive, and which are chosen for duties."""
 
 import unittest
 
@@ -28,15 +28,15 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Entry hosts that beat, exchange, die and are replaced; messages may be old."""
+    """Entry hosts send heartbeats, exchange members, die and are replaced; messages may be old."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 0.0
-        self.nodes = {name: _membership(name) for name in NAMES}
+        self.memberships = {name: _membership(name) for name in NAMES}
         self.last_beat_s = dict.fromkeys(NAMES, 0.0)
         self.is_alive = dict.fromkeys(NAMES, True)
-        self.old: list[list[Member]] = []
+        self.sent: list[list[Member]] = []
 
     @rule(seconds=st.floats(0.1, 3.0))
     def pass_time(self, seconds: float) -> None:
@@ -45,21 +45,21 @@
     @rule(name=st.sampled_from(NAMES))
     def beat(self, name: str) -> None:
         if self.is_alive[name]:
-            self.nodes[name].increment_heartbeat()
+            self.memberships[name].increment_heartbeat()
             self.last_beat_s[name] = self.now_s
 
     @rule(asker=st.sampled_from(NAMES), answerer=st.sampled_from(NAMES))
     def exchange(self, asker: str, answerer: str) -> None:
         if self.is_alive[asker] and self.is_alive[answerer]:
-            told = _copy(self.nodes[answerer].alive(self.now_s))
-            self.old.append(told)
-            self.nodes[asker].merge(told, self.now_s)
+            members = _copy(self.memberships[answerer].alive(self.now_s))
+            self.sent.append(members)
+            self.memberships[asker].merge(members, self.now_s)
 
     @rule(asker=st.sampled_from(NAMES), data=st.data())
     def repeat_an_old_message(self, asker: str, data: st.DataObject) -> None:
-        if self.old:
-            told = data.draw(st.sampled_from(self.old))
-            self.nodes[asker].merge(_copy(told), self.now_s)
+        if self.sent:
+            members = data.draw(st.sampled_from(self.sent))
+            self.memberships[asker].merge(_copy(members), self.now_s)
 
     @rule(name=st.sampled_from(NAMES))
     def kill(self, name: str) -> None:
@@ -68,17 +68,17 @@
     @rule(name=st.sampled_from(NAMES))
     def replace(self, name: str) -> None:
         if not self.is_alive[name]:
-            incarnation = self.nodes[name].me.incarnation + 1
-            self.nodes[name] = _membership(name, incarnation)
+            incarnation = self.memberships[name].me.incarnation + 1
+            self.memberships[name] = _membership(name, incarnation)
             self.is_alive[name] = True
 
     @invariant()
-    def a_repeated_message_keeps_no_dead_member_alive(self) -> None:
-        """Each entry rises only by beats, so what was merged once does not count again."""
-        for node in self.nodes.values():
-            for member in node.alive(self.now_s):
-                assert member.heartbeat <= self.nodes[member.id].me.heartbeat or (
-                    member.incarnation < self.nodes[member.id].me.incarnation
+    def repeated_message_does_not_keep_a_dead_member_alive(self) -> None:
+        """Only a heartbeat increases a counter, so a message merged again has no effect."""
+        for membership in self.memberships.values():
+            for member in membership.alive(self.now_s):
+                assert member.heartbeat <= self.memberships[member.id].me.heartbeat or (
+                    member.incarnation < self.memberships[member.id].me.incarnation
                 )
 
 
@@ -88,14 +88,14 @@
 class TestMembership(unittest.TestCase):
     """Single cases."""
 
-    def test_a_silent_member_counts_as_gone_though_its_entry_is_repeated(self) -> None:
+    def test_silent_member_is_dead_although_its_entry_is_repeated(self) -> None:
         mine, other = _membership("e0"), _membership("e1")
-        told = _copy([other.me])
+        members = _copy([other.me])
         for second in range(8):
-            mine.merge(_copy(told), float(second))
+            mine.merge(_copy(members), float(second))
         self.assertEqual([m.id for m in mine.alive(7.0)], ["e0"])
 
-    def test_a_replaced_member_with_a_new_address_is_known_by_its_higher_incarnation(self) -> None:
+    def test_replaced_member_with_a_new_address_wins_by_its_higher_incarnation(self) -> None:
         mine = _membership("e0")
         old = Member(id="e1", incarnation=5, heartbeat=900, data_centre="a", peer_address="old:1")
         new = Member(id="e1", incarnation=6, heartbeat=1, data_centre="a", peer_address="new:1")
@@ -105,40 +105,44 @@
         self.assertEqual([m.peer_address for m in mine.alive(2.0)], ["e0:1", "new:1"])
 
     def test_members_with_the_same_view_agree_on_duties(self) -> None:
-        nodes = [_membership(name) for name in NAMES]
-        for node in nodes:
-            node.merge(_copy([other.me for other in nodes]), 0.0)
+        memberships = [_membership(name) for name in NAMES]
+        for membership in memberships:
+            membership.merge(_copy([other.me for other in memberships]), 0.0)
         for number in range(50):
-            carriers = [node.has_duty(f"group/{number}", 2, 0.0) for node in nodes]
-            self.assertEqual(sum(carriers), 2)
-
-    def test_a_leaving_member_carries_no_duty(self) -> None:
-        nodes = [_membership(name) for name in NAMES]
-        nodes[0].start_leaving()
-        for node in nodes:
-            node.merge(_copy([other.me for other in nodes]), 0.0)
-        carriers = [[node.has_duty(f"g{n}", 2, 0.0) for node in nodes] for n in range(20)]
-        self.assertFalse(any(row[0] for row in carriers))
-        self.assertTrue(all(sum(row) == 2 for row in carriers))
-
-    def test_members_cut_off_from_the_platform_leave_its_duties_to_others(self) -> None:
-        nodes = [_membership(name) for name in NAMES]
-        nodes[0].set_cut_off(True)
-        nodes[1].set_cut_off(True)
-        for node in nodes:
-            node.merge(_copy([other.me for other in nodes]), 0.0)
-        chosen = [node.has_platform_duty("watch", 2, 0.0) for node in nodes]
+            chosen = [membership.has_duty(f"group/{number}", 2, 0.0) for membership in memberships]
+            self.assertEqual(sum(chosen), 2)
+
+    def test_leaving_member_is_not_chosen_for_duties(self) -> None:
+        memberships = [_membership(name) for name in NAMES]
+        memberships[0].start_leaving()
+        for membership in memberships:
+            membership.merge(_copy([other.me for other in memberships]), 0.0)
+        chosen = [
+            [membership.has_duty(f"g{n}", 2, 0.0) for membership in memberships] for n in range(20)
+        ]
+        self.assertFalse(any(row[0] for row in chosen))
+        self.assertTrue(all(sum(row) == 2 for row in chosen))
+
+    def test_members_that_cannot_reach_the_platform_are_not_chosen_for_its_duties(self) -> None:
+        memberships = [_membership(name) for name in NAMES]
+        memberships[0].set_cut_off(True)
+        memberships[1].set_cut_off(True)
+        for membership in memberships:
+            membership.merge(_copy([other.me for other in memberships]), 0.0)
+        chosen = [membership.has_platform_duty("watch", 2, 0.0) for membership in memberships]
         self.assertEqual(chosen, [False, False, True, True])
 
-    def test_when_all_are_cut_off_the_platforms_duties_are_still_carried(self) -> None:
-        nodes = [_membership(name) for name in NAMES]
-        for node in nodes:
-            node.set_cut_off(True)
-        for node in nodes:
-            node.merge(_copy([other.me for other in nodes]), 0.0)
-        self.assertEqual(sum(node.has_platform_duty("watch", 2, 0.0) for node in nodes), 2)
-
-    def test_duties_stay_within_the_data_centre(self) -> None:
+    def test_platform_duties_are_assigned_even_if_no_member_can_reach_it(self) -> None:
+        memberships = [_membership(name) for name in NAMES]
+        for membership in memberships:
+            membership.set_cut_off(True)
+        for membership in memberships:
+            membership.merge(_copy([other.me for other in memberships]), 0.0)
+        self.assertEqual(
+            sum(membership.has_platform_duty("watch", 2, 0.0) for membership in memberships), 2
+        )
+
+    def test_duties_are_assigned_within_the_data_centre(self) -> None:
         mine = _membership("e0")
         mine.merge([Member(id=f"x{i}", incarnation=1, data_centre="b") for i in range(20)], 0.0)
         self.assertTrue(all(mine.has_duty(f"d{i}", 1, 0.0) for i in range(20)))
--- a/yewloom/tests/test_peer_configurations.py
+++ b/yewloom/tests/test_peer_configurations.py
@@ -1,6 +1,6 @@
-"""Tests of a host that the store turns away while the operator takes a key away.
+"""Tests of a host that cannot reach the store while the operator revokes a key.
 
-The pattern is a store that refuses the hosts of one data centre for 8 s and serves all others.
+They model a store that refuses the hosts of one data centre for 8 s and serves all others.
 """
 
 import json
@@ -46,7 +46,7 @@
 
 
 class Host:
-    """A host's configuration, and how it shares it."""
+    """A host's configuration, and its exchange of configurations with peers."""
 
     def __init__(self, *peers: "Host") -> None:
         self.book = ConfigurationBook()
@@ -65,7 +65,7 @@
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Answer peers and ask them."""
+        """Start answering requests from peers and sending requests to them."""
         server = CallerServer(Handlers(self.sharing.answer), CallerLimits)
         await nursery.start(server.serve, listen(self.address))
         nursery.start_soon(self.sharing.run)
@@ -75,8 +75,8 @@
         return self.book.current.version if self.book.current is not None else 0
 
     async def wait_for(self, version: int) -> None:
-        """Wait until a version is in force."""
-        while self._version < version:  # noqa: ASYNC110 - set by a task of the product
+        """Wait until a version is the current one."""
+        while self._version < version:  # noqa: ASYNC110 - set by the code under test
             await trio.sleep(0.01)
 
 
@@ -91,7 +91,7 @@
 
 
 async def _start_two(nursery: trio.Nursery, stored: StoredObject) -> tuple[Host, Host]:
-    """Start a peer and a host that asks it, which have both read a configuration."""
+    """Start a peer and a host that gets configurations from it; both have read one."""
     peer = Host()
     host = Host(peer)
     for each in (peer, host):
@@ -100,10 +100,10 @@
     return peer, host
 
 
-class TestTurnedAway(unittest.TestCase):
-    """A host that hears of a configuration which it can't read."""
+class TestStoreUnreachable(unittest.TestCase):
+    """A host that learns of a configuration that it cannot read from the store."""
 
-    def test_it_takes_the_configuration_from_a_peer_and_serves_the_keys_that_are_left(self) -> None:
+    def test_host_gets_the_configuration_from_a_peer_and_accepts_the_remaining_keys(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
             peer, host = await _start_two(nursery, _stored(1, "k1", "k2"))
             peer.read(_stored(2, "k2"))
@@ -117,7 +117,7 @@
 
         _run(test)
 
-    def test_a_peers_configuration_proves_nothing_of_its_age(self) -> None:
+    def test_configuration_from_a_peer_is_not_confirmed_to_be_current(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
             peer, host = await _start_two(nursery, _stored(1, "k1"))
             before_ms = host.book.stated_age_ms(trio.current_time())
@@ -128,10 +128,10 @@
 
         _run(test)
 
-    def test_a_peer_that_is_gone_and_one_that_has_nothing_are_passed_over(self) -> None:
+    def test_peers_that_are_down_or_have_no_configuration_are_skipped(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
-            gone, empty, peer = Host(), Host(), Host()
-            host = Host(gone, empty, peer)
+            down, empty, peer = Host(), Host(), Host()
+            host = Host(down, empty, peer)
             for each in (empty, peer, host):
                 await each.start(nursery)
             host.read(_stored(1, "k1"))
@@ -141,7 +141,7 @@
 
         _run(test)
 
-    def test_an_older_configuration_is_never_taken_back(self) -> None:
+    def test_older_configuration_from_a_peer_is_ignored(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
             host = Host()
             host.read(_stored(3, "k1"))
