--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -1,4 +1,7 @@
-"""Tests of what entry hosts tell each other of groups, from message to view."""
+"""Tests of the reports on groups, crashes and limits that entry hosts send to each other.
+
+The reports are encoded, sent and processed as in production.
+"""
 
 import unittest
 from typing import cast
@@ -21,34 +24,34 @@
 from yewloom.stalls import MOVING_S, READ_LATE_S, StallDetector
 from yewloom.tests.entry_support import HALL, make_plain
 
-HEAD = HostId("h")
-GUILTY = Fingerprint(2**64 - 1)
+LEADER = HostId("h")
+CRASHING_REQUEST = Fingerprint(2**64 - 1)
 
 
 class NoSelector:
-    """Stands for a selector whose endpoints run nothing."""
+    """Stands in for a selector whose endpoints have no running requests."""
 
     def running(self) -> dict[HostId, int]:
-        """Return nothing."""
+        """Return no requests."""
         return {}
 
     def avoid(self, endpoint: HostId, until_s: float) -> None:
-        """Avoid nothing."""
+        """Do nothing."""
 
 
 class Host:
-    """An entry host, as far as it tells of groups and hears of them."""
+    """The parts of an entry host that send and process reports."""
 
     def __init__(self, name: str) -> None:
-        self.news = 0
-        self.stalls = StallDetector(self._note_news)
+        self.urgent_changes = 0
+        self.stalls = StallDetector(self._count_change)
         selector = cast(Selector, NoSelector())
         me = EntryIdentity(EntryHostId(name), HALL, 1)
         board = self.board = PeerBoard(me.host_id, HALL, 1)
         directory = self.directory = EndpointDirectory()
         book, followed = ConfigurationBook(), FollowedPosition()
-        self.crashes = CrashParts(me.host_id, board.known_hosts, directory, self._note_news)
-        self.limits = EndpointLimits(me.host_id, directory, board.sharing_hosts, self._note_news)
+        self.crashes = CrashParts(me.host_id, board.known_hosts, directory, self._count_change)
+        self.limits = EndpointLimits(me.host_id, directory, board.sharing_hosts, self._count_change)
         self._own = OwnState(
             me,
             book,
@@ -69,128 +72,128 @@
             [self.crashes.messages, LimitMessages(self.limits)],
         )
 
-    def _note_news(self) -> None:
-        self.news += 1
+    def _count_change(self) -> None:
+        self.urgent_changes += 1
 
     def message(self, now_s: float) -> EntryState:
-        """Return what this host tells."""
+        """Return this host's next message."""
         return self._own.next_state(now_s)
 
-    def tell(self, other: "Host", now_s: float, read_late_s: float = 0.0) -> None:
-        """Send the other host a message, which it may read late; both have one clock here."""
+    def send_to(self, other: "Host", now_s: float, read_delay_s: float = 0.0) -> None:
+        """Send a message that the other host reads after a delay; both have the same clock."""
         sent = EntryMessage(state=self.message(now_s)).SerializeToString()
-        other._intake.take(EntryMessage.FromString(sent), now_s + read_late_s, now_s)
+        other._intake.take(EntryMessage.FromString(sent), now_s + read_delay_s, now_s)
 
 
 class TestSuspectedGroups(unittest.TestCase):
-    """A host that can't reach a leader learns whether its group moves for others."""
+    """A host that cannot reach a leader learns whether its group makes progress for other hosts."""
 
     def setUp(self) -> None:
         self.me, self.peer = Host("me"), Host("peer")
-        self.peer.stalls.on_begin(HEAD, 0.0)
-        self.peer.stalls.on_event(HEAD, 1.0)
-
-    def test_a_peer_tells_of_movement_once_it_hears_of_the_suspicion(self) -> None:
-        self.peer.tell(self.me, 1.1)
-        self.assertFalse(self.me.stalls.moved_since(HEAD, 0.0))
-        self.me.stalls.report_unreachable(HEAD, 1.1)
-        self.me.tell(self.peer, 1.1)
-        self.assertEqual(self.peer.news, 1)
-        self.peer.tell(self.me, 1.1)
-        self.assertTrue(self.me.stalls.moved_since(HEAD, 0.89))
-
-    def test_a_word_tells_of_no_later_movement_than_it_shows(self) -> None:
-        """It may have been read late."""
-        self.me.stalls.report_unreachable(HEAD, 1.1)
-        self.me.tell(self.peer, 1.1)
-        self.peer.tell(self.me, 1.1)
-        self.assertFalse(self.me.stalls.moved_since(HEAD, 1.0 - READ_LATE_S))
-        self.peer.tell(self.me, 1.0 + MOVING_S + 0.1)  # Nothing has moved since.
-        self.assertFalse(self.me.stalls.moved_since(HEAD, 1.0 - READ_LATE_S))
-
-    def test_a_word_that_a_host_reads_late_tells_of_nothing_later(self) -> None:
-        """Guards against old words that a host which stood still takes for new ones."""
-        self.me.stalls.report_unreachable(HEAD, 1.1)
-        self.me.tell(self.peer, 1.1)
-        self.peer.tell(self.me, 1.1, read_late_s=5.0)
-        self.assertFalse(self.me.stalls.moved_since(HEAD, 1.1))
-        self.peer.stalls.report(HEAD, 1.2)
-        self.peer.tell(self.me, 1.2, read_late_s=5.0)
-        self.assertEqual(self.me.stalls.suspected(2.1), {HEAD})
+        self.peer.stalls.on_begin(LEADER, 0.0)
+        self.peer.stalls.on_event(LEADER, 1.0)
+
+    def test_peer_reports_progress_once_it_receives_the_suspicion(self) -> None:
+        self.peer.send_to(self.me, 1.1)
+        self.assertFalse(self.me.stalls.moved_since(LEADER, 0.0))
+        self.me.stalls.report_unreachable(LEADER, 1.1)
+        self.me.send_to(self.peer, 1.1)
+        self.assertEqual(self.peer.urgent_changes, 1)
+        self.peer.send_to(self.me, 1.1)
+        self.assertTrue(self.me.stalls.moved_since(LEADER, 0.89))
+
+    def test_report_is_dated_to_the_latest_progress(self) -> None:
+        """The message may have been read late."""
+        self.me.stalls.report_unreachable(LEADER, 1.1)
+        self.me.send_to(self.peer, 1.1)
+        self.peer.send_to(self.me, 1.1)
+        self.assertFalse(self.me.stalls.moved_since(LEADER, 1.0 - READ_LATE_S))
+        self.peer.send_to(self.me, 1.0 + MOVING_S + 0.1)  # No progress since.
+        self.assertFalse(self.me.stalls.moved_since(LEADER, 1.0 - READ_LATE_S))
+
+    def test_report_that_is_read_late_is_dated_to_its_arrival(self) -> None:
+        """Guards against a host that resumes after a pause and takes old reports for new ones."""
+        self.me.stalls.report_unreachable(LEADER, 1.1)
+        self.me.send_to(self.peer, 1.1)
+        self.peer.send_to(self.me, 1.1, read_delay_s=5.0)
+        self.assertFalse(self.me.stalls.moved_since(LEADER, 1.1))
+        self.peer.stalls.report(LEADER, 1.2)
+        self.peer.send_to(self.me, 1.2, read_delay_s=5.0)
+        self.assertEqual(self.me.stalls.suspected(2.1), {LEADER})
         self.assertEqual(self.me.stalls.suspected(6.2), set())
 
-    def test_a_stream_that_waits_for_its_first_event_moves_nothing(self) -> None:
-        self.peer.stalls.on_end(HEAD)
-        self.peer.stalls.on_begin(HEAD, 1.1)
-        self.me.stalls.report_unreachable(HEAD, 1.1)
-        self.me.tell(self.peer, 1.1)
-        self.assertEqual(self.peer.news, 0)
-        self.peer.tell(self.me, 1.1)
-        self.assertFalse(self.me.stalls.moved_since(HEAD, 0.0))
+    def test_stream_that_waits_for_its_first_event_is_no_progress(self) -> None:
+        self.peer.stalls.on_end(LEADER)
+        self.peer.stalls.on_begin(LEADER, 1.1)
+        self.me.stalls.report_unreachable(LEADER, 1.1)
+        self.me.send_to(self.peer, 1.1)
+        self.assertEqual(self.peer.urgent_changes, 0)
+        self.peer.send_to(self.me, 1.1)
+        self.assertFalse(self.me.stalls.moved_since(LEADER, 0.0))
 
-    def test_own_streams_tell_of_movement_too_and_a_restart_ends_all_words(self) -> None:
-        self.assertTrue(self.peer.stalls.moved_since(HEAD, 0.9))
-        self.me.stalls.move_by_peer(HEAD, 0.0, 1.0)
-        self.me.stalls.forget(HEAD)
-        self.assertFalse(self.me.stalls.moved_since(HEAD, 0.0))
+    def test_own_streams_show_progress_too_and_a_restart_discards_all_reports(self) -> None:
+        self.assertTrue(self.peer.stalls.moved_since(LEADER, 0.9))
+        self.me.stalls.move_by_peer(LEADER, 0.0, 1.0)
+        self.me.stalls.forget(LEADER)
+        self.assertFalse(self.me.stalls.moved_since(LEADER, 0.0))
 
 
 class TestCrashes(unittest.TestCase):
-    """What a request did is known to all hosts, in whatever way they hear of it."""
+    """All hosts learn which requests crashed endpoints, whichever host reports it."""
 
     def setUp(self) -> None:
         self.me, self.peer, self.third = Host("me"), Host("peer"), Host("third")
 
     def _crash(self, host: Host, number: int, now_s: float = 1.0) -> None:
         process = EndpointProcess(HostId(f"e{number}"), 0)
-        host.crashes.record.note_crash(process, [GUILTY], now_s)
+        host.crashes.record.note_crash(process, [CRASHING_REQUEST], now_s)
 
     def _wait_s(self, host: Host, now_s: float) -> float:
-        return host.crashes.quarantine.wait_s(GUILTY, now_s)
+        return host.crashes.quarantine.wait_s(CRASHING_REQUEST, now_s)
 
-    def test_hosts_that_saw_one_crash_each_hold_the_request_once_they_told_each_other(self) -> None:
+    def test_crashes_seen_by_different_hosts_add_up_to_a_quarantine(self) -> None:
         for number, host in enumerate((self.me, self.peer, self.third)):
             self._crash(host, number)
-        self.me.tell(self.peer, 1.1)
+        self.me.send_to(self.peer, 1.1)
         self.assertEqual(self._wait_s(self.peer, 1.1), 0.0)
-        self.third.tell(self.peer, 1.1)
+        self.third.send_to(self.peer, 1.1)
         self.assertGreater(self._wait_s(self.peer, 1.1), 0.0)
-        self.assertGreater(self.peer.news, 0)
+        self.assertGreater(self.peer.urgent_changes, 0)
 
-    def test_a_host_that_missed_all_crashes_hears_of_the_verdict_from_any_other(self) -> None:
-        """Guards against hosts that have just started, or were cut off, and send it once more."""
+    def test_host_that_missed_all_crashes_learns_of_the_quarantine_from_any_other(self) -> None:
+        """Guards against hosts that just started or were partitioned and send the request again."""
         for number in range(CRASHES):
             self._crash(self.me, number)
-        self.me.tell(self.peer, 1.1)
+        self.me.send_to(self.peer, 1.1)
         late_s = 1.1 + 2 * TELL_S
-        self.peer.tell(self.third, late_s)
+        self.peer.send_to(self.third, late_s)
         held_s = self._wait_s(self.me, late_s)
         self.assertAlmostEqual(self._wait_s(self.third, late_s), held_s, delta=0.01)
 
-    def test_a_request_that_was_let_go_is_let_go_by_all(self) -> None:
+    def test_lifted_quarantine_is_lifted_on_all_hosts(self) -> None:
         for number in range(CRASHES):
             self._crash(self.me, number)
-        self.me.tell(self.peer, 1.1)
-        self.peer.crashes.quarantine.lift(GUILTY)
-        self.peer.tell(self.me, 1.2)
+        self.me.send_to(self.peer, 1.1)
+        self.peer.crashes.quarantine.lift(CRASHING_REQUEST)
+        self.peer.send_to(self.me, 1.2)
         self.assertEqual(self._wait_s(self.me, 1.2), 0.0)
 
-    def test_an_answer_clears_a_suspect_at_all_hosts(self) -> None:
+    def test_answered_request_is_cleared_on_all_hosts(self) -> None:
         for number in range(CRASHES - 1):
             self._crash(self.me, number)
-        self.me.tell(self.peer, 1.1)
-        self.peer.crashes.record.note_answer(GUILTY, 2.0)
-        self.peer.tell(self.me, 2.1)
+        self.me.send_to(self.peer, 1.1)
+        self.peer.crashes.record.note_answer(CRASHING_REQUEST, 2.0)
+        self.peer.send_to(self.me, 2.1)
         self._crash(self.me, CRASHES, 3.0)
         self.assertEqual(self._wait_s(self.me, 3.0), 0.0)
 
-    def test_a_quiet_host_tells_nothing_of_crashes(self) -> None:
+    def test_host_without_crashes_sends_no_crash_fields(self) -> None:
         message = self.me.message(1.0)
         self.assertFalse(message.crashed or message.answered or message.quarantined)
 
 
 class TestLimits(unittest.TestCase):
-    """Hosts that have not heard a limit themselves learn of it."""
+    """Hosts learn of limits that an endpoint announced to another host."""
 
     def setUp(self) -> None:
         self.me, self.peer = Host("me"), Host("peer")
@@ -198,33 +201,33 @@
         for host in (self.me, self.peer):
             host.directory.put(self.endpoint)
 
-    def test_a_limit_that_one_host_heard_holds_at_the_others(self) -> None:
+    def test_limit_announced_to_one_host_applies_on_the_others(self) -> None:
         self.me.limits.note(self.endpoint.id, 1.0, 1.0)
-        self.assertEqual(self.me.news, 1)
-        self.me.tell(self.peer, 1.1)
+        self.assertEqual(self.me.urgent_changes, 1)
+        self.me.send_to(self.peer, 1.1)
         self.assertGreater(self.peer.limits.wait_s(self.endpoint, 1.1), 0.0)
 
-    def test_so_does_its_end(self) -> None:
+    def test_removal_of_a_limit_applies_on_the_others(self) -> None:
         self.me.limits.note(self.endpoint.id, 1.0, 1.0)
-        self.me.tell(self.peer, 1.1)
+        self.me.send_to(self.peer, 1.1)
         self.me.limits.note(self.endpoint.id, None, 2.0)
-        self.me.tell(self.peer, 2.1)
+        self.me.send_to(self.peer, 2.1)
         self.assertEqual(self.peer.limits.wait_s(self.endpoint, 2.1), 0.0)
 
-    def test_hosts_that_hear_each_other_divide_it(self) -> None:
+    def test_hosts_that_hear_each_other_divide_a_limit(self) -> None:
         hosts = [Host(f"h{number}") for number in range(8)]
         for host in hosts:
             host.directory.put(self.endpoint)
             host.limits.note(self.endpoint.id, 1.0, 1.0)
         for source in hosts:
             for target in hosts:
-                source.tell(target, 1.1)
+                source.send_to(target, 1.1)
         may_send = [host for host in hosts if host.limits.wait_s(self.endpoint, 20.0) == 0]
         self.assertEqual(len(may_send), 4)
 
-    def test_a_host_that_fell_silent_keeps_its_part_for_a_time(self) -> None:
-        """Guards against a limit that each side of a cut takes for its own."""
-        self.me.tell(self.peer, 1.0)
+    def test_silent_host_keeps_its_share_of_a_limit_for_a_time(self) -> None:
+        """Guards against each side of a network partition using the whole limit."""
+        self.me.send_to(self.peer, 1.0)
         self.peer.board.drop_silent(10.0)
         self.assertEqual(len(self.peer.board.sharing_hosts(10.0)), 2)
         self.assertEqual(len(self.peer.board.sharing_hosts(1.0 + LIMIT_SHARE_RETENTION_S)), 1)
--- a/yewloom/tests/test_peers.py
+++ b/yewloom/tests/test_peers.py
@@ -1,7 +1,7 @@
-"""Tests of the channels to peers: one that falls silent is not used for ever.
+"""Tests of gRPC channels to peers: an unresponsive channel is not used forever.
 
-What was open to the store fell silent without a reset; what is open to a peer can do the same. A
-channel does not notice that by itself: calls on it go on timing out.
+Connections to the store have become unresponsive without a reset, and connections to peers can do
+the same. A channel does not detect this: further calls on it keep timing out.
 """
 
 import unittest
@@ -18,7 +18,7 @@
 
 
 class _Channel:
-    """A channel on which calls end with a status, and which notes that it was closed."""
+    """A channel on which calls end with a status; it records that it was closed."""
 
     def __init__(self, status: grpc.StatusCode) -> None:
         self.status = status
@@ -30,7 +30,7 @@
 
 
 class TestChannels(unittest.TestCase):
-    """Which channels are used again."""
+    """Which channels are reused."""
 
     def _exchange_twice(self, status: grpc.StatusCode) -> list[_Channel]:
         """Exchange twice with a peer; return the channels that were opened."""
@@ -58,11 +58,11 @@
                     trio.run(exchange._exchange_with, ADDRESS, False)
         return opened
 
-    def test_a_channel_without_an_answer_in_time_is_not_used_again(self) -> None:
+    def test_channel_is_closed_after_a_time_out(self) -> None:
         first, second = self._exchange_twice(grpc.StatusCode.DEADLINE_EXCEEDED)
         self.assertTrue(first.is_closed)
         self.assertIsNot(first, second)
 
-    def test_a_channel_that_was_refused_connects_anew_by_itself(self) -> None:
+    def test_channel_is_kept_after_a_refused_connection(self) -> None:
         [channel] = self._exchange_twice(grpc.StatusCode.UNAVAILABLE)
         self.assertFalse(channel.is_closed)
--- a/yewloom/tests/test_tables.py
+++ b/yewloom/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Tests of the table: no older value, no lost edit, one winner of two."""
+"""Tests of the table: no value is reverted, no edit is lost, and one of two edits at once wins."""
 
 import unittest
 
@@ -37,10 +37,10 @@
 
 
 class TestTable(unittest.TestCase):
-    """Rows as a node applies them."""
+    """Rows as an entry host applies them."""
 
     @given(st.lists(_ROWS, max_size=20), st.randoms(use_true_random=False))
-    def test_any_order_of_arrival_ends_in_the_highest_versions(
+    def test_highest_versions_are_kept_in_any_order_of_arrival(
         self, rows: list[VersionedRow], rng: "object"
     ) -> None:
         first, second = Table(), Table()
@@ -55,7 +55,7 @@
         self.assertEqual(first.digest, second.digest)
 
     @given(st.lists(_ROWS, max_size=12), st.lists(_ROWS, max_size=12))
-    def test_one_exchange_repairs_any_gap(
+    def test_one_exchange_makes_tables_equal(
         self, here: list[VersionedRow], there: list[VersionedRow]
     ) -> None:
         mine, peers = Table(), Table()
@@ -70,7 +70,7 @@
         self.assertEqual(mine.digest, peers.digest)
         self.assertEqual(list(mine.rows()), list(peers.rows()))
 
-    def test_a_deleted_row_is_gone_but_keeps_its_version(self) -> None:
+    def test_deleted_row_is_hidden_but_keeps_its_version(self) -> None:
         table = Table()
         table.apply(_versioned(ROW, 1))
         self.assertEqual(list(table.customers()), ["c"])
@@ -81,27 +81,27 @@
 
 
 class TestEditRow(unittest.TestCase):
-    """Cells with bounds."""
+    """Edits of cells, whose values have bounds."""
 
-    def test_a_new_row_starts_from_the_defaults(self) -> None:
+    def test_new_row_starts_from_the_defaults(self) -> None:
         cells = {"model": "m", "downtime.spare_hosts": "2", "score": ""}
         row = edit_row(RowName("policy/p"), None, cells, RowChange(attempt_id="a")).unwrap()
         self.assertEqual((row.policy.group_size, row.policy.downtime.spare_hosts), (4, 2))
         self.assertEqual(row.policy.score.prefix_weight, 1.0)
 
-    def test_each_mistake_is_told_with_its_remedy(self) -> None:
+    def test_each_error_says_how_to_fix_it(self) -> None:
         cases = {
             "weight": ("heavy", "from 0.001 to 1000"),
             "colour": ("red", "use one of"),
             "max_in_flight": ("-1", "from 0 to 1000000"),
         }
-        for cell, (value, words) in cases.items():
+        for cell, (value, remedy) in cases.items():
             error = edit_row(ROW, None, {cell: value, DIGEST: "d"}, RowChange()).err()
-            self.assertIn(words, str(error))
+            self.assertIn(remedy, str(error))
         missing = edit_row(ROW, None, {}, RowChange()).err()
         self.assertIn("key_digest is missing", str(missing))
 
-    def test_a_row_remembers_its_latest_edits(self) -> None:
+    def test_row_records_its_latest_edits(self) -> None:
         row = None
         for number in range(HISTORY_LENGTH + 3):
             change = RowChange(attempt_id=str(number))
@@ -112,15 +112,15 @@
         self.assertFalse(contains_attempt(row, AttemptId("2")))
 
     @given(st.text(max_size=30))
-    def test_any_text_names_a_row_or_gets_one_sentence(self, text: str) -> None:
+    def test_any_text_is_a_row_name_or_gives_an_error(self, text: str) -> None:
         result = parse_row_name(text)
         self.assertTrue(result.ok() or "use one of" in str(result.err()))
 
 
 class TestApplyEdit(unittest.TestCase):
-    """Operators at the same moment, and answers that are lost."""
+    """Concurrent edits, and lost answers."""
 
-    def test_of_two_edits_at_once_one_is_told_of_the_other(self) -> None:
+    def test_one_of_two_concurrent_edits_fails_and_reports_the_other(self) -> None:
         async def scenario() -> list[object]:
             platform = FakePlatform()
             await apply_edit(platform, _edit("1", "setup"))
@@ -140,7 +140,7 @@
         self.assertIn(f"weight={flat_cells(won)['weight']}", lost.sentence)
         self.assertIn(won.row.history[-1].editor, lost.sentence)
 
-    def test_an_edit_of_an_old_version_is_refused(self) -> None:
+    def test_edit_of_an_old_version_is_rejected(self) -> None:
         async def scenario() -> OperationError | None:
             platform = FakePlatform()
             await apply_edit(platform, _edit("1", "ana"))
@@ -151,8 +151,8 @@
         self.assertTrue(error.is_conflict)
 
     @given(st.lists(st.sampled_from(list(Fault)), max_size=8), st.booleans())
-    def test_what_is_told_of_an_edit_is_true(self, faults: list[Fault], late: bool) -> None:
-        """Accepted means applied once; failed for certain means never applied."""
+    def test_reported_outcome_of_an_edit_is_true(self, faults: list[Fault], late: bool) -> None:
+        """An accepted edit was applied once; no edit is applied more than once."""
 
         async def scenario() -> tuple[bool, str, list[str]]:
             platform = FakePlatform()
