--- a/yewloom/entry_exchange.py
+++ b/yewloom/entry_exchange.py
@@ -119,7 +119,8 @@
     def _peer_fields(self, turn: Turn) -> EntryState:
         """Return the fields meant for one peer: the echo, or this host's address before the first.
 
-        A peer that was never heard may not know this host, and needs the address to answer.
+        A peer from which no message was received may not know this host; it needs the address to
+        answer.
         """
         fields = self._board.echo_for(turn.peer)
         fields.interval_ms = round(turn.interval_s * 1000)
@@ -163,7 +164,10 @@
                 self._intake.take(message, now_s, arrived_s)
 
     def _add_reported_address(self, state: EntryState) -> None:
-        """Add the address of a peer that has not heard this host yet, and send to it next."""
+        """Add the address of a peer that has not received a message from this host yet.
+
+        The next message goes to that peer too.
+        """
         if not state.address:
             return
         try:
--- a/yewloom/entry_states.py
+++ b/yewloom/entry_states.py
@@ -30,7 +30,7 @@
 """Time for which a silent host keeps its share of a divided limit: most partitions are shorter."""
 
 MIN_SHARING_HOSTS = 12
-"""Least number of entry hosts among which a global bound is divided, since some may not be known
+"""Minimum number of entry hosts among which a global bound is divided, since some may not be known
 yet."""
 
 
@@ -145,7 +145,7 @@
         return self._near
 
     def drop_silent(self, now_s: float) -> None:
-        """Drop the states of peers that were not heard within their validity time."""
+        """Drop the states of peers that have not sent a message within their time to live."""
         for peer, received in list(self._live.items()):
             if now_s - received.received_s > self._ttl_s(received.state):
                 self._add_loads(received.state, -1)
@@ -160,7 +160,7 @@
         """Return the number of requests that the live peers have running at each endpoint."""
         return self._running
 
-    def live_peers(self) -> int:
+    def live_peer_count(self) -> int:
         """Return the number of live peers: those with a valid state."""
         return len(self._live)
 
--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -1,6 +1,6 @@
-"""Pull-based exchange between entry hosts: building requests, answering them, applying answers.
+"""Exchange of state between entry hosts: building requests, answering them, applying answers.
 
-State is only pulled, never pushed. The requesting host counts the age of an answer from the time
+State is exchanged only by request and answer. The requesting host counts the age of an answer from
 before it sent the request, so a slow or paused peer can only make data look older than it is, never
 more recent.
 """
--- a/yewloom/follow_times.py
+++ b/yewloom/follow_times.py
@@ -22,7 +22,7 @@
 instead."""
 
 MAX_FALLBACK_JITTER_S = 0.3
-"""Greatest random delay added for the other hosts, so that they do not all call at once."""
+"""Maximum random delay added for the other hosts, so that they do not all call at once."""
 
 
 @value_class
--- a/yewloom/followed_position.py
+++ b/yewloom/followed_position.py
@@ -18,14 +18,14 @@
 class FollowedPosition:
     """The position up to which all changes are known; None before the first listing.
 
-    Nothing has changed between ``changed_at`` and ``position``. At ``proved_s`` no change was
+    No object changed after ``changed_at``, up to ``position``. At ``confirmed_s`` no change was
     missing. Times are seconds on this host's clock.
     """
 
     def __init__(self) -> None:
         self.position: int | None = None
         self.changed_at = 0
-        self.proved_s = float("-inf")
+        self.confirmed_s = float("-inf")
         self._withhold_until_s = float("-inf")
         self._missing_position = 0
         self._behind_since_s = float("inf")
@@ -34,19 +34,19 @@
         """Reset the position, since changes may have been missed."""
         self.position = None
 
-    def take_listing(self, position: int, proved_s: float) -> None:
-        """Record a full listing as of a position, current at ``proved_s``."""
+    def take_listing(self, position: int, confirmed_s: float) -> None:
+        """Record a full listing as of a position, current at ``confirmed_s``."""
         if self.position is None or position > self.position:
             self.changed_at = position
-            self._withhold_until_s = proved_s + LISTING_REPORT_DELAY_S
-        self._advance(position, proved_s)
+            self._withhold_until_s = confirmed_s + LISTING_REPORT_DELAY_S
+        self._advance(position, confirmed_s)
 
-    def take_changes(self, position: int, has_changed: bool, proved_s: float) -> None:
-        """Record all changes up to a position, current at ``proved_s``; there may be none."""
+    def take_changes(self, position: int, has_changed: bool, confirmed_s: float) -> None:
+        """Record all changes up to a position, current at ``confirmed_s``; there may be none."""
         if has_changed:
             self.changed_at = max(self.changed_at, position)
             self._withhold_until_s = float("-inf")
-        self._advance(position, proved_s)
+        self._advance(position, confirmed_s)
 
     def can_apply(self, base: int, position: int) -> bool:
         """Return whether changes from ``base`` to ``position`` are new and leave no gap."""
@@ -70,7 +70,7 @@
         """Return the report for peers; None while there is nothing to report."""
         if self.position is None or now_s < self._withhold_until_s:
             return None
-        age_ms = math.ceil((now_s - self.proved_s) * 1000)
+        age_ms = math.ceil((now_s - self.confirmed_s) * 1000)
         return ListingWord(changed_at=self.changed_at, position=self.position, age_ms=age_ms)
 
     def age_s(self, now_s: float) -> float:
@@ -80,11 +80,11 @@
         """
         if self.position is None or now_s - self._behind_since_s > RELAY_GRACE_S:
             return float("inf")
-        return now_s - self.proved_s
+        return now_s - self.confirmed_s
 
-    def _advance(self, position: int, proved_s: float) -> None:
+    def _advance(self, position: int, confirmed_s: float) -> None:
         if self.position is None or position > self.position:
             self.position = position
-        self.proved_s = max(self.proved_s, proved_s)
+        self.confirmed_s = max(self.confirmed_s, confirmed_s)
         if self.position >= self._missing_position:
             self._behind_since_s = float("inf")
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -25,12 +25,13 @@
     """The result of one call to the platform.
 
     ``base`` is the position from which a watch started; it is None for a full listing. The update
-    contains all changes made until ``proved_s``. ``after_outage`` is true if earlier calls failed.
+    contains all changes made until ``confirmed_s``. ``after_outage`` is true if earlier calls
+    failed.
     """
 
     listing: Listing
     base: int | None
-    proved_s: float
+    confirmed_s: float
     after_outage: bool
 
     @property
@@ -127,8 +128,8 @@
                 return
         match found:
             case Ok(listing):
-                proved_s = asked_s + listing.proved_after_s
-                update = Update(listing, base, proved_s, self._failures > 0)
+                confirmed_s = asked_s + listing.proved_after_s
+                update = Update(listing, base, confirmed_s, self._failures > 0)
                 self._apply(update)
                 if base is not None and update.has_changes:
                     await trio.sleep(self._pace.pause_s())
@@ -144,9 +145,9 @@
             self._take(update)
         position = update.listing.position
         if update.is_full_listing:
-            self._followed.take_listing(position, update.proved_s)
+            self._followed.take_listing(position, update.confirmed_s)
         else:
-            self._followed.take_changes(position, update.has_changes, update.proved_s)
+            self._followed.take_changes(position, update.has_changes, update.confirmed_s)
         if update.is_full_listing:
             self._failures = 0
 
--- a/yewloom/intake.py
+++ b/yewloom/intake.py
@@ -34,21 +34,21 @@
     def take(self, update: Update) -> None:
         """Apply the configurations of an update, and confirm the current configuration."""
         for stored in update.listing.objects:
-            self._apply(stored, update.proved_s, "store")
+            self._apply(stored, update.confirmed_s, "store")
         if self._book.current is not None:
-            self._book.confirm(update.proved_s)
+            self._book.confirm(update.confirmed_s)
 
     def take_from_peer(self, stored: StoredObject) -> None:
         """Apply a configuration that a peer read; this does not confirm that it is current."""
         self._apply(stored, float("-inf"), "peer")
 
-    def _apply(self, stored: StoredObject, proved_s: float, source: str) -> None:
+    def _apply(self, stored: StoredObject, confirmed_s: float, source: str) -> None:
         try:
             configuration = self._records.decode_configuration(stored)
         except RecordError as error:
             logger.error("invalid configuration", reason=str(error), revision=stored.version)
             return
-        if configuration is not None and self._book.apply(configuration, proved_s):
+        if configuration is not None and self._book.apply(configuration, confirmed_s):
             self.latest = stored
             logger.info("configuration applied", version=configuration.version, source=source)
 
--- a/yewloom/peer_turns.py
+++ b/yewloom/peer_turns.py
@@ -19,11 +19,11 @@
 """Interval between two messages of a host."""
 
 MIN_NEAR_RECIPIENTS = 8
-"""Least number of peers in the same data centre, besides followers, that get each message of a host
-that does not follow the store."""
+"""Minimum number of peers in the same data centre, besides followers, that get each message of a
+host that does not follow the store."""
 
 MIN_REMOTE_RECIPIENTS = 8
-"""Least number of peers in other data centres that get each message."""
+"""Minimum number of peers in other data centres that get each message."""
 
 NEAR_ROUND_S = 1.2
 """Longest time between two messages to a peer in the same data centre."""
--- a/yewloom/tests/test_entry_addresses.py
+++ b/yewloom/tests/test_entry_addresses.py
@@ -117,7 +117,7 @@
                 for host in hosts:
                     nursery.start_soon(host.exchange.run)
                 with trio.fail_after(LIMIT_S):
-                    while not all(h.board.live_peers() for h in hosts):  # noqa: ASYNC110 - no event
+                    while not all(h.board.live_peer_count() for h in hosts):  # noqa: ASYNC110 - no event
                         await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
 
--- a/yewloom/tests/test_entry_states.py
+++ b/yewloom/tests/test_entry_states.py
@@ -57,7 +57,7 @@
         board.take(_state(1, running=5), 0.0)
         board.drop_silent(MIN_STATE_TTL_S + 0.1)
         self.assertEqual(board.running(HostId("a")), 0)
-        self.assertEqual(board.live_peers(), 0)
+        self.assertEqual(board.live_peer_count(), 0)
 
     def test_report_is_dated_to_the_echoed_message_of_this_host(self) -> None:
         board = PeerBoard(ME, HALL, STARTED_UNIX_MS)
--- a/yewloom/tests/test_followed_position.py
+++ b/yewloom/tests/test_followed_position.py
@@ -136,7 +136,7 @@
         followed = self.hosts[number].followed
         report = followed.report(1e6)
         if report is not None:
-            self.sent_reports.append((report, round(max(followed.proved_s, 0.0))))
+            self.sent_reports.append((report, round(max(followed.confirmed_s, 0.0))))
 
     @rule(number=st.integers(0, 2), pick=st.integers(0, 100))
     def receive_report(self, number: int, pick: int) -> None:
@@ -155,8 +155,8 @@
         """A confirmation at some revision means that no change up to it is missing."""
         for host in self.hosts:
             followed = host.followed
-            if followed.position is not None and followed.proved_s > 0:
-                assert host.value >= self.store.value_at(round(followed.proved_s))
+            if followed.position is not None and followed.confirmed_s > 0:
+                assert host.value >= self.store.value_at(round(followed.confirmed_s))
 
 
 TestRelay = RelayMachine.TestCase
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -84,7 +84,7 @@
     def test_update_is_dated_to_the_start_of_its_call_or_to_proved_after_s(self) -> None:
         proved = Listing([], 7, proved_after_s=0.4)
         updates = _follow(_ScriptedPlatform(Listing([], 5), proved))
-        self.assertAlmostEqual(updates[1].proved_s - updates[0].proved_s, 0.5 + 0.4)
+        self.assertAlmostEqual(updates[1].confirmed_s - updates[0].confirmed_s, 0.5 + 0.4)
 
     def test_expired_position_is_listed_again_at_once_and_is_no_outage(self) -> None:
         platform = _ScriptedPlatform(Listing([], 5), EXPIRED, Listing([], 9))
--- a/yewloom/watchers.py
+++ b/yewloom/watchers.py
@@ -54,7 +54,7 @@
     async def _recheck(self, pause_s: float) -> None:
         """Check after a random pause whether the platform answers again.
 
-        The pause is long, since all hosts may be waiting for the platform at the same time.
+        The pause may be MAX_RECHECK_FACTOR poll intervals long, since all hosts may be waiting.
         """
         self._position = None
         await trio.sleep(pause_s * self._node.rng.uniform(1, MAX_RECHECK_FACTOR))
