--- a/yewloom/entry_exchange.py
+++ b/yewloom/entry_exchange.py
@@ -161,7 +161,7 @@
             arrived_s = now_s - self._late_s()
             for message in self._read_pending():
                 self._add_reported_address(message.state)
-                self._intake.take(message, now_s, arrived_s)
+                self._intake.process(message, now_s, arrived_s)
 
     def _add_reported_address(self, state: EntryState) -> None:
         """Add the address of a peer that has not received a message from this host yet.
--- a/yewloom/followed_position.py
+++ b/yewloom/followed_position.py
@@ -34,14 +34,14 @@
         """Reset the position, since changes may have been missed."""
         self.position = None
 
-    def take_listing(self, position: int, confirmed_s: float) -> None:
+    def record_listing(self, position: int, confirmed_s: float) -> None:
         """Record a full listing as of a position, current at ``confirmed_s``."""
         if self.position is None or position > self.position:
             self.changed_at = position
             self._withhold_until_s = confirmed_s + LISTING_REPORT_DELAY_S
         self._advance(position, confirmed_s)
 
-    def take_changes(self, position: int, has_changed: bool, confirmed_s: float) -> None:
+    def record_changes(self, position: int, has_changed: bool, confirmed_s: float) -> None:
         """Record all changes up to a position, current at ``confirmed_s``; there may be none."""
         if has_changed:
             self.changed_at = max(self.changed_at, position)
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -145,9 +145,9 @@
             self._take(update)
         position = update.listing.position
         if update.is_full_listing:
-            self._followed.take_listing(position, update.confirmed_s)
+            self._followed.record_listing(position, update.confirmed_s)
         else:
-            self._followed.take_changes(position, update.has_changes, update.confirmed_s)
+            self._followed.record_changes(position, update.has_changes, update.confirmed_s)
         if update.is_full_listing:
             self._failures = 0
 
--- a/yewloom/intake.py
+++ b/yewloom/intake.py
@@ -38,7 +38,7 @@
         if self._book.current is not None:
             self._book.confirm(update.confirmed_s)
 
-    def take_from_peer(self, stored: StoredObject) -> None:
+    def apply_from_peer(self, stored: StoredObject) -> None:
         """Apply a configuration that a peer read; this does not confirm that it is current."""
         self._apply(stored, float("-inf"), "peer")
 
@@ -102,7 +102,7 @@
         """Apply changes received from a peer, unless earlier ones are missing here."""
         if self._followed.can_apply(changes.base, changes.position):
             self._apply(changes)
-            self._followed.take_changes(changes.position, True, float("-inf"))
+            self._followed.record_changes(changes.position, True, float("-inf"))
 
     def _apply(self, changes: ChangedEndpoints) -> None:
         for endpoint in changes.endpoints:
--- a/yewloom/peer_configurations.py
+++ b/yewloom/peer_configurations.py
@@ -49,7 +49,7 @@
 
     latest: StoredObject | None
 
-    def take_from_peer(self, stored: StoredObject) -> None:
+    def apply_from_peer(self, stored: StoredObject) -> None:
         """Apply a configuration that a peer read from the store."""
         ...
 
@@ -80,7 +80,7 @@
         await reply.send_whole(OK, [], shared.SerializeToString())
 
     async def run(self) -> None:
-        """Until cancelled, get newer configurations from peers if the store does not answer."""
+        """Until cancelled, get newer configurations from peers if the store does not send them."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
             if self._book.is_outdated:
@@ -101,7 +101,7 @@
                 logger.info("cannot get configuration from peer", peer=address, reason=str(error))
                 return
             if shared is not None:
-                self._receiver.take_from_peer(
+                self._receiver.apply_from_peer(
                     StoredObject(shared.key, shared.version, shared.value)
                 )
         if limit.cancelled_caught:
--- a/yewloom/peer_intake.py
+++ b/yewloom/peer_intake.py
@@ -27,7 +27,7 @@
         board: PeerBoard,
         book: ConfigurationBook,
         followed_endpoints: FollowedPosition,
-        take_changes: Callable[[ChangedEndpoints], None],
+        apply_changes: Callable[[ChangedEndpoints], None],
         reports: PeerReports,
         read_configuration: Callable[[], None],
         topics: Sequence[PeerTopic],
@@ -36,26 +36,26 @@
         self._board = board
         self._book = book
         self._followed_endpoints = followed_endpoints
-        self._take_changes = take_changes
+        self._apply_changes = apply_changes
         self._reports = reports
         self._read_configuration = read_configuration
         self._requested_version = 0
 
-    def take(self, message: EntryMessage, now_s: float, arrived_s: float) -> None:
+    def process(self, message: EntryMessage, now_s: float, arrived_s: float) -> None:
         """Process a message read at ``now_s`` that arrived at ``arrived_s`` at the earliest.
 
         Its reports on groups are dated to ``arrived_s``, since they may be outdated by now.
         """
         match message.WhichOneof("content"):
             case "state":
-                self._take_state(message.state, now_s, arrived_s)
+                self._process_state(message.state, now_s, arrived_s)
             case "changes":
-                self._take_endpoint_changes(message.changes)
+                self._process_endpoint_changes(message.changes)
 
-    def _take_state(self, state: EntryState, now_s: float, arrived_s: float) -> None:
+    def _process_state(self, state: EntryState, now_s: float, arrived_s: float) -> None:
         confirmed = self._board.take(state, now_s)
         if confirmed.configuration is not None:
-            self._take_configuration(confirmed.configuration)
+            self._process_configuration(confirmed.configuration)
         if confirmed.listing is not None:
             self._followed_endpoints.on_peer_report(
                 confirmed.listing.report, confirmed.listing.confirmed_s, now_s
@@ -69,7 +69,7 @@
         for topic in self._topics:
             topic.take(state, arrived_s, now_s)
 
-    def _take_configuration(self, confirmed: ConfirmedConfiguration) -> None:
+    def _process_configuration(self, confirmed: ConfirmedConfiguration) -> None:
         current = self._book.current
         self._book.note_version(confirmed.version)
         if current is None:
@@ -81,10 +81,10 @@
             logger.info("peer has a newer configuration", version=confirmed.version)
             self._read_configuration()
 
-    def _take_endpoint_changes(self, message: EndpointChanges) -> None:
+    def _process_endpoint_changes(self, message: EndpointChanges) -> None:
         try:
             changes = decode_changes(message)
         except ValueError as error:
             logger.error("invalid endpoint changes from peer", reason=str(error))
             return
-        self._take_changes(changes)
+        self._apply_changes(changes)
--- a/yewloom/tests/test_entry_addresses.py
+++ b/yewloom/tests/test_entry_addresses.py
@@ -54,7 +54,7 @@
         times = FollowTimes(0.8, 1.15, 1.3)
         duty = FollowDuty(host, self.board, lambda: Standing(False, False), times, 0.5)
         intake = Mock(spec=PeerIntake)
-        intake.take = lambda message, now_s, came_s: self.board.take(message.state, now_s)
+        intake.process = lambda message, now_s, arrived_s: self.board.take(message.state, now_s)
         own_state = cast(OwnState, _OwnState(host))
         self.exchange = EntryExchange(self.addresses, self.board, duty, own_state, intake)
 
--- a/yewloom/tests/test_followed_position.py
+++ b/yewloom/tests/test_followed_position.py
@@ -17,7 +17,7 @@
 
     def setUp(self) -> None:
         self.followed = FollowedPosition()
-        self.followed.take_changes(10, True, 1.0)
+        self.followed.record_changes(10, True, 1.0)
 
     def test_report_of_a_peer_without_further_changes_confirms_the_position(self) -> None:
         self.followed.on_peer_report(ListingWord(changed_at=10, position=30), 5.0, 6.0)
@@ -35,12 +35,12 @@
         self.followed.on_peer_report(report, 5.9, 6.2)
         self.assertLess(self.followed.age_s(6.0 + RELAY_GRACE_S - 0.01), INF)
         self.assertEqual(self.followed.age_s(6.0 + RELAY_GRACE_S + 0.01), INF)
-        self.followed.take_changes(12, True, 6.3)
+        self.followed.record_changes(12, True, 6.3)
         self.assertAlmostEqual(self.followed.age_s(6.5), 0.2)
 
     def test_listing_is_reported_once_the_last_change_before_it_is_known(self) -> None:
         self.followed.forget()
-        self.followed.take_listing(20, 2.0)
+        self.followed.record_listing(20, 2.0)
         self.assertIsNone(self.followed.report(2.1))
         # A report from before the listing does not cover the time in between.
         self.followed.on_peer_report(ListingWord(changed_at=12, position=19), 2.0, 2.2)
@@ -52,7 +52,7 @@
 
     def test_listing_is_reported_after_a_delay_if_its_last_change_stays_unknown(self) -> None:
         self.followed.forget()
-        self.followed.take_listing(20, 2.0)
+        self.followed.record_listing(20, 2.0)
         report = self.followed.report(2.0 + LISTING_REPORT_DELAY_S)
         assert report is not None
         self.assertEqual((report.changed_at, report.position), (20, 20))
@@ -111,9 +111,9 @@
         has_changed = base is None or value > base
         host.value = value
         if base is None:
-            host.followed.take_listing(now, float(now))
+            host.followed.record_listing(now, float(now))
         else:
-            host.followed.take_changes(now, has_changed, float(now))
+            host.followed.record_changes(now, has_changed, float(now))
         if base is not None and has_changed:
             self.sent_changes.append((base, now, value))
 
@@ -129,7 +129,7 @@
         host = self.hosts[number]
         if host.followed.can_apply(base, position):
             host.value = value
-            host.followed.take_changes(position, True, float("-inf"))
+            host.followed.record_changes(position, True, float("-inf"))
 
     @rule(number=st.integers(0, 2))
     def send_report(self, number: int) -> None:
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -142,7 +142,7 @@
                 nursery.start_soon(follower.run)
                 await trio.sleep(5)
                 self.assertTrue(followed.can_apply(5, 9))
-                followed.take_changes(9, True, float("-inf"))
+                followed.record_changes(9, True, float("-inf"))
                 self.assertFalse(follower.is_answered)
                 await trio.sleep(20)
                 self.assertTrue(follower.is_answered)
@@ -185,7 +185,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(0.7)  # The watch from 5 is in progress.
-                followed.take_changes(9, True, 0.0)
+                followed.record_changes(9, True, 0.0)
                 await trio.sleep(5)
                 nursery.cancel_scope.cancel()
 
--- a/yewloom/tests/test_intake.py
+++ b/yewloom/tests/test_intake.py
@@ -37,7 +37,7 @@
             StoreRecords(), self.directory, selector, self.followed, self.sent.append
         )
         self.directory.put(make_plain("a"))
-        self.followed.take_listing(5, 0.0)
+        self.followed.record_listing(5, 0.0)
 
     def test_changes_of_a_watch_are_sent_to_peers_but_an_empty_watch_is_not(self) -> None:
         self.intake.take(Update(Listing([], 7), 5, 0.0, False))
@@ -110,7 +110,7 @@
             self.restarted.append,
         )
         self.directory.put(replace(make_plain("a"), started_unix_ms=7))
-        self.followed.take_listing(5, 0.0)
+        self.followed.record_listing(5, 0.0)
         self.selector.avoid(HostId("a"), 100.0)
 
     def _is_avoided(self) -> bool:
@@ -151,7 +151,7 @@
 
     def test_late_change_from_a_peer_about_the_earlier_process_is_ignored(self) -> None:
         self._take(9, "watch")
-        self.followed.take_changes(9, True, 0.0)
+        self.followed.record_changes(9, True, 0.0)
         late = replace(make_plain("a"), started_unix_ms=7)
         self.intake.take_told(ChangedEndpoints(5, 8, [late], []))
         self.assertEqual(self.directory.by_id[HostId("a")].started_unix_ms, 9)
--- a/yewloom/tests/test_peer_configurations.py
+++ b/yewloom/tests/test_peer_configurations.py
@@ -145,7 +145,7 @@
         async def test(nursery: trio.Nursery) -> None:
             host = Host()
             host.read(_stored(3, "k1"))
-            host.intake.take_from_peer(_stored(2, "k1", "k2"))
+            host.intake.apply_from_peer(_stored(2, "k1", "k2"))
             assert host.book.current is not None
             self.assertEqual(host.book.current.version, 3)
             self.assertEqual(host.intake.latest, _stored(3, "k1"))
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -1,6 +1,6 @@
 """Tests of the reports on groups, crashes and limits that entry hosts send to each other.
 
-The reports are encoded, sent and processed as in production.
+A report is written into a message, encoded, decoded and processed by the recipient.
 """
 
 import unittest
@@ -82,7 +82,7 @@
     def send_to(self, other: "Host", now_s: float, read_delay_s: float = 0.0) -> None:
         """Send a message that the other host reads after a delay; both have the same clock."""
         sent = EntryMessage(state=self.message(now_s)).SerializeToString()
-        other._intake.take(EntryMessage.FromString(sent), now_s + read_delay_s, now_s)
+        other._intake.process(EntryMessage.FromString(sent), now_s + read_delay_s, now_s)
 
 
 class TestSuspectedGroups(unittest.TestCase):
