--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -76,13 +76,13 @@
     Removal(
         "a data centre found to be cut off",
         "reachability",
-        "return len(failed) >= ENDPOINTS_OF_A_CUT",
+        "return len(failed) >= CUT_OFF_THRESHOLD",
         "return False",
     ),
     Removal(
         "endpoints that can't be reached are avoided",
         "reachability",
-        "return endpoint.id in self._lost or endpoint.data_centre in self._cut",
+        "return endpoint.id in self._unreachable or endpoint.data_centre in self._cut_off",
         "return False",
     ),
     Removal(
@@ -124,14 +124,16 @@
     Removal(
         "groups that stand still are left",
         "stalls",
-        "return now_s - pace.read_s >= (TOLD_QUIET_S if is_told else pace.quiet_limit_s)",
+        "return now_s - activity.last_read_s >= (\n"
+        "            PEER_REPORTED_QUIET_S if is_reported_by_peer else activity.quiet_limit_s\n"
+        "        )",
         "return False",
     ),
     Removal(
         "a peer's word that a group stands still",
         "stalls",
-        "is_told = self._still_by_peers.has(head, now_s)",
-        "is_told = False",
+        "is_reported_by_peer = self._stalled_by_peers.has(leader, now_s)",
+        "is_reported_by_peer = False",
     ),
     Removal(
         "callers may connect from the first moment",
--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -170,7 +170,7 @@
     Mutation(
         "answers: one that is here when the time runs out is passed on",
         "forwarding",
-        "if request.answer is not None:",
+        "if request.response is not None:",
         "if False:",
         "test_forwarding_stop",
     ),
@@ -233,14 +233,14 @@
     Mutation(
         "reachability: a cut data centre is found by two endpoints",
         "reachability",
-        "return len(failed) >= ENDPOINTS_OF_A_CUT",
+        "return len(failed) >= CUT_OFF_THRESHOLD",
         "return False",
         "test_reachability",
     ),
     Mutation(
         "reachability: a probe that is answered ends the suspicion",
         "reachability",
-        "self._cut.pop(endpoint.data_centre, None)",
+        "self._cut_off.pop(endpoint.data_centre, None)",
         "pass",
         "test_reachability",
     ),
@@ -310,21 +310,22 @@
     Mutation(
         "streams: one that can't go on elsewhere is not left",
         "endpoint_choice",
-        "        return request.claimed is not None",
+        "        return request.reserved is not None",
         "        return True",
         "test_forwarding",
     ),
     Mutation(
         "streams: one that is left for another endpoint gets that one",
         "endpoint_choice",
-        "        request.claimed = self._take(request)\n        return request.claimed is not None",
-        "        return self._best(request) is not None",
+        "        request.reserved = self._reserve(request)\n"
+        "        return request.reserved is not None",
+        "        return self._select(request) is not None",
         "test_forwarding",
     ),
     Mutation(
         "forwarding: a claim that was not used is given back",
         "endpoint_choice",
-        "            self._selector.end(request.claimed.id)\n",
+        "            self._selector.end(request.reserved.id)\n",
         "",
         "test_forwarding",
     ),
--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -27,14 +27,14 @@
     Mutation(
         "stalls: a peer's word needs this host's own silence",
         "stalls",
-        "TOLD_QUIET_S if is_told else pace.quiet_limit_s",
-        "0.0 if is_told else pace.quiet_limit_s",
+        "PEER_REPORTED_QUIET_S if is_reported_by_peer else activity.quiet_limit_s",
+        "0.0 if is_reported_by_peer else activity.quiet_limit_s",
         "test_stalls",
     ),
     Mutation(
         "selection: a slow group is tried again",
         "event_paces",
-        "now_s - pace.noted_s <= RECENT_S",
+        "now_s - interval.updated_s <= RECENT_S",
         "True",
         "test_event_paces",
     ),
@@ -76,7 +76,7 @@
     Mutation(
         "restart: reports of the old process count no more",
         "stalls",
-        "            reports.drop(head)\n",
+        "            reports.drop(leader)\n",
         "            pass\n",
         "test_stalls",
     ),
--- a/yewloom/attempts.py
+++ b/yewloom/attempts.py
@@ -1,7 +1,7 @@
-"""What was sent to which endpoint for one request, and what its caller may be told.
+"""Track the attempts to deliver one request, and derive what its caller may be told.
 
-A refusal promises that the request has not run and never will; it is given only when the record
-proves it.
+A refusal promises that the request has not run and never will, so a request is refused only if the
+record proves it.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 
 class AttemptState(Enum):
-    """How far a request came at one endpoint."""
+    """How far an attempt at one endpoint got."""
 
     NOTHING_SENT = "nothing_sent"
     SENT = "sent"
@@ -20,58 +20,58 @@
     ANSWERED = "answered"
 
 
-class FinalAnswer(Enum):
-    """The final answer to a request that no endpoint answered."""
+class FailureResponse(Enum):
+    """The response to a request that no endpoint answered."""
 
     REFUSED = "refused"
     MAY_HAVE_RUN = "may_have_run"
     TIMED_OUT = "timed_out"
 
 
-_PROVED_NOT_RUN = {AttemptState.NOTHING_SENT, AttemptState.NOT_RUN}
+_KNOWN_NOT_RUN = {AttemptState.NOTHING_SENT, AttemptState.NOT_RUN}
 
 
 @dataclass
 class AttemptRecord:
-    """The endpoints that one request was sent to, in order."""
+    """The endpoints that were chosen for one request, in order, with the state of each attempt."""
 
     route: Route
     states: dict[HostId, AttemptState] = field(default_factory=dict)
 
     def begin(self, endpoint: HostId) -> None:
-        """Note that an endpoint was chosen; nothing is sent yet."""
+        """Record that an endpoint was chosen; nothing has been sent yet."""
         self.states[endpoint] = AttemptState.NOTHING_SENT
 
-    def note(self, endpoint: HostId, state: AttemptState) -> None:
-        """Note how far the request came."""
+    def set_state(self, endpoint: HostId, state: AttemptState) -> None:
+        """Record how far the attempt at an endpoint got."""
         self.states[endpoint] = state
 
     @property
-    def is_proved_not_run(self) -> bool:
-        """Tell whether no endpoint can have run the request."""
-        return all(state in _PROVED_NOT_RUN for state in self.states.values())
+    def is_known_not_run(self) -> bool:
+        """Return whether it is certain that no endpoint ran the request."""
+        return all(state in _KNOWN_NOT_RUN for state in self.states.values())
 
     @property
     def is_answered(self) -> bool:
-        """Tell whether an endpoint gave the answer that the caller gets."""
+        """Return whether an endpoint gave the response that the caller gets."""
         return AttemptState.ANSWERED in self.states.values()
 
     @property
     def may_try_another(self) -> bool:
-        """Tell whether one more endpoint may get the request."""
-        if self._reached() >= max(1, self.route.max_endpoints):
+        """Return whether the request may be sent to one more endpoint."""
+        if self._endpoints_reached() >= max(1, self.route.max_endpoints):
             return False
-        return self.is_proved_not_run or self.route.may_repeat
+        return self.is_known_not_run or self.route.may_repeat
 
-    def is_repeat(self) -> bool:
-        """Tell whether the next sending would be one beyond the first."""
-        return self._reached() > 0
+    def is_retry(self) -> bool:
+        """Return whether the next attempt would be a retry, i.e. something was sent before."""
+        return self._endpoints_reached() > 0
 
-    def final_answer(self, is_out_of_time: bool) -> FinalAnswer:
-        """Return what the caller is told when no endpoint answered."""
+    def failure_response(self, is_out_of_time: bool) -> FailureResponse:
+        """Return what the caller is told when no endpoint answered the request."""
         if is_out_of_time:
-            return FinalAnswer.TIMED_OUT
-        return FinalAnswer.REFUSED if self.is_proved_not_run else FinalAnswer.MAY_HAVE_RUN
+            return FailureResponse.TIMED_OUT
+        return FailureResponse.REFUSED if self.is_known_not_run else FailureResponse.MAY_HAVE_RUN
 
-    def _reached(self) -> int:
+    def _endpoints_reached(self) -> int:
         return sum(state is not AttemptState.NOTHING_SENT for state in self.states.values())
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -1,4 +1,4 @@
-"""One request at one endpoint: sending it, checking the answer and passing it on."""
+"""Run one attempt: send a request to one endpoint, check the response and forward it."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -24,10 +24,10 @@
 )
 from yewloom.endpoint_choice import EndpointChoice
 from yewloom.endpoint_limits import EndpointLimits
-from yewloom.event_stream import EventSplitter, StreamOrderError
+from yewloom.event_stream import EventSplitter, EventStreamError
 from yewloom.fingerprints import fingerprint_text
 from yewloom.forward_metrics import ForwardMetrics
-from yewloom.forward_request import ForwardRequest, WholeAnswer
+from yewloom.forward_request import BufferedResponse, ForwardRequest
 from yewloom.loop_lateness import LoopLateness
 from yewloom.reachability import Reachability
 from yewloom.selection import Selector
@@ -37,34 +37,35 @@
 logger = structlog.get_logger(__name__)
 
 AVOID_BROKEN_S = 1.0
-"""Time for which an endpoint that broke off gets nothing new."""
+"""Time for which an endpoint that dropped a connection gets no new requests."""
 
 AVOID_FULL_S = 0.15
-"""Time for which an endpoint that said it is full gets nothing new: a few of its batches."""
+"""Time for which an endpoint that reported itself full gets no new requests: a few of its batches.
+"""
 
 SERVER_ERROR = 500
-"""Lowest status that says a request failed at the endpoint."""
+"""Lowest status by which an endpoint reports that a request failed."""
 
-_CUT_OFF = {ExchangeFailure.BROKEN, ExchangeFailure.CUT}
-"""Failures behind which the endpoint's process may have ended."""
+_POSSIBLE_CRASH = {ExchangeFailure.BROKEN, ExchangeFailure.TRUNCATED}
+"""Failures that may mean that the endpoint's process has crashed."""
 
 T = TypeVar("T")
 
 
 class _Stalled(Exception):  # noqa: N818 - ends an attempt
-    """The endpoint's group stands still."""
+    """The endpoint's group has stalled."""
 
 
 @value_class
-class _Answer:
-    """The head of an answer, and what it says."""
+class _Response:
+    """The head of a response, and what its headers say."""
 
     head: AnswerHead
     marks: AnswerMarks
 
 
 class EndpointAttempts:
-    """Sends requests to endpoints over connections of their own."""
+    """Sends requests to endpoints, each over its own connection."""
 
     def __init__(
         self,
@@ -91,14 +92,14 @@
         self._metrics = metrics
 
     async def run(self, request: ForwardRequest, endpoint: Endpoint) -> bool:
-        """Send a request to an endpoint; tell whether its answer is the caller's.
+        """Send a request to an endpoint; return whether its response is the one the caller gets.
 
-        A stream is with the caller by then; a whole answer is kept in the request.
+        A stream has been forwarded by then; a buffered response is stored in the request.
         """
-        is_answered, outcome = await self._try(request, endpoint)
+        is_answered, outcome = await self._run_attempt(request, endpoint)
         self._metrics.on_attempt(outcome.split(":")[0])
         if is_answered:
-            self._note_answer(request)
+            self._clear_crash_suspicion(request)
         else:
             logger.info(
                 "attempt failed",
@@ -110,31 +111,34 @@
             )
         return is_answered
 
-    def _note_answer(self, request: ForwardRequest) -> None:
-        """Clear a request of suspicion that an endpoint answered without failing."""
-        status = request.answer.status if request.answer is not None else request.reply.status
+    def _clear_crash_suspicion(self, request: ForwardRequest) -> None:
+        """Stop suspecting a request of causing crashes if it did not end in a server error."""
+        status = request.response.status if request.response is not None else request.reply.status
         if status < SERVER_ERROR and self._crashes.has_any:
             self._crashes.note_answer(request.fingerprint, trio.current_time())
 
-    async def _try(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
-        """Tell whether the answer is with the caller, and how the attempt ended."""
+    async def _run_attempt(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
+        """Return whether the caller gets this response, and the outcome of the attempt."""
         try:
-            return await self._exchange_again_if_late(request, endpoint)
+            return await self._exchange_unless_late(request, endpoint)
         except ExchangeError as error:
-            outcome = self._note_failure(request, endpoint, error)
-            if error.failure in _CUT_OFF:
+            outcome = self._record_failure(request, endpoint, error)
+            if error.failure in _POSSIBLE_CRASH:
                 await self._crash_checks.note_cut(endpoint, request.fingerprint)
             return False, outcome
         except _Stalled:
             self._avoid_and_report(endpoint, AVOID_STALLED_S)
             return False, "stalled"
-        except StreamOrderError as error:
+        except EventStreamError as error:
             return False, f"unreadable: {error}"
 
-    async def _exchange_again_if_late(
+    async def _exchange_unless_late(
         self, request: ForwardRequest, endpoint: Endpoint
     ) -> tuple[bool, str]:
-        """Connect once more if this host was held up meanwhile: that is no endpoint's fault."""
+        """Run the exchange; connect once more if this host's event loop was delayed meanwhile.
+
+        Such a failure to connect says nothing about the endpoint.
+        """
         try:
             return await self._exchange(request, endpoint)
         except ExchangeError as error:
@@ -142,24 +146,24 @@
                 raise
         return await self._exchange(request, endpoint)
 
-    def _note_failure(
+    def _record_failure(
         self, request: ForwardRequest, endpoint: Endpoint, error: ExchangeError
     ) -> str:
         now_s = trio.current_time()
         if not error.is_sent:
-            request.record.note(endpoint.id, AttemptState.NOTHING_SENT)
+            request.record.set_state(endpoint.id, AttemptState.NOTHING_SENT)
         match error.failure:
             case ExchangeFailure.NOT_CONNECTED | ExchangeFailure.REFUSED:
                 self._reachability.on_failure(endpoint, now_s)
                 self._stalls.report_unreachable(endpoint.id, now_s)
             case ExchangeFailure.BROKEN:
                 self._avoid_and_report(endpoint, AVOID_BROKEN_S)
-            case ExchangeFailure.CUT | ExchangeFailure.UNREADABLE:
-                pass  # It says nothing of other requests: one answer was wrong.
+            case ExchangeFailure.TRUNCATED | ExchangeFailure.UNREADABLE:
+                pass  # One response was wrong, which says nothing about other requests.
         return str(error)
 
     def _avoid_and_report(self, endpoint: Endpoint, avoid_s: float) -> None:
-        """Send an endpoint nothing new for a time, and report it to the coordinator."""
+        """Send an endpoint no new requests for some time, and report it to the coordinator."""
         now_s = trio.current_time()
         self._selector.avoid(endpoint.id, now_s + avoid_s)
         self._stalls.report(endpoint.id, now_s)
@@ -167,24 +171,24 @@
     async def _exchange(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
         async with open_exchange(endpoint.address, CONNECT_TIMEOUT_S) as exchange:
             self._reachability.on_connected(endpoint, trio.current_time())
-            request.record.note(endpoint.id, AttemptState.SENT)
-            await exchange.send(self._outgoing(request, endpoint))
+            request.record.set_state(endpoint.id, AttemptState.SENT)
+            await exchange.send(self._build_outgoing(request, endpoint))
             if not request.route.is_stream:
-                answer = await self._answer(endpoint, exchange)
-                return await self._pass_whole(request, endpoint, exchange, answer)
+                response = await self._read_response_head(endpoint, exchange)
+                return await self._forward_buffered(request, endpoint, exchange, response)
             self._stalls.on_begin(endpoint.id, trio.current_time())
             try:
-                read = partial(self._answer, endpoint, exchange)
-                answer = await self._unless_stalled(request, endpoint, read)
-                if answer.head.status != 200:
-                    return await self._pass_whole(request, endpoint, exchange, answer)
-                self._check_answer(request, answer.marks)
-                return await self._pass_events(request, endpoint, exchange, answer.head)
+                read = partial(self._read_response_head, endpoint, exchange)
+                response = await self._run_unless_stalled(request, endpoint, read)
+                if response.head.status != 200:
+                    return await self._forward_buffered(request, endpoint, exchange, response)
+                self._check_request_id(request, response.marks)
+                return await self._forward_events(request, endpoint, exchange, response.head)
             finally:
                 self._stalls.on_end(endpoint.id)
 
-    async def _answer(self, endpoint: Endpoint, exchange: Exchange) -> _Answer:
-        """Wait for the head of an answer, and take in the limit that it names."""
+    async def _read_response_head(self, endpoint: Endpoint, exchange: Exchange) -> _Response:
+        """Wait for the head of a response, and record the rate limit that it announces."""
         head = await exchange.head()
         marks = self._codec.decode_answer(head)
         limit = marks.limit
@@ -192,14 +196,14 @@
             self._limits.note(endpoint.id, limit.per_s, trio.current_time())
         elif limit.unreadable:
             self._limits.note_unreadable(endpoint.id, limit.unreadable)
-        return _Answer(head, marks)
+        return _Response(head, marks)
 
-    def _outgoing(self, request: ForwardRequest, endpoint: Endpoint) -> OutgoingRequest:
+    def _build_outgoing(self, request: ForwardRequest, endpoint: Endpoint) -> OutgoingRequest:
         resumes = request.cursor.has_events or request.marks.last_event_id > 0
         sending = Sending(
             endpoint=endpoint.id,
             customer=request.customer,
-            deadline_ms=max(1, request.left_ms(trio.current_time())),
+            deadline_ms=max(1, request.remaining_ms(trio.current_time())),
             last_event_id=request.cursor.last_event_id if resumes else None,
         )
         source = request.source
@@ -208,63 +212,64 @@
             headers.append((b"content-length", str(len(source.body)).encode()))
         return OutgoingRequest(source.method, source.target, headers, source.body)
 
-    def _check_answer(self, request: ForwardRequest, marks: AnswerMarks) -> None:
-        """Raise ExchangeError unless an answer belongs to the request."""
+    def _check_request_id(self, request: ForwardRequest, marks: AnswerMarks) -> None:
+        """Raise ExchangeError unless the response belongs to the request."""
         if marks.request_id != request.marks.request_id:
             raise ExchangeError(ExchangeFailure.UNREADABLE, True, "answer to another request")
 
-    async def _pass_whole(
+    async def _forward_buffered(
         self,
         request: ForwardRequest,
         endpoint: Endpoint,
         exchange: Exchange,
-        answer: _Answer,
+        response: _Response,
     ) -> tuple[bool, str]:
-        """Keep an answer for the caller once it is whole, unless another endpoint may do better."""
-        head = answer.head
-        if answer.marks.is_not_run:
-            request.record.note(endpoint.id, AttemptState.NOT_RUN)
+        """Buffer a complete response for the caller, unless the request is retried elsewhere."""
+        head = response.head
+        if response.marks.is_not_run:
+            request.record.set_state(endpoint.id, AttemptState.NOT_RUN)
             self._selector.avoid(endpoint.id, trio.current_time() + AVOID_FULL_S)
             return False, f"not run: status {head.status}"
-        self._check_answer(request, answer.marks)
+        self._check_request_id(request, response.marks)
         body = await exchange.whole_body()
-        if head.status >= SERVER_ERROR and self._choice.claim_another(request):
+        if head.status >= SERVER_ERROR and self._choice.reserve_another(request):
             return False, f"failed: status {head.status}"
-        request.record.note(endpoint.id, AttemptState.ANSWERED)
+        request.record.set_state(endpoint.id, AttemptState.ANSWERED)
         if request.reply.is_started:
             return False, f"failed: status {head.status} in the middle of a stream"
-        request.answer = WholeAnswer(head.status, self._codec.returned_headers(head), body)
+        request.response = BufferedResponse(head.status, self._codec.returned_headers(head), body)
         return True, "answered"
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         request: ForwardRequest,
         endpoint: Endpoint,
         exchange: Exchange,
         head: AnswerHead,
     ) -> tuple[bool, str]:
-        """Pass on events as they come; the answer begins with its first event."""
+        """Forward events as they arrive; the caller's response starts with the first event."""
         splitter = EventSplitter()
-        last_s: float | None = None
+        last_event_s: float | None = None
         while True:
-            chunk = await self._unless_stalled(request, endpoint, exchange.next_chunk)
+            chunk = await self._run_unless_stalled(request, endpoint, exchange.read_chunk)
             if chunk is None:
                 break
             now_s, late_s = trio.current_time(), self._lateness.late_s()
             self._stalls.on_event(endpoint.id, now_s, late_s)
-            if last_s is not None and not late_s:  # Else the pause was this host's own.
-                self._selector.paces.note(endpoint.id, now_s - last_s, now_s)
-            last_s = now_s
+            # If this host's event loop was delayed, the interval says nothing about the endpoint.
+            if last_event_s is not None and not late_s:
+                self._selector.event_intervals.record(endpoint.id, now_s - last_event_s, now_s)
+            last_event_s = now_s
             data = b"".join(e.data for e in splitter.feed(chunk) if request.cursor.accept(e))
             if data:
-                await self._pass_data(request, head, data)
-        if splitter.has_rest or not request.reply.is_started:
+                await self._forward_data(request, head, data)
+        if splitter.has_partial_event or not request.reply.is_started:
             raise ExchangeError(ExchangeFailure.BROKEN, True, "the stream ended inside an event")
-        request.record.note(endpoint.id, AttemptState.ANSWERED)
+        request.record.set_state(endpoint.id, AttemptState.ANSWERED)
         await request.reply.finish()
         return True, "answered"
 
-    async def _pass_data(self, request: ForwardRequest, head: AnswerHead, data: bytes) -> None:
+    async def _forward_data(self, request: ForwardRequest, head: AnswerHead, data: bytes) -> None:
         if request.reply.is_started:
             await request.reply.send(data)
             return
@@ -272,23 +277,24 @@
         headers: list[Header] = self._codec.returned_headers(head)
         await request.reply.start(head.status, headers, data)
 
-    async def _unless_stalled(
+    async def _run_unless_stalled(
         self, request: ForwardRequest, endpoint: Endpoint, step: Callable[[], Awaitable[T]]
     ) -> T:
-        """Run a step that may be cancelled and begun again.
+        """Run a step that may be cancelled and restarted.
 
-        Raises _Stalled when the group stands still and another one could go on. A host that was
-        held up looks twice: what came meanwhile may not have been read yet.
+        Raises _Stalled if the group has stalled and another endpoint can take over. If this host's
+        event loop was delayed, checks once more first: events that arrived in the meantime may not
+        have been read yet.
         """
         if not request.route.may_repeat:
             return await step()
         was_late = False
         while True:
-            look_s = self._stalls.next_look_s(endpoint.id, trio.current_time())
-            with trio.move_on_at(look_s):
+            check_s = self._stalls.next_check_s(endpoint.id, trio.current_time())
+            with trio.move_on_at(check_s):
                 return await step()
             is_stalled = self._stalls.is_stalled(endpoint.id, trio.current_time())
             if is_stalled and not was_late and self._lateness.late_s():
                 was_late = True
-            elif is_stalled and self._choice.claim_another(request):
+            elif is_stalled and self._choice.reserve_another(request):
                 raise _Stalled
--- a/yewloom/endpoint_calls.py
+++ b/yewloom/endpoint_calls.py
@@ -1,8 +1,9 @@
-"""One request at one endpoint, over a connection of its own.
+"""Exchange one request and response with an endpoint, over a dedicated connection.
 
-h11 frames the bytes and trio carries them, rather than a pooled client: whether the first byte of
-a request was sent, whether an answer ended by its framing or by a reset, and bytes that follow an
-answer all decide what a caller may be told (docs/DESIGN.md).
+This uses h11 for framing and trio for transport rather than a pooled HTTP client. What a caller may
+be told depends on details that such a client hides: whether the first byte of the request was sent,
+whether the response ended by its framing or by a reset, and whether bytes follow the response
+(docs/DESIGN.md).
 """
 
 from collections.abc import AsyncIterator, Sequence
@@ -18,34 +19,40 @@
 Header = tuple[bytes, bytes]
 
 CONNECT_TIMEOUT_S = 0.25
-"""Longest wait for a connection: the way between data centres takes some milliseconds, and a lost
-opening packet is sent again only after a second."""
+"""Timeout for connecting. The latency between data centres is a few milliseconds, and a lost SYN
+packet is retransmitted only after a second."""
 
 READ_BYTES = 65536
-"""Bytes asked from a connection at once."""
+"""Most bytes to read from a connection at once."""
 
 MAX_ANSWER_HEAD_BYTES = 65536
-"""Longest status line and headers that are taken from an endpoint."""
+"""Longest status line and headers, together, that are accepted from an endpoint."""
 
 MAX_WHOLE_ANSWER_BYTES = 16 << 20
-"""Longest answer that is held until it is whole; plain services answer with some kilobytes."""
+"""Longest response body that is buffered; responses of plain services have a few kilobytes."""
 
 
 class ExchangeFailure(Enum):
     """How an exchange with an endpoint failed.
 
-    ``REFUSED``: its host answered that nobody listens there. ``CUT``: the answer ended too soon.
+    ``REFUSED``: the endpoint's host rejected the connection because nothing listens on the port.
+    ``BROKEN``: the connection ended without a complete response.
+    ``TRUNCATED``: the connection ended before the response that its framing announced.
+    ``UNREADABLE``: the response violates the protocol, is too long or belongs to another request.
     """
 
     NOT_CONNECTED = "not_connected"
     REFUSED = "refused"
     BROKEN = "broken"
-    CUT = "cut"
+    TRUNCATED = "cut"
     UNREADABLE = "unreadable"
 
 
 class ExchangeError(Exception):
-    """An endpoint gave no whole answer; ``is_sent`` says whether any byte may have reached it."""
+    """An endpoint gave no complete response.
+
+    ``is_sent`` says whether any byte of the request may have reached it.
+    """
 
     def __init__(self, failure: ExchangeFailure, is_sent: bool, detail: str) -> None:
         super().__init__(f"{failure.value}: {detail}")
@@ -55,7 +62,7 @@
 
 @value_class
 class OutgoingRequest:
-    """A request as an endpoint gets it, with all its headers."""
+    """A request as it is sent to an endpoint, with all its headers."""
 
     method: bytes
     target: bytes
@@ -65,18 +72,18 @@
 
 @value_class
 class AnswerHead:
-    """Status and headers of an endpoint's answer; header names are in lower case."""
+    """Status and headers of an endpoint's response; header names are in lower case."""
 
     status: int
     headers: Sequence[Header]
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the value of a header; None if there is none."""
+        """Return the value of a header, or None if it is missing."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class Exchange:
-    """A request that was sent, and its answer."""
+    """One request and its response on a connection."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
@@ -85,7 +92,7 @@
         )
 
     async def send(self, request: OutgoingRequest) -> None:
-        """Send the whole request; an answer that comes before its end stops the sending."""
+        """Send the whole request; stop sending if the response starts before that."""
         data = self._connection.send(
             h11.Request(method=request.method, target=request.target, headers=list(request.headers))
         )
@@ -96,12 +103,12 @@
             await self._write(data)
             return
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._stop_when_answered, nursery.cancel_scope)
+            nursery.start_soon(self._stop_on_early_response, nursery.cancel_scope)
             await self._write(data)
             nursery.cancel_scope.cancel()
 
     async def head(self) -> AnswerHead:
-        """Wait for the status and the headers."""
+        """Wait for the status and headers of the response."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -109,10 +116,10 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise ExchangeError(ExchangeFailure.BROKEN, True, "no answer")
 
-    async def next_chunk(self) -> bytes | None:
-        """Return the next part of the body, or None where the answer is whole.
+    async def read_chunk(self) -> bytes | None:
+        """Return the next chunk of the body, or None if the response is complete.
 
-        A call that was cancelled may be made again.
+        May be called again after it was cancelled.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -124,7 +131,7 @@
     async def whole_body(self) -> bytes:
         """Wait for the whole body."""
         body = bytearray()
-        while (chunk := await self.next_chunk()) is not None:
+        while (chunk := await self.read_chunk()) is not None:
             body += chunk
             if len(body) > MAX_WHOLE_ANSWER_BYTES:
                 raise ExchangeError(ExchangeFailure.UNREADABLE, True, "the answer is too long")
@@ -134,10 +141,10 @@
         try:
             await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The endpoint may have answered and closed before it read everything: the read tells.
+            # The endpoint may have responded and closed before it read everything; reading shows.
             return
 
-    async def _stop_when_answered(self, scope: trio.CancelScope) -> None:
+    async def _stop_on_early_response(self, scope: trio.CancelScope) -> None:
         try:
             data = await self._stream.receive_some(READ_BYTES)
         except trio.BrokenResourceError:
@@ -156,9 +163,9 @@
                     raise ExchangeError(ExchangeFailure.BROKEN, True, "closed before its answer")
                 self._connection.receive_data(data)
             except h11.RemoteProtocolError as error:
-                # The last bytes that were handed over are the stream's end, if it has ended.
+                # trailing_data[1] says whether h11 has been told of the end of the stream.
                 has_ended = self._connection.trailing_data[1]
-                failure = ExchangeFailure.CUT if has_ended else ExchangeFailure.UNREADABLE
+                failure = ExchangeFailure.TRUNCATED if has_ended else ExchangeFailure.UNREADABLE
                 raise ExchangeError(failure, True, str(error)) from error
             except trio.BrokenResourceError as error:
                 raise ExchangeError(ExchangeFailure.BROKEN, True, "the connection broke") from error
@@ -166,9 +173,9 @@
 
 @asynccontextmanager
 async def open_exchange(address: str, connect_timeout_s: float) -> AsyncIterator[Exchange]:
-    """Connect to an endpoint; raises ExchangeError with nothing sent if that fails.
+    """Connect to an endpoint; raise ExchangeError with ``is_sent`` False if that fails.
 
-    The connection is dropped at the end, whatever state it is in.
+    The connection is closed forcefully at the end, whatever its state.
     """
     host, port = split_address(address)
     stream = None
@@ -186,7 +193,7 @@
 
 
 def _connection_failure(error: OSError) -> ExchangeFailure:
-    """Return how a connection failed; the cause holds one error for each address that was tried."""
+    """Return how connecting failed; the cause holds one error for each address that was tried."""
     cause = error.__cause__
     errors = cause.exceptions if isinstance(cause, BaseExceptionGroup) else (cause,)
     if all(isinstance(each, ConnectionRefusedError) for each in errors):
--- a/yewloom/event_paces.py
+++ b/yewloom/event_paces.py
@@ -1,10 +1,10 @@
-"""How fast groups write, by the pauses between two events of a stream that this host sees.
+"""Find slow groups by the intervals between events of the streams that this host forwards.
 
-A group runs at the pace of its slowest member. One that has turned slow keeps few requests more at
-once than the others, so their number alone tells of it late, and each stream that it gets misses
-its aim while other groups have places free.
+A group runs at the pace of its slowest member. A slow group has only a few more requests running
+than the others, so the load alone shows it late; until then each stream that the group gets misses
+its latency objective while other groups have free slots.
 
-All times are seconds of the runtime's clock.
+All times are seconds of trio's clock.
 """
 
 from collections.abc import Iterable
@@ -13,54 +13,54 @@
 from yewloom.ids import HostId
 from yewloom.medians import median_low
 
-NEWEST_WEIGHT = 0.3
-"""Part that the newest pause has in the average: some three pauses decide."""
+SMOOTHING_FACTOR = 0.3
+"""Weight of the newest interval in the moving average; about three intervals dominate it."""
 
 RECENT_S = 2.0
-"""Age up to which an average counts. After it a group that got nothing meanwhile is tried again."""
+"""Age up to which an average counts. After that, a group that got no requests is tried again."""
 
 SLOW_FACTOR = 2.5
-"""How many times the usual pause of its model a slow group takes. A full group takes twice what an
-empty one does, by the published times of a step."""
+"""Ratio of a group's average interval to its model's median above which the group counts as slow.
+By the published step times, the interval of a full group is twice that of an empty one."""
 
-LEAST_SLOW_S = 0.12
-"""Pause up to which a group is not slow, whatever others do: well within what a stream may
-pause."""
+MIN_SLOW_INTERVAL_S = 0.12
+"""Average interval up to which a group never counts as slow; well below the longest interval that
+is acceptable in a stream."""
 
 
 @dataclass
-class _Pace:
+class _Interval:
     average_s: float
-    noted_s: float
+    updated_s: float
 
 
-class EventPaces:
-    """Keeps the average pause of each group's leader."""
+class EventIntervals:
+    """Moving averages of the intervals between events, by group leader."""
 
     def __init__(self) -> None:
-        self._paces: dict[HostId, _Pace] = {}
+        self._intervals: dict[HostId, _Interval] = {}
 
-    def note(self, head: HostId, pause_s: float, now_s: float) -> None:
-        """Take in the pause between two events of one stream."""
-        pace = self._paces.get(head)
-        if pace is None or now_s - pace.noted_s > RECENT_S:
-            self._paces[head] = _Pace(pause_s, now_s)
+    def record(self, leader: HostId, interval_s: float, now_s: float) -> None:
+        """Record the interval between two consecutive events of one stream."""
+        interval = self._intervals.get(leader)
+        if interval is None or now_s - interval.updated_s > RECENT_S:
+            self._intervals[leader] = _Interval(interval_s, now_s)
             return
-        pace.average_s += NEWEST_WEIGHT * (pause_s - pace.average_s)
-        pace.noted_s = now_s
+        interval.average_s += SMOOTHING_FACTOR * (interval_s - interval.average_s)
+        interval.updated_s = now_s
 
-    def slow_among(self, heads: Iterable[HostId], now_s: float) -> set[HostId]:
-        """Return those of the leaders of one model's groups whose groups are slow."""
+    def find_slow(self, leaders: Iterable[HostId], now_s: float) -> set[HostId]:
+        """Return the leaders whose groups are slow, out of the leaders of one model's groups."""
         recent = {
-            head: pace.average_s
-            for head in heads
-            if (pace := self._paces.get(head)) and now_s - pace.noted_s <= RECENT_S
+            leader: interval.average_s
+            for leader in leaders
+            if (interval := self._intervals.get(leader)) and now_s - interval.updated_s <= RECENT_S
         }
         if len(recent) < 2:  # Nothing to compare with.
             return set()
-        limit_s = max(LEAST_SLOW_S, SLOW_FACTOR * median_low(recent.values()))
-        return {head for head, average_s in recent.items() if average_s > limit_s}
+        limit_s = max(MIN_SLOW_INTERVAL_S, SLOW_FACTOR * median_low(recent.values()))
+        return {leader for leader, average_s in recent.items() if average_s > limit_s}
 
-    def forget(self, head: HostId) -> None:
-        """Drop what is known of an endpoint that is no longer listed, or leads another group."""
-        self._paces.pop(head, None)
+    def forget(self, leader: HostId) -> None:
+        """Drop the average of an endpoint that is no longer listed or leads another group."""
+        self._intervals.pop(leader, None)
--- a/yewloom/forward_metrics.py
+++ b/yewloom/forward_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry host that forwards requests, for Prometheus."""
+"""Prometheus metrics of an entry host that forwards requests."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
@@ -6,7 +6,7 @@
 
 
 class ForwardMetrics:
-    """Counters and histograms; labels take few values, so their number is bounded."""
+    """Counters and histograms; labels take few values, so the number of time series is bounded."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -45,13 +45,13 @@
         )
 
     def on_request(self, kind: str, status: int, outcome: str, took_s: float) -> None:
-        """Count a request that is over."""
-        word = "stale" if outcome.endswith(" old") else outcome
-        self._requests.labels(kind, str(status), word).inc()
+        """Count a request that has ended."""
+        label = "stale" if outcome.endswith(" old") else outcome
+        self._requests.labels(kind, str(status), label).inc()
         self._duration_s.labels(kind).observe(took_s)
 
     def on_attempt(self, outcome: str) -> None:
-        """Count a sending to an endpoint that is over."""
+        """Count an attempt at an endpoint that has ended."""
         self._attempts.labels(outcome).inc()
 
     def on_order(self, order: str, answer: str) -> None:
@@ -59,11 +59,11 @@
         self._orders.labels(order, answer).inc()
 
     def on_store_call(self, call: str, kind: str, answer: str) -> None:
-        """Count a call to the store that is over."""
+        """Count a call to the store that has ended."""
         self._store_calls.labels(call, kind, answer).inc()
 
     def on_log_line_lost(self) -> None:
-        """Count a log line that was left out."""
+        """Count a log line that was dropped."""
         self._log_lines_lost.inc()
 
     def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
--- a/yewloom/forward_parts.py
+++ b/yewloom/forward_parts.py
@@ -1,4 +1,4 @@
-"""The parts by which an entry host forwards requests, wired together."""
+"""Build the forwarder of an entry host from its components."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 from yewloom.loop_lateness import LoopLateness
 from yewloom.planned_stop import PlannedStop
 from yewloom.reachability import Reachability
-from yewloom.retry_window import RetryWindow
+from yewloom.retry_window import RetryBudget
 from yewloom.schema.entry_pb2 import ServingBounds
 from yewloom.selection import Selector
 from yewloom.stalls import StallDetector
@@ -24,7 +24,10 @@
 
 @value_class
 class ForwardParts:
-    """What forwarding needs; ``retry_extra`` returns this host's part of the bound's extra."""
+    """The components that forwarding needs.
+
+    ``retry_extra`` returns this host's share of the retries that are allowed on top of the ratio.
+    """
 
     bounds: ServingBounds
     codec: HeaderCodec
@@ -42,9 +45,9 @@
 
 
 def build_forwarder(parts: ForwardParts) -> Forwarder:
-    """Return a forwarder of these parts."""
+    """Return a forwarder built from these components."""
     bounds, quarantine = parts.bounds, parts.crashes.quarantine
-    retries = RetryWindow(bounds.retry_ratio, bounds.retry_window_s, parts.retry_extra)
+    retries = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, parts.retry_extra)
     choice = EndpointChoice(parts.selector, retries, parts.stop, quarantine, parts.limits)
     return Forwarder(
         parts.book,
--- a/yewloom/forward_request.py
+++ b/yewloom/forward_request.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way to an endpoint, or the refusal that ends it before."""
+"""A caller's request while it is forwarded, or the refusal that ends it before that."""
 
 import math
 from collections.abc import Sequence
@@ -14,13 +14,13 @@
 from yewloom.fingerprints import fingerprint_of
 from yewloom.ids import CustomerId, Fingerprint
 from yewloom.routes import Route
-from yewloom.selection import Wanted
+from yewloom.selection import EndpointRequirements
 from yewloom.values import value_class
 
 
 @value_class
-class WholeAnswer:
-    """An endpoint's whole answer, as the caller gets it."""
+class BufferedResponse:
+    """An endpoint's complete response, as it is sent to the caller."""
 
     status: int
     headers: Sequence[Header]
@@ -29,11 +29,11 @@
 
 @dataclass
 class ForwardRequest:
-    """One request on its way; times are seconds of the runtime's clock.
+    """A request that is being forwarded; times are seconds of trio's clock.
 
-    ``answer`` is the final answer of an endpoint that is no stream, once it is here.
+    ``response`` is the final response of an endpoint, if it is not a stream, once it has arrived.
     ``quarantine_count`` is how often the request had been quarantined when it was admitted.
-    ``claimed`` is the endpoint that it goes to once it has left the one that it is at.
+    ``reserved`` is the endpoint that gets the request after it has abandoned its current one.
     """
 
     source: CallerRequest
@@ -41,20 +41,23 @@
     marks: RequestMarks
     configuration: Configuration
     route: Route
-    wanted: Wanted
+    requirements: EndpointRequirements
     customer: CustomerId | None
-    ends_s: float
+    deadline_s: float
     record: AttemptRecord
     cursor: StreamCursor
     first_event_s: float | None = None
-    answer: WholeAnswer | None = None
+    response: BufferedResponse | None = None
     quarantine_count: int = 0
-    claimed: Endpoint | None = None
+    reserved: Endpoint | None = None
     _fingerprint: Fingerprint | None = None
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return what names this request whenever it comes; drawn from it once it is asked for."""
+        """Return the fingerprint by which the same request is recognized when it is sent again.
+
+        It is computed on first use.
+        """
         if self._fingerprint is None:
             source = self.source
             self._fingerprint = fingerprint_of(
@@ -62,13 +65,13 @@
             )
         return self._fingerprint
 
-    def left_ms(self, now_s: float) -> int:
-        """Return the time left in whole milliseconds."""
-        return max(0, math.floor((self.ends_s - now_s) * 1000))
+    def remaining_ms(self, now_s: float) -> int:
+        """Return the time until the deadline in whole milliseconds."""
+        return max(0, math.floor((self.deadline_s - now_s) * 1000))
 
 
-class Refusal(Exception):  # noqa: N818 - an answer, not a fault
-    """A request that ends before it goes to an endpoint, with its status."""
+class Refusal(Exception):  # noqa: N818 - a response, not an error
+    """A request is refused with this status, without being sent to an endpoint."""
 
     def __init__(self, status: int, reason: str, retry_after_s: float | None = None) -> None:
         super().__init__(reason)
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of callers' requests to endpoints: attempts, final answers and the line in the log."""
+"""Forward callers' requests to endpoints: attempts, final responses, and one log line for each."""
 
 import itertools
 import math
@@ -10,7 +10,7 @@
 import structlog
 import trio
 
-from yewloom.attempts import FinalAnswer
+from yewloom.attempts import FailureResponse
 from yewloom.caller_headers import HeaderCodec, RequestMarks
 from yewloom.caller_messages import CallerGoneError, CallerRequest, Reply
 from yewloom.configuration import ConfigurationBook
@@ -23,48 +23,48 @@
 from yewloom.key_trust import KeyTrust
 from yewloom.quarantine import Quarantine
 from yewloom.request_admission import QUARANTINED, RequestAdmission
-from yewloom.retry_window import RetryWindow
+from yewloom.retry_window import RetryBudget
 from yewloom.selection import Selector
 
 logger = structlog.get_logger(__name__)
 
 RETRY_AFTER_S = 0.25
-"""When a refused caller should come back: endpoints' places free up several times a second."""
+"""Retry-After of refused requests; endpoints' slots become free several times a second."""
 
 STOPPING_RETRY_AFTER_S = 0.0
-"""When a caller should come back that a stopping host refused: at once, since another host answers,
-which this one's stop leaves as it was."""
+"""Retry-After of requests that a stopping host refuses: zero, as other hosts are unaffected by the
+stop and can answer at once."""
 
 ANSWERED = "answered"
-"""What became of a request whose caller has the whole answer of an endpoint."""
+"""Outcome of a request whose caller has an endpoint's complete response."""
 
 LIMITED = "endpoints limited"
-"""Why a request is refused whose endpoints all name a limit that is reached."""
+"""Reason for refusing a request if all its endpoints have reached the rate limit they announced."""
 
 STOPPING = "host is stopping"
-"""Why a stopping host refuses a request."""
+"""Reason for refusing a request because this host is stopping."""
 
 
 class Attempts(Protocol):
     """Sends a request to one endpoint."""
 
     async def run(self, request: ForwardRequest, endpoint: Endpoint) -> bool:
-        """Send a request to an endpoint; tell whether its answer is the caller's.
+        """Send a request to an endpoint; return whether its response is the one the caller gets.
 
-        A stream is with the caller by then; a whole answer is kept in the request.
+        A stream has been forwarded by then; a buffered response is stored in the request.
         """
         ...
 
 
 class Forwarder:
-    """Answers callers' requests by way of endpoints."""
+    """Answers callers' requests by forwarding them to endpoints."""
 
     def __init__(
         self,
         book: ConfigurationBook,
         codec: HeaderCodec,
         selector: Selector,
-        retries: RetryWindow,
+        retries: RetryBudget,
         attempts: Attempts,
         metrics: ForwardMetrics,
         key_trust: KeyTrust,
@@ -78,7 +78,7 @@
         self._attempts = attempts
         self._metrics = metrics
         self._choice = choice
-        self._timers: dict[trio.CancelScope, None] = {}  # In the order in which they began.
+        self._timers: dict[trio.CancelScope, None] = {}  # In the order in which they started.
         self._admission = RequestAdmission(book, codec, selector, key_trust, is_ready, quarantine)
 
     async def handle(self, source: CallerRequest, reply: Reply) -> None:
@@ -88,31 +88,34 @@
             marks = self._admission.marks(source)
             request = self._admission.admit(source, reply, marks)
             self._admission.check_quarantine(request)
-            self._retries.on_request(request.wanted.service, source.read_s)
+            self._retries.on_request(request.requirements.service, source.read_s)
             outcome = await self._forward(request)
         except Refusal as refusal:
             outcome = refusal.reason
             await self._send_refusal(reply, refusal)
         except (CallerGoneError, trio.Cancelled):
-            # A caller that closes right behind its whole answer has been served.
+            # A caller that closes right after it received the complete response has been served.
             is_served = request is not None and request.record.is_answered and reply.is_whole
             outcome = ANSWERED if is_served else "caller gone"
-            self._note_end(source, marks, request, reply, outcome)
+            self._record_end(source, marks, request, reply, outcome)
             raise
-        self._note_end(source, marks, request, reply, outcome)
+        self._record_end(source, marks, request, reply, outcome)
 
     async def refuse(self, source: CallerRequest, reply: Reply) -> None:
-        """Refuse a request that came after the host stopped taking any."""
+        """Refuse a request that arrived after the host stopped accepting requests."""
         marks, outcome = None, STOPPING
         try:
             marks = self._admission.marks(source)
         except Refusal as refusal:
             outcome = f"{STOPPING}; {refusal.reason}"
         await self._send_refusal(reply, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
-        self._note_end(source, marks, None, reply, outcome)
+        self._record_end(source, marks, None, reply, outcome)
 
     def end_open(self, at_most: int = sys.maxsize) -> bool:
-        """Give open requests their final answers, the oldest first; tell whether there were any."""
+        """End open requests, oldest first, so that each gets its final response.
+
+        Returns whether there were any.
+        """
         open_timers = (timer for timer in self._timers if not timer.cancel_called)
         ended = list(itertools.islice(open_timers, at_most))
         for timer in ended:
@@ -120,30 +123,30 @@
         return bool(ended)
 
     async def _forward(self, request: ForwardRequest) -> str:
-        """Try endpoints until one answers; return what became of the request."""
+        """Try endpoints until one answers; return the outcome of the request."""
         with self._time_limit(request):
             await self._try_endpoints(request)
-        # Outside the limit: an answer that is here is passed on, also when the time has run out.
-        if request.answer is not None:
-            answer = request.answer
-            await request.reply.send_whole(answer.status, answer.headers, answer.body)
+        # Outside the time limit: a response that has arrived is sent even if time has run out.
+        if request.response is not None:
+            response = request.response
+            await request.reply.send_whole(response.status, response.headers, response.body)
         if request.reply.is_whole:
             return ANSWERED
-        return await self._give_up(request)
+        return await self._send_failure(request)
 
     async def _try_endpoints(self, request: ForwardRequest) -> None:
-        """Send a request to one endpoint after the other until one answers or none may get it."""
+        """Send a request to one endpoint after another until one answers or none is left."""
         try:
-            while endpoint := self._choice.next(request):
+            while endpoint := self._choice.take_next(request):
                 if await self._attempt(request, endpoint):
                     return
         finally:
-            self._choice.drop_claim(request)
+            self._choice.release_reserved(request)
 
     @contextmanager
     def _time_limit(self, request: ForwardRequest) -> Iterator[None]:
-        """Cancel the forwarding at the request's end, or when a planned stop ends it."""
-        with trio.move_on_at(request.ends_s) as timer:
+        """Cancel the forwarding at the request's deadline, or when a planned stop ends it."""
+        with trio.move_on_at(request.deadline_s) as timer:
             self._timers[timer] = None
             try:
                 yield
@@ -157,25 +160,25 @@
         finally:
             self._selector.end(endpoint.id)
 
-    async def _give_up(self, request: ForwardRequest) -> str:
-        """Give the final answer to a request that no endpoint answered."""
+    async def _send_failure(self, request: ForwardRequest) -> str:
+        """Send the final response to a request that no endpoint answered; return the outcome."""
         if request.reply.is_started:
-            return "cut off"  # Left unfinished, so that it can't look complete.
-        is_out_of_time = trio.current_time() >= request.ends_s
-        match request.record.final_answer(is_out_of_time):
-            case FinalAnswer.REFUSED:
+            return "cut off"  # The stream is left unfinished, so that it can't look complete.
+        is_out_of_time = trio.current_time() >= request.deadline_s
+        match request.record.failure_response(is_out_of_time):
+            case FailureResponse.REFUSED:
                 refusal = self._refusal(request)
                 await self._send_refusal(request.reply, refusal)
                 return refusal.reason
-            case FinalAnswer.MAY_HAVE_RUN:
+            case FailureResponse.MAY_HAVE_RUN:
                 await request.reply.send_whole(502, [], b"")
                 return "may have run"
-            case FinalAnswer.TIMED_OUT:
+            case FailureResponse.TIMED_OUT:
                 await request.reply.send_whole(504, [], b"")
                 return "out of time"
 
     def _refusal(self, request: ForwardRequest) -> Refusal:
-        """Return why a request that has not run is refused, and when it may come back."""
+        """Return why a request that has not run is refused, and when it may be retried."""
         if not self._choice.has_time_before_stop(request):
             return Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S)
         limit_wait_s = self._choice.limit_wait_s(request)
@@ -189,7 +192,7 @@
             headers.append((b"retry-after", f"{refusal.retry_after_s:g}".encode()))
         await reply.send_whole(refusal.status, headers, b"")
 
-    def _note_end(
+    def _record_end(
         self,
         source: CallerRequest,
         marks: RequestMarks | None,
@@ -197,7 +200,7 @@
         reply: Reply,
         outcome: str,
     ) -> None:
-        """Write the one line that tells what became of a request, and count it and its time."""
+        """Log the outcome of a request in one line, and record outcome and duration as metrics."""
         now_s = trio.current_time()
         took_ms = round((now_s - source.arrived_s) * 1000)
         if request is not None and outcome == ANSWERED:
@@ -212,8 +215,8 @@
             status=reply.status,
             took_ms=took_ms,
             waited_ms=round((source.read_s - source.arrived_s) * 1000),
-            first_ms=_since_ms(source, request),
-            attempts=_attempts_text(request),
+            first_ms=_first_event_ms(source, request),
+            attempts=_format_attempts(request),
             number_on_connection=source.number_on_connection,
             stopping_ms=source.stopping_ms,
             configuration=request.configuration.version if request is not None else None,
@@ -222,20 +225,20 @@
         )
 
 
-def _since_ms(source: CallerRequest, request: ForwardRequest | None) -> int | None:
+def _first_event_ms(source: CallerRequest, request: ForwardRequest | None) -> int | None:
     if request is None or request.first_event_s is None:
         return None
     return round((request.first_event_s - source.arrived_s) * 1000)
 
 
 def _fingerprint_fields(request: ForwardRequest | None, outcome: str) -> dict[str, str]:
-    """Return the name by which operators find and let go a request that is held."""
+    """Return the fingerprint by which operators find and release a quarantined request."""
     if request is None or outcome != QUARANTINED:
         return {}
     return {"fingerprint": fingerprint_text(request.fingerprint)}
 
 
-def _attempts_text(request: ForwardRequest | None) -> list[str]:
+def _format_attempts(request: ForwardRequest | None) -> list[str]:
     if request is None:
         return []
     return [f"{endpoint} {state.value}" for endpoint, state in request.record.states.items()]
--- a/yewloom/medians.py
+++ b/yewloom/medians.py
@@ -1,23 +1,23 @@
-"""Medians, without the standard library's module for them.
+"""Medians, without the ``statistics`` module of the standard library.
 
-``statistics`` brings exact fractions and decimal numbers with it, which nothing else here needs and
-which take a start of an entry host 6.5 to 7.8 ms of some 270 ms of imports (three runs of
-``-X importtime``).
+``statistics`` imports ``fractions`` and ``decimal``, which nothing else here needs. Importing them
+takes 6.5 to 7.8 ms of the 270 ms or so that an entry host spends on imports at its start (three
+runs with ``-X importtime``).
 """
 
 from collections.abc import Iterable
 
 
 def median(values: Iterable[float]) -> float:
-    """Return the middle value, of an even number the mean of the middle two; there must be some."""
-    in_order = sorted(values)
-    upper = len(in_order) // 2
-    if len(in_order) % 2:
-        return in_order[upper]
-    return (in_order[upper - 1] + in_order[upper]) / 2
+    """Return the middle value, or the mean of the middle two; there must be at least one value."""
+    ordered = sorted(values)
+    upper = len(ordered) // 2
+    if len(ordered) % 2:
+        return ordered[upper]
+    return (ordered[upper - 1] + ordered[upper]) / 2
 
 
 def median_low(values: Iterable[float]) -> float:
-    """Return the middle value, of an even number the lower of the middle two."""
-    in_order = sorted(values)
-    return in_order[(len(in_order) - 1) // 2]
+    """Return the middle value, or the lower of the middle two; there must be at least one value."""
+    ordered = sorted(values)
+    return ordered[(len(ordered) - 1) // 2]
--- a/yewloom/reachability.py
+++ b/yewloom/reachability.py
@@ -1,14 +1,14 @@
-"""Endpoints that can't be reached, and data centres of which none can.
+"""Track unreachable endpoints, and data centres that are cut off.
 
-An endpoint to which no connection came up gets nothing until a connection does come up. That is
-found out by probes, connections that carry nothing, rather than by callers' requests: each of those
-would wait for as long as a connection may take.
+An endpoint to which a connection failed gets no requests until a connection succeeds. This is found
+out by probes, connections on which nothing is sent, rather than by callers' requests: each of these
+would have to wait for the connect timeout.
 
-Losses share causes. Where two endpoints of a data centre can't be reached and none has been reached
-since, all of it is avoided; probes at once to others of its endpoints end that within milliseconds
-if it was wrong.
+Connection failures often have a common cause. If two endpoints of a data centre are unreachable and
+none has been reached since, the whole data centre is avoided. Other endpoints of it are probed
+immediately, so a wrong conclusion is corrected within milliseconds.
 
-All times are seconds of the runtime's clock.
+All times are seconds of trio's clock.
 """
 
 from collections import defaultdict
@@ -18,26 +18,26 @@
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.ids import DataCentreId, HostId
 
-ENDPOINTS_OF_A_CUT = 2
-"""Endpoints of a data centre that can't be reached at the same time, from which on it counts as cut
-off: one crashes now and then, two within a second seldom but in a cut."""
+CUT_OFF_THRESHOLD = 2
+"""Number of unreachable endpoints from which on their data centre counts as cut off. Single
+endpoints crash now and then; two within a second are rare except in a network partition."""
 
-FAILURE_COUNTS_S = 1.0
-"""Time for which a failed connection counts towards that."""
+FAILURE_WINDOW_S = 1.0
+"""Time for which a failed connection counts towards that threshold."""
 
-PROBE_PAUSE_S = 0.5
-"""Pause between two probes of an endpoint: its return goes unseen for half of that on average."""
+PROBE_INTERVAL_S = 0.5
+"""Interval between probes of an endpoint; its recovery is noticed after half of that on average."""
 
-CUT_PROBE_PAUSE_S = 0.25
-"""Pause between two rounds of probes to a data centre that is cut off: as long as one takes."""
+CUT_OFF_PROBE_INTERVAL_S = 0.25
+"""Interval between rounds of probes to a data centre that is cut off; a round takes as long."""
 
-CUT_PROBES = 2
-"""Endpoints of a data centre that is cut off that a round of probes goes to."""
+CUT_OFF_PROBE_COUNT = 2
+"""Number of endpoints that are probed in each round while their data centre is cut off."""
 
 
 @dataclass
-class _Lost:
-    """An endpoint that can't be reached."""
+class _UnreachableEndpoint:
+    """An endpoint that is unreachable."""
 
     endpoint: Endpoint
     failed_s: float
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class _Cut:
+class _CutOffDataCentre:
     """A data centre that is cut off."""
 
     probe_due_s: float
@@ -53,89 +53,94 @@
 
 
 class Reachability:
-    """Keeps what this host found out by its connections to endpoints."""
+    """Tracks which endpoints this host can connect to."""
 
     def __init__(
         self, directory: EndpointDirectory, on_lost: Callable[[], None] = lambda: None
     ) -> None:
-        """Take ``on_lost``, which is called whenever an endpoint can't be reached."""
+        """Create a tracker; ``on_lost`` is called whenever an endpoint is found unreachable."""
         self._directory = directory
         self._on_lost = on_lost
-        self._lost: dict[HostId, _Lost] = {}
-        self._cut: dict[DataCentreId, _Cut] = {}
-        self._reached_s: defaultdict[DataCentreId, float] = defaultdict(lambda: float("-inf"))
+        self._unreachable: dict[HostId, _UnreachableEndpoint] = {}
+        self._cut_off: dict[DataCentreId, _CutOffDataCentre] = {}
+        self._connected_s: defaultdict[DataCentreId, float] = defaultdict(lambda: float("-inf"))
 
     def is_avoided(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint should get nothing while there is another."""
-        return endpoint.id in self._lost or endpoint.data_centre in self._cut
+        """Return whether an endpoint should get no requests while there are others."""
+        return endpoint.id in self._unreachable or endpoint.data_centre in self._cut_off
 
     def is_cut_off(self, data_centre: DataCentreId) -> bool:
-        """Tell whether a data centre counts as cut off."""
-        return data_centre in self._cut
+        """Return whether a data centre counts as cut off."""
+        return data_centre in self._cut_off
 
     def on_failure(self, endpoint: Endpoint, now_s: float) -> None:
-        """Take in that no connection to an endpoint came up."""
-        self._lost[endpoint.id] = _Lost(endpoint, now_s, now_s + PROBE_PAUSE_S)
+        """Record that connecting to an endpoint failed."""
+        self._unreachable[endpoint.id] = _UnreachableEndpoint(
+            endpoint, now_s, now_s + PROBE_INTERVAL_S
+        )
         data_centre = endpoint.data_centre
-        if data_centre not in self._cut and self._looks_cut_off(data_centre, now_s):
-            self._cut[data_centre] = _Cut(now_s)
+        if data_centre not in self._cut_off and self._looks_cut_off(data_centre, now_s):
+            self._cut_off[data_centre] = _CutOffDataCentre(now_s)
         self._on_lost()
 
     def forget(self, endpoint: HostId) -> None:
-        """Drop a loss of an endpoint, which started again."""
-        self._lost.pop(endpoint, None)
+        """Forget that an endpoint was unreachable, because it has restarted."""
+        self._unreachable.pop(endpoint, None)
 
     @property
-    def has_losses(self) -> bool:
-        """Tell whether anything is to be probed, now or later."""
-        return bool(self._lost or self._cut)
+    def has_unreachable(self) -> bool:
+        """Return whether anything needs probes, now or later."""
+        return bool(self._unreachable or self._cut_off)
 
     def on_connected(self, endpoint: Endpoint, now_s: float) -> None:
-        """Take in that a connection to an endpoint came up."""
-        self._lost.pop(endpoint.id, None)
-        self._cut.pop(endpoint.data_centre, None)
-        self._reached_s[endpoint.data_centre] = now_s
+        """Record that connecting to an endpoint succeeded."""
+        self._unreachable.pop(endpoint.id, None)
+        self._cut_off.pop(endpoint.data_centre, None)
+        self._connected_s[endpoint.data_centre] = now_s
 
     def take_due_probes(self, now_s: float) -> list[Endpoint]:
-        """Return the endpoints to probe now; they count as probed."""
+        """Return the endpoints to probe now, and mark them as probed."""
         self._drop_unlisted()
         due: dict[HostId, Endpoint] = {}
-        for lost in self._lost.values():
-            is_alone = lost.endpoint.data_centre not in self._cut
-            if is_alone and now_s >= lost.probe_due_s:
-                lost.probe_due_s = now_s + PROBE_PAUSE_S
-                due[lost.endpoint.id] = lost.endpoint
-        for data_centre, cut in self._cut.items():
+        for unreachable in self._unreachable.values():
+            is_probed_alone = unreachable.endpoint.data_centre not in self._cut_off
+            if is_probed_alone and now_s >= unreachable.probe_due_s:
+                unreachable.probe_due_s = now_s + PROBE_INTERVAL_S
+                due[unreachable.endpoint.id] = unreachable.endpoint
+        for data_centre, cut in self._cut_off.items():
             if now_s >= cut.probe_due_s:
-                cut.probe_due_s = now_s + CUT_PROBE_PAUSE_S
-                due |= {e.id: e for e in self._next_probes_into(data_centre, cut)}
+                cut.probe_due_s = now_s + CUT_OFF_PROBE_INTERVAL_S
+                due |= {e.id: e for e in self._next_probes(data_centre, cut)}
         return list(due.values())
 
     def _looks_cut_off(self, data_centre: DataCentreId, now_s: float) -> bool:
-        since_s = max(now_s - FAILURE_COUNTS_S, self._reached_s[data_centre])
+        since_s = max(now_s - FAILURE_WINDOW_S, self._connected_s[data_centre])
         failed = [
-            lost
-            for lost in self._lost.values()
-            if lost.endpoint.data_centre == data_centre and lost.failed_s >= since_s
+            unreachable
+            for unreachable in self._unreachable.values()
+            if unreachable.endpoint.data_centre == data_centre and unreachable.failed_s >= since_s
         ]
-        return len(failed) >= ENDPOINTS_OF_A_CUT
+        return len(failed) >= CUT_OFF_THRESHOLD
 
-    def _next_probes_into(self, data_centre: DataCentreId, cut: _Cut) -> Iterable[Endpoint]:
-        """Return endpoints of a data centre, in turn; those not known to be lost come first."""
-        here = [e for e in self._directory.by_id.values() if e.data_centre == data_centre]
-        here.sort(key=lambda e: (e.id in cut.probed, e.id in self._lost, e.id))
-        chosen = here[:CUT_PROBES]
+    def _next_probes(self, data_centre: DataCentreId, cut: _CutOffDataCentre) -> Iterable[Endpoint]:
+        """Return the next endpoints to probe in a data centre, each in turn.
+
+        Endpoints that are not known to be unreachable come first.
+        """
+        listed = [e for e in self._directory.by_id.values() if e.data_centre == data_centre]
+        listed.sort(key=lambda e: (e.id in cut.probed, e.id in self._unreachable, e.id))
+        chosen = listed[:CUT_OFF_PROBE_COUNT]
         cut.probed |= {endpoint.id for endpoint in chosen}
-        if len(cut.probed) >= len(here):
+        if len(cut.probed) >= len(listed):
             cut.probed.clear()
         return chosen
 
     def _drop_unlisted(self) -> None:
-        """Forget what is no longer listed; the list decides about it."""
-        for host in [host for host in self._lost if host not in self._directory.by_id]:
-            del self._lost[host]
-        if not self._cut:
+        """Forget endpoints and data centres that are no longer in the directory."""
+        for host in [host for host in self._unreachable if host not in self._directory.by_id]:
+            del self._unreachable[host]
+        if not self._cut_off:
             return
         listed = {endpoint.data_centre for endpoint in self._directory.by_id.values()}
-        for data_centre in [name for name in self._cut if name not in listed]:
-            del self._cut[data_centre]
+        for data_centre in [name for name in self._cut_off if name not in listed]:
+            del self._cut_off[data_centre]
--- a/yewloom/request_admission.py
+++ b/yewloom/request_admission.py
@@ -1,4 +1,4 @@
-"""What a caller's request must bring to be forwarded: a route, a known key, and the time left."""
+"""Check whether a request may be forwarded: it needs a route, a known key and time left."""
 
 import math
 from collections.abc import Callable
@@ -14,24 +14,25 @@
 from yewloom.key_trust import KeyTrust
 from yewloom.quarantine import Quarantine
 from yewloom.routes import Route
-from yewloom.selection import Selector, Wanted
+from yewloom.selection import EndpointRequirements, Selector
 
 ANSWER_MARGIN_S = 0.04
-"""Time before the deadline at which a request is given up, so that the caller still hears it."""
+"""Time before the caller's deadline at which a request is ended, so that the final response still
+arrives in time."""
 
 DEFAULT_DEADLINE_MS = 60000
-"""Time left to a request whose caller names none; the route's own limit is usually shorter."""
+"""Time for a request whose caller sets no deadline; the route's time limit is usually shorter."""
 
 AT_ONCE_S = 0.0
-"""When a caller should come back whose time was over when its request was read, if it still waits:
-the host has caught up by then."""
+"""Retry-After for a request whose deadline had passed when it was read: zero, as this host has
+caught up with its work by then and the caller may still be waiting."""
 
 QUARANTINED = "quarantined"
-"""Why a request is refused that ended endpoints; it is not sent anywhere."""
+"""Reason for refusing a request that crashed endpoints; it is not sent to any."""
 
 
 class RequestAdmission:
-    """Finds a request's route and customer, or refuses it."""
+    """Finds the route and customer of a request, or refuses it."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         self._is_ready = is_ready
 
     def marks(self, source: CallerRequest) -> RequestMarks:
-        """Return what a request's headers say, or raise Refusal."""
+        """Return the decoded headers of a request, or raise Refusal."""
         try:
             return self._codec.decode_request(source.headers)
         except HeaderError as error:
@@ -68,7 +69,7 @@
         return self._build(source, reply, marks, configuration, route, customer)
 
     def check_quarantine(self, request: ForwardRequest) -> None:
-        """Raise Refusal for a request that is known to end endpoints, unless it may be tried."""
+        """Raise Refusal if a request is known to crash endpoints, unless a trial is due."""
         if not self._quarantine.has_any:
             return
         fingerprint, now_s = request.fingerprint, request.source.read_s
@@ -81,28 +82,28 @@
     def _find_route(self, configuration: Configuration, host: str, source: CallerRequest) -> Route:
         route = configuration.routes.find(host, source.path)
         if route is None:
-            raise self._refusal_of_unknown(404, "no such route", source)
+            raise self._unknown_refusal(404, "no such route", source)
         return route
 
     def _find_customer(
         self, configuration: Configuration, key: str, source: CallerRequest
     ) -> CustomerId:
         if not self._key_trust.may_accept(source.read_s):
-            raise self._unproved("keys", source)
+            raise self._stale_refusal("keys", source)
         customer = configuration.customers.get(key)
         if customer is None:
-            raise self._refusal_of_unknown(401, "unknown key", source)
+            raise self._unknown_refusal(401, "unknown key", source)
         return customer
 
-    def _refusal_of_unknown(self, status: int, reason: str, source: CallerRequest) -> Refusal:
-        """Return a refusal for good, or one for now if a newer configuration may know better."""
+    def _unknown_refusal(self, status: int, reason: str, source: CallerRequest) -> Refusal:
+        """Return a permanent refusal, or a temporary one if this configuration may be outdated."""
         if self._key_trust.may_refuse(source.read_s):
             return Refusal(status, reason)
-        return self._unproved(f"{reason}; configuration", source)
+        return self._stale_refusal(f"{reason}; configuration", source)
 
-    def _unproved(self, what: str, source: CallerRequest) -> Refusal:
+    def _stale_refusal(self, subject: str, source: CallerRequest) -> Refusal:
         age_s = self._book.age_s(source.read_s)
-        return Refusal(503, f"{what} {age_s:.1f} s old", NOT_READY_RETRY_AFTER_S)
+        return Refusal(503, f"{subject} {age_s:.1f} s old", NOT_READY_RETRY_AFTER_S)
 
     def _build(
         self,
@@ -113,26 +114,30 @@
         route: Route,
         customer: CustomerId | None,
     ) -> ForwardRequest:
-        ends_s = _ends_s(source, marks, route)
-        if source.arrived_s < source.read_s and ends_s <= source.read_s:
+        deadline_s = _deadline_s(source, marks, route)
+        if source.arrived_s < source.read_s and deadline_s <= source.read_s:
             raise Refusal(503, "read too late", AT_ONCE_S)
-        wanted = Wanted(self._selector.service_of(route), marks.model)
+        requirements = EndpointRequirements(self._selector.choose_service(route), marks.model)
         return ForwardRequest(
             source=source,
             reply=reply,
             marks=marks,
             configuration=configuration,
             route=route,
-            wanted=wanted,
+            requirements=requirements,
             customer=customer,
-            ends_s=ends_s,
+            deadline_s=deadline_s,
             record=AttemptRecord(route),
             cursor=StreamCursor(marks.last_event_id),
         )
 
 
-def _ends_s(source: CallerRequest, marks: RequestMarks, route: Route) -> float:
-    """Return when a request is given up: the caller's time goes on while it keeps us waiting."""
+def _deadline_s(source: CallerRequest, marks: RequestMarks, route: Route) -> float:
+    """Return when a request is ended.
+
+    The route's time limit excludes the time for which this host waited for the caller to take an
+    earlier response on the same connection; the caller's deadline includes it.
+    """
     deadline_ms = marks.deadline_ms if marks.deadline_ms is not None else DEFAULT_DEADLINE_MS
-    route_ends_s = source.kept_waiting_s + route.timeout_ms / 1000
-    return source.arrived_s + min(deadline_ms / 1000, route_ends_s) - ANSWER_MARGIN_S
+    route_deadline_s = source.kept_waiting_s + route.timeout_ms / 1000
+    return source.arrived_s + min(deadline_ms / 1000, route_deadline_s) - ANSWER_MARGIN_S
--- a/yewloom/retry_window.py
+++ b/yewloom/retry_window.py
@@ -1,7 +1,7 @@
-"""A bound on sendings beyond the first of each request, by service, over a sliding window.
+"""A retry budget for each service: limits attempts beyond the first of each request.
 
-Each entry host keeps to its own part, so the sum holds when entry hosts are cut off from each
-other.
+Each entry host stays within its own share, so the limit on their sum holds even while entry hosts
+are cut off from each other.
 """
 
 from collections import defaultdict, deque
@@ -13,19 +13,19 @@
 
 @dataclass
 class _ServiceWindow:
-    requests_s: deque[float] = field(default_factory=deque)
-    repeats_s: deque[float] = field(default_factory=deque)
+    request_times_s: deque[float] = field(default_factory=deque)
+    retry_times_s: deque[float] = field(default_factory=deque)
 
-    def forget_before(self, time_s: float) -> None:
-        for times_s in (self.requests_s, self.repeats_s):
+    def drop_before(self, time_s: float) -> None:
+        for times_s in (self.request_times_s, self.retry_times_s):
             while times_s and times_s[0] < time_s:
                 times_s.popleft()
 
 
-class RetryWindow:
-    """Allows repeats up to ``ratio`` of the requests of the last ``window_s`` plus an extra.
+class RetryBudget:
+    """Allows retries up to ``ratio`` times the requests of the last ``window_s``, plus an extra.
 
-    ``extra`` returns this host's part of the extra of all hosts.
+    ``extra`` returns this host's share of the number of retries that all hosts may make on top.
     """
 
     def __init__(self, ratio: float, window_s: float, extra: Callable[[], float]) -> None:
@@ -35,17 +35,17 @@
         self._services: defaultdict[ServiceName, _ServiceWindow] = defaultdict(_ServiceWindow)
 
     def on_request(self, service: ServiceName, now_s: float) -> None:
-        """Count a request of a caller."""
+        """Count a caller's request."""
         window = self._services[service]
-        window.forget_before(now_s - self._window_s)
-        window.requests_s.append(now_s)
+        window.drop_before(now_s - self._window_s)
+        window.request_times_s.append(now_s)
 
-    def try_repeat(self, service: ServiceName, now_s: float) -> bool:
-        """Count one sending beyond the first, if it is allowed; tell whether it is."""
+    def try_acquire(self, service: ServiceName, now_s: float) -> bool:
+        """Count one retry if the budget allows it; return whether it does."""
         window = self._services[service]
-        window.forget_before(now_s - self._window_s)
-        allowed = self._ratio * len(window.requests_s) + self._extra()
-        if len(window.repeats_s) + 1 > allowed:
+        window.drop_before(now_s - self._window_s)
+        allowed = self._ratio * len(window.request_times_s) + self._extra()
+        if len(window.retry_times_s) + 1 > allowed:
             return False
-        window.repeats_s.append(now_s)
+        window.retry_times_s.append(now_s)
         return True
--- a/yewloom/route_durations.py
+++ b/yewloom/route_durations.py
@@ -1,4 +1,4 @@
-"""How long answered requests of each route usually take."""
+"""Track the typical duration of answered requests on each route."""
 
 from collections import defaultdict, deque
 
@@ -6,11 +6,11 @@
 from yewloom.medians import median
 
 KEPT = 16
-"""Durations that are kept of a route: enough for a median that one odd request does not move, and
-few enough to follow a change within a second on a busy route."""
+"""Number of durations that are kept for each route: enough that one outlier does not move the
+median, and few enough to follow a change within a second on a busy route."""
 
 LEAST = 4
-"""Durations without which nothing is known of a route."""
+"""Number of durations below which a route has no typical duration."""
 
 
 class RouteDurations:
@@ -22,10 +22,10 @@
         )
 
     def note(self, route: RouteName, took_s: float) -> None:
-        """Take in how long an answered request took."""
+        """Record the duration of an answered request."""
         self._latest_s[route].append(took_s)
 
     def usual_s(self, route: RouteName) -> float:
-        """Return the time that half of the latest requests took at most; 0 if too few are known."""
+        """Return the median duration of the latest requests; 0 if there are too few."""
         latest_s = self._latest_s.get(route, ())
         return median(latest_s) if len(latest_s) >= LEAST else 0.0
--- a/yewloom/routes.py
+++ b/yewloom/routes.py
@@ -1,6 +1,6 @@
-"""Routes: which service answers a request, and what may be done with the request.
+"""Routes: which services answer a request, and whether the request may be retried.
 
-A route is found by the host name that the caller asked for and the longest path prefix.
+A route is found by the host name in the request and the longest matching path prefix.
 """
 
 from collections import defaultdict
@@ -12,7 +12,7 @@
 
 
 class RouteKind(Enum):
-    """How a route's requests may be repeated and how their answers come."""
+    """Whether a route's requests may be retried after they may have run, and whether it streams."""
 
     REPEATABLE = "repeatable"
     UNSAFE = "unsafe"
@@ -21,7 +21,7 @@
 
 @value_class
 class ServiceWeight:
-    """A service that gets a part of a route's requests, by weight."""
+    """A service that gets a share of a route's requests, in proportion to its weight."""
 
     service: ServiceName
     weight: float
@@ -29,9 +29,11 @@
 
 @value_class
 class Route:
-    """A route. ``max_endpoints`` bounds the endpoints that one request may be sent to.
+    """A route.
 
-    ``is_open`` routes ask for no key; streams of ``is_resumable`` routes may go on elsewhere.
+    ``max_endpoints`` limits the number of endpoints that one request may be sent to. Routes with
+    ``is_open`` require no API key. Streams of routes with ``is_resumable`` may be resumed at
+    another endpoint.
     """
 
     name: RouteName
@@ -48,12 +50,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether answers come as events."""
+        """Return whether responses are streams of server-sent events."""
         return self.kind is RouteKind.STREAM
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request that may have run can be sent to another endpoint."""
+        """Return whether a request that may have run can be sent to another endpoint."""
         return self.kind is RouteKind.REPEATABLE or self.is_resumable
 
 
@@ -68,7 +70,7 @@
             same_host.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path; None if there is none."""
+        """Return the route with the longest prefix of the path, or None if there is none."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/yewloom/selection.py
+++ b/yewloom/selection.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint that gets a request, from what this entry host and its peers run."""
+"""Select the endpoint for a request by the load that this entry host and its peers put on each."""
 
 import random
 from collections import Counter, defaultdict
@@ -8,45 +8,48 @@
 from yewloom.directory import Endpoint, EndpointDirectory, MemberState
 from yewloom.endpoint_limits import EndpointLimits
 from yewloom.entry_states import PeerBoard
-from yewloom.event_paces import EventPaces
+from yewloom.event_paces import EventIntervals
 from yewloom.ids import DataCentreId, HostId, ModelName, ServiceName
 from yewloom.reachability import Reachability
 from yewloom.routes import Route
 from yewloom.values import value_class
 
 REMOTE_PENALTY = 0.25
-"""Load that another data centre's endpoint must be below a near one to be preferred, as a part of
-its slots: bytes between data centres are priced and add some milliseconds."""
+"""Added for an endpoint in another data centre, in units of load (1.0 = all slots taken). Traffic
+between data centres costs money and adds a few milliseconds."""
 
 INCOMPLETE_PENALTY = 0.5
-"""Added for a group of which a member is not listed: that one may be lost, or be cut off from the
-store alone while the group serves on. A loss shows by the streams' silence."""
+"""Added for a group with a member that is not listed. The member may be lost, or it may only be cut
+off from the store while the group continues to serve. If it is lost, the group's streams stall."""
 
 LEAVING_PENALTY = 0.3
-"""Added for a group with a leaving member: it may stop taking requests at any moment."""
+"""Added for a group with a leaving member; it may stop accepting requests at any moment."""
 
 SLOW_PENALTY = 0.6
-"""Added for a group that has turned slow: it gets a request only where the others have more than
-half of their places taken, and then still before those that are avoided."""
+"""Added for a group that has become slow: it gets requests only while more than half of the other
+groups' slots are taken, but is still preferred to avoided endpoints."""
 
 AVOIDED_PENALTY = 5.0
-"""Added for an endpoint that is avoided for a time: chosen only if all are, since a request that
-is sent may still be answered and one that is refused is not."""
+"""Added for an endpoint that is avoided temporarily. It is selected only if all are avoided: a
+request that is sent may still be answered, whereas a refused one is not."""
 
-PLAIN_SLOTS = 6
-"""Requests at once that a plain service's endpoint is taken to bear."""
+PLAIN_SERVICE_SLOTS = 6
+"""Number of concurrent requests that an endpoint of a plain service is assumed to handle."""
 
 
 @value_class
-class Wanted:
-    """What a request needs: an endpoint of ``service``, leading a group with ``model`` if given."""
+class EndpointRequirements:
+    """The endpoint that a request needs: one of ``service``.
+
+    If ``model`` is given, the endpoint must lead a group that serves this model.
+    """
 
     service: ServiceName
     model: ModelName | None
 
 
 class Selector:
-    """Chooses endpoints and keeps count of what this host has running at each."""
+    """Selects endpoints, and counts the requests that this host has running at each."""
 
     def __init__(
         self,
@@ -65,10 +68,10 @@
         self._rng = rng
         self._running: defaultdict[HostId, int] = defaultdict(int)
         self._avoid_until_s: dict[HostId, float] = {}
-        self.paces = EventPaces()
+        self.event_intervals = EventIntervals()
 
-    def service_of(self, route: Route) -> ServiceName:
-        """Return the service for one request of a route, drawn by weight."""
+    def choose_service(self, route: Route) -> ServiceName:
+        """Return the service for one request on a route, drawn at random by weight."""
         if len(route.services) == 1:
             return route.services[0].service
         weights = [share.weight for share in route.services]
@@ -76,16 +79,16 @@
 
     def choose(
         self,
-        wanted: Wanted,
+        requirements: EndpointRequirements,
         configuration: Configuration,
         tried: Container[HostId],
         now_s: float,
     ) -> Endpoint | None:
-        """Return the least loaded endpoint that takes requests and was not tried; None if none."""
-        engine = _engine_of(wanted, configuration)
-        best, best_score = None, float("inf")
-        candidates = list(self._candidates(wanted, engine))
-        slow = self.paces.slow_among((endpoint.id for endpoint, _ in candidates), now_s)
+        """Return the least loaded endpoint that accepts requests and was not tried, if any."""
+        engine = _engine_of(requirements, configuration)
+        chosen, lowest_score = None, float("inf")
+        candidates = list(self._candidates(requirements, engine))
+        slow = self.event_intervals.find_slow((endpoint.id for endpoint, _ in candidates), now_s)
         for endpoint, penalty in candidates:
             if endpoint.id in tried or self._limits.wait_s(endpoint, now_s) > 0:
                 continue
@@ -94,22 +97,22 @@
             if self._is_avoided(endpoint, now_s):
                 penalty += AVOIDED_PENALTY
             score = penalty + self._load(endpoint, engine) + self._rng.random() * 0.01
-            if score < best_score:
-                best, best_score = endpoint, score
-        return best
+            if score < lowest_score:
+                chosen, lowest_score = endpoint, score
+        return chosen
 
     def limit_wait_s(
         self,
-        wanted: Wanted,
+        requirements: EndpointRequirements,
         configuration: Configuration,
         tried: Container[HostId],
         now_s: float,
     ) -> float:
-        """Return how long limits alone keep this host from sending a request; 0 if they don't."""
+        """Return how long a request is held back by rate limits alone; 0 if it is not."""
         if not self._limits.has_any:
             return 0.0
-        engine = _engine_of(wanted, configuration)
-        untried = (e for e, _ in self._candidates(wanted, engine) if e.id not in tried)
+        engine = _engine_of(requirements, configuration)
+        untried = (e for e, _ in self._candidates(requirements, engine) if e.id not in tried)
         return min((self._limits.wait_s(endpoint, now_s) for endpoint in untried), default=0.0)
 
     def begin(self, endpoint: HostId) -> None:
@@ -117,26 +120,26 @@
         self._running[endpoint] += 1
 
     def end(self, endpoint: HostId) -> None:
-        """Count a request at an endpoint as over."""
+        """Count a request at an endpoint as ended."""
         self._running[endpoint] -= 1
         if not self._running[endpoint]:
             del self._running[endpoint]
 
     def avoid(self, endpoint: HostId, until_s: float) -> None:
-        """Send nothing new to an endpoint for a time, while there is another."""
+        """Send no new requests to an endpoint for some time, while there are others."""
         self._avoid_until_s[endpoint] = max(until_s, self._avoid_until_s.get(endpoint, 0.0))
 
     def forget(self, endpoint: HostId) -> None:
-        """Drop what is known of an endpoint that is no longer listed."""
+        """Drop the state of an endpoint that is no longer listed."""
         self._avoid_until_s.pop(endpoint, None)
-        self.paces.forget(endpoint)
+        self.event_intervals.forget(endpoint)
 
     def running(self) -> Mapping[HostId, int]:
-        """Return how many requests of this host run at each endpoint."""
+        """Return how many requests this host has running at each endpoint."""
         return self._running
 
     def running_everywhere(self) -> Counter[HostId]:
-        """Return how many requests this host and its peers run at each endpoint."""
+        """Return how many requests this host and its peers have running at each endpoint."""
         return Counter(self._running) + Counter(self._peers.loads())
 
     def _is_avoided(self, endpoint: Endpoint, now_s: float) -> bool:
@@ -145,40 +148,42 @@
         return self._reachability.is_avoided(endpoint)
 
     def _candidates(
-        self, wanted: Wanted, engine: EngineProfile | None
+        self, requirements: EndpointRequirements, engine: EngineProfile | None
     ) -> Iterator[tuple[Endpoint, float]]:
         find = self._directory.of_service if engine is None else self._directory.leaders_of
-        for endpoint in find(wanted.service):
+        for endpoint in find(requirements.service):
             if endpoint.is_leaving:
                 continue
             penalty = 0.0 if endpoint.data_centre == self._data_centre else REMOTE_PENALTY
             if engine is None:
                 yield endpoint, penalty
-            elif self._is_open(endpoint, wanted.model):
-                yield endpoint, penalty + self._incompleteness(endpoint, engine)
+            elif self._accepts_requests(endpoint, requirements.model):
+                yield endpoint, penalty + self._membership_penalty(endpoint, engine)
 
-    def _is_open(self, leader: Endpoint, model: ModelName | None) -> bool:
+    def _accepts_requests(self, leader: Endpoint, model: ModelName | None) -> bool:
         member = leader.membership
         if member is None or member.state is not MemberState.OPEN:
             return False
         return model is None or model in leader.models
 
-    def _incompleteness(self, head: Endpoint, engine: EngineProfile) -> float:
-        assert head.membership is not None
-        members = self._directory.members(head.membership.key)
-        sizes = [engine.models[m].group_size for m in head.models if m in engine.models]
+    def _membership_penalty(self, leader: Endpoint, engine: EngineProfile) -> float:
+        assert leader.membership is not None
+        members = self._directory.members(leader.membership.key)
+        sizes = [engine.models[m].group_size for m in leader.models if m in engine.models]
         if len(members) < max(sizes, default=1):
             return INCOMPLETE_PENALTY
         is_leaving = any(member.is_leaving for member in members.values())
         return LEAVING_PENALTY if is_leaving else 0.0
 
     def _load(self, endpoint: Endpoint, engine: EngineProfile | None) -> float:
-        slots = engine.slots if engine is not None else PLAIN_SLOTS
+        slots = engine.slots if engine is not None else PLAIN_SERVICE_SLOTS
         running = self._running.get(endpoint.id, 0) + self._peers.running(endpoint.id)
         return running / slots
 
 
-def _engine_of(wanted: Wanted, configuration: Configuration) -> EngineProfile | None:
-    """Return the profile of the engines that a request needs; None for a plain service."""
-    service = configuration.services.get(wanted.service)
+def _engine_of(
+    requirements: EndpointRequirements, configuration: Configuration
+) -> EngineProfile | None:
+    """Return the profile of the engines that serve a request, or None for a plain service."""
+    service = configuration.services.get(requirements.service)
     return service.engine if service is not None else None
--- a/yewloom/stalls.py
+++ b/yewloom/stalls.py
@@ -1,9 +1,9 @@
-"""Signs that a group stands still: streams of it that should have moved and did not.
+"""Detect stalled groups, i.e. groups whose streams have stopped delivering events.
 
-A group moves only as a whole, so one event of any stream shows that all members work. Streams that
-wait for their first event tell little by themselves, since an engine's queue may be long; together
-with the word of a peer whose streams had moved before and stopped they tell enough. Times are
-seconds of the caller's monotonic clock.
+The members of a group work in lockstep, so one event of any stream shows that all of them work.
+Streams that wait for their first event prove little by themselves, since an engine's queue may be
+long. Together with the report of a peer whose streams had delivered events and stopped, they are
+sufficient evidence. Times are seconds of the caller's monotonic clock.
 """
 
 from collections import defaultdict
@@ -13,205 +13,213 @@
 from yewloom.ids import HostId
 
 QUIET_S = 0.45
-"""Silence of all streams of a group after which it counts as standing still: some events, and the
-reading of a long prompt between two of them."""
+"""Time without events on any stream of a group after which the group counts as stalled: the
+duration of several events and of the prefill of a long prompt between two of them."""
 
 AVOID_STALLED_S = 2.0
-"""Longest time for which a group that stands still gets nothing new. The coordinator asks its
-members within half a second and gives the group up if one is silent; else it was only slow."""
+"""Longest time for which a stalled group gets no new requests. Within half a second the coordinator
+queries the members, and dissolves the group if one does not answer; otherwise the group was only
+slow."""
 
 REPORT_S = 1.0
-"""Time for which a report that a group stands still counts."""
+"""Time for which a report that a group has stalled is valid."""
 
-TOLD_QUIET_S = 0.2
-"""Silence of this host's own streams after which the word of a peer that a group stands still is
-borne out: longer than an event or a long prompt takes alone."""
+PEER_REPORTED_QUIET_S = 0.2
+"""Time without events on this host's own streams that confirms a peer's report that a group has
+stalled: longer than an event or the prefill of a long prompt alone takes."""
 
-FIRST_EVENT_S = 1.2
-"""Silence after which a group with nothing but streams that wait for their first event counts as
-standing still."""
-
-LOOK_S = 0.1
-"""Pause between two looks at whether a group stands still: half of that between two words of a
-peer."""
+FIRST_EVENT_TIMEOUT_S = 1.2
+"""Time without events after which a group counts as stalled if all its streams still wait for their
+first event."""
 
+CHECK_INTERVAL_S = 0.1
+"""Interval between checks for a stall: half the interval between two messages of a peer."""
 
 MOVING_S = 0.2
-"""Time for which an event of a group is news to peers: the pause between two messages to them."""
+"""Time for which an event of a group is reported to peers: the interval between messages to them.
+"""
 
 READ_LATE_S = 0.1
-"""Time by which a message of a peer is read late at most by a loop that was not held up: the way,
+"""Longest delay until a peer's message is read, if the event loop was not blocked: network latency
 and other work on a slow host."""
 
 
 @dataclass
-class _Pace:
-    """How a group's streams move: ``read_s`` is when their newest event was read.
+class _StreamActivity:
+    """Activity of a group's streams.
 
-    ``moved_s`` is when that event may have come at the earliest.
+    ``last_read_s`` is when their newest event was read, or the first stream was opened if there was
+    no event. ``moved_s`` is the earliest time at which that event may have arrived.
     """
 
     streams: int = 0
-    read_s: float = 0.0
+    last_read_s: float = 0.0
     moved_s: float = 0.0
     has_events: bool = False
 
     @property
     def quiet_limit_s(self) -> float:
-        """Return the silence after which the group counts as standing still."""
-        return QUIET_S if self.has_events else FIRST_EVENT_S
+        """Return the time without events after which the group counts as stalled."""
+        return QUIET_S if self.has_events else FIRST_EVENT_TIMEOUT_S
 
 
-class _Reports:
-    """When which heads were reported; a report counts for a short time."""
+class _RecentReports:
+    """Times at which leaders were reported; a report expires after ``REPORT_S``."""
 
     def __init__(self) -> None:
         self._reported_s: dict[HostId, float] = {}
 
-    def add(self, head: HostId, now_s: float) -> bool:
-        """Take in a report; tell whether it is news."""
-        is_news = not self.has(head, now_s)
-        self._reported_s[head] = max(now_s, self._reported_s.get(head, now_s))
-        return is_news
+    def add(self, leader: HostId, now_s: float) -> bool:
+        """Record a report; return whether there was no recent one of the leader."""
+        is_new = not self.has(leader, now_s)
+        self._reported_s[leader] = max(now_s, self._reported_s.get(leader, now_s))
+        return is_new
 
-    def has(self, head: HostId, now_s: float) -> bool:
-        """Tell whether a head was reported a short while ago."""
-        return now_s - self._reported_s.get(head, float("-inf")) < REPORT_S
+    def has(self, leader: HostId, now_s: float) -> bool:
+        """Return whether a leader was reported recently."""
+        return now_s - self._reported_s.get(leader, float("-inf")) < REPORT_S
 
-    def drop(self, head: HostId) -> None:
-        """Let a report of a head count no more."""
-        self._reported_s.pop(head, None)
+    def drop(self, leader: HostId) -> None:
+        """Drop the report of a leader."""
+        self._reported_s.pop(leader, None)
 
     def recent(self, now_s: float) -> list[HostId]:
-        """Return the heads that were reported a short while ago, and forget the others."""
+        """Return the leaders that were reported recently, and forget the others."""
         self._reported_s = {h: s for h, s in self._reported_s.items() if now_s - s < REPORT_S}
         return list(self._reported_s)
 
 
 class StallDetector:
-    """Follows the events of every group head that this host has streams at.
+    """Tracks the events of every group leader at which this host has streams.
 
-    ``on_report`` is called when this host reports a group that it had not reported lately.
+    ``on_report`` is called when there is something to tell peers at once: this host reports a group
+    that it had not reported recently, or disputes a peer's report.
     """
 
     def __init__(self, on_report: Callable[[], None] = lambda: None) -> None:
         self._on_report = on_report
-        self._paces: defaultdict[HostId, _Pace] = defaultdict(_Pace)
-        self._still, self._unreachable = _Reports(), _Reports()
-        self._still_by_peers, self._unreachable_by_peers = _Reports(), _Reports()
+        self._activity: defaultdict[HostId, _StreamActivity] = defaultdict(_StreamActivity)
+        self._stalled, self._unreachable = _RecentReports(), _RecentReports()
+        self._stalled_by_peers, self._unreachable_by_peers = _RecentReports(), _RecentReports()
         self._moved_by_peers_s: dict[HostId, float] = {}
 
-    def on_begin(self, head: HostId, now_s: float) -> None:
-        """Take in that a stream was opened."""
-        pace = self._paces[head]
-        if not pace.streams:
-            pace.read_s, pace.moved_s, pace.has_events = now_s, now_s, False
-        pace.streams += 1
+    def on_begin(self, leader: HostId, now_s: float) -> None:
+        """Record that a stream was opened."""
+        activity = self._activity[leader]
+        if not activity.streams:
+            activity.last_read_s, activity.moved_s, activity.has_events = now_s, now_s, False
+        activity.streams += 1
 
-    def on_event(self, head: HostId, now_s: float, late_s: float = 0.0) -> None:
-        """Take in an event that is read now and came ``late_s`` before at the earliest.
+    def on_event(self, leader: HostId, now_s: float, late_s: float = 0.0) -> None:
+        """Record an event that is read now and arrived up to ``late_s`` ago.
 
-        Silence counts from when it was read; it proves movement from when it may have come.
+        The time without events is counted from the reading. As evidence that the group works, the
+        event counts only for the earliest time at which it may have arrived.
         """
-        pace = self._paces[head]
-        pace.read_s, pace.moved_s, pace.has_events = now_s, now_s - late_s, True
+        activity = self._activity[leader]
+        activity.last_read_s, activity.moved_s, activity.has_events = now_s, now_s - late_s, True
 
-    def on_end(self, head: HostId) -> None:
-        """Take in that a stream is over."""
-        pace = self._paces[head]
-        pace.streams -= 1
-        if not pace.streams:
-            del self._paces[head]
+    def on_end(self, leader: HostId) -> None:
+        """Record that a stream has ended."""
+        activity = self._activity[leader]
+        activity.streams -= 1
+        if not activity.streams:
+            del self._activity[leader]
 
-    def report(self, head: HostId, now_s: float) -> None:
-        """Take in that a group stands still, or broke off.
+    def report(self, leader: HostId, now_s: float) -> None:
+        """Record that a group has stalled or dropped a connection.
 
-        Streams that only wait for their first event may wait in a full engine's queue: that is no
-        news for others.
+        Streams without a first event may just be queued at a full engine, so they are not reported
+        to others.
         """
-        pace = self._paces.get(head)
-        if (pace is None or pace.has_events) and self._still.add(head, now_s):
+        activity = self._activity.get(leader)
+        if (activity is None or activity.has_events) and self._stalled.add(leader, now_s):
             self._on_report()
 
-    def report_unreachable(self, head: HostId, now_s: float) -> None:
-        """Take in that no connection to a head came up; others may reach it."""
-        if self._unreachable.add(head, now_s):
+    def report_unreachable(self, leader: HostId, now_s: float) -> None:
+        """Record that connecting to a leader failed; other hosts may still reach it."""
+        if self._unreachable.add(leader, now_s):
             self._on_report()
 
-    def report_by_peer(self, head: HostId, now_s: float) -> None:
-        """Take in that another entry host saw a group stand still."""
-        if self._still_by_peers.add(head, now_s):
-            self._contradict(head, now_s)
+    def report_by_peer(self, leader: HostId, now_s: float) -> None:
+        """Record that another entry host reported a group as stalled."""
+        if self._stalled_by_peers.add(leader, now_s):
+            self._dispute_report(leader, now_s)
 
-    def report_unreachable_by_peer(self, head: HostId, now_s: float) -> None:
-        """Take in that another entry host could not reach a head."""
-        if self._unreachable_by_peers.add(head, now_s):
-            self._contradict(head, now_s)
+    def report_unreachable_by_peer(self, leader: HostId, now_s: float) -> None:
+        """Record that another entry host could not reach a leader."""
+        if self._unreachable_by_peers.add(leader, now_s):
+            self._dispute_report(leader, now_s)
 
-    def _contradict(self, head: HostId, now_s: float) -> None:
-        """Tell peers soon of a group that one of them suspects, if it moves here."""
-        if self._has_moved(head, now_s - MOVING_S):
+    def _dispute_report(self, leader: HostId, now_s: float) -> None:
+        """Notify peers soon if a group that one of them suspects still delivers events here."""
+        if self._has_moved(leader, now_s - MOVING_S):
             self._on_report()
 
-    def move_by_peer(self, head: HostId, age_s: float, now_s: float) -> None:
-        """Take in that another entry host saw a group move some time before it told of that."""
+    def move_by_peer(self, leader: HostId, age_s: float, now_s: float) -> None:
+        """Record that another entry host got an event of a group, ``age_s`` before its message."""
         moved_s = now_s - age_s - READ_LATE_S
-        self._moved_by_peers_s[head] = max(moved_s, self._moved_by_peers_s.get(head, moved_s))
+        self._moved_by_peers_s[leader] = max(moved_s, self._moved_by_peers_s.get(leader, moved_s))
 
     def moving(self, now_s: float) -> dict[HostId, float]:
-        """Return the heads that some host suspects and that this host saw move; how long ago."""
+        """Return the suspected leaders with a recent event on this host, and the event's age."""
         suspected = self.suspected(now_s)
-        moving = [head for head in suspected if self._has_moved(head, now_s - MOVING_S)]
-        return {head: now_s - self._paces[head].moved_s for head in moving}
+        moving = [leader for leader in suspected if self._has_moved(leader, now_s - MOVING_S)]
+        return {leader: now_s - self._activity[leader].moved_s for leader in moving}
 
-    def moved_since(self, head: HostId, since_s: float) -> bool:
-        """Tell whether this host or a peer saw a group move after a time."""
-        by_peers_s = self._moved_by_peers_s.get(head, float("-inf"))
-        return by_peers_s > since_s or self._has_moved(head, since_s)
+    def moved_since(self, leader: HostId, since_s: float) -> bool:
+        """Return whether this host or a peer got an event of a group after a given time."""
+        by_peers_s = self._moved_by_peers_s.get(leader, float("-inf"))
+        return by_peers_s > since_s or self._has_moved(leader, since_s)
 
-    def _has_moved(self, head: HostId, since_s: float) -> bool:
-        pace = self._paces.get(head)
-        return pace is not None and pace.has_events and pace.moved_s > since_s
+    def _has_moved(self, leader: HostId, since_s: float) -> bool:
+        activity = self._activity.get(leader)
+        return activity is not None and activity.has_events and activity.moved_s > since_s
 
-    def forget(self, head: HostId) -> None:
-        """Drop the reports of a head, which started again; its streams end by themselves."""
+    def forget(self, leader: HostId) -> None:
+        """Drop the reports of a leader that has restarted; its streams end by themselves."""
         for reports in (
-            self._still,
+            self._stalled,
             self._unreachable,
-            self._still_by_peers,
+            self._stalled_by_peers,
             self._unreachable_by_peers,
         ):
-            reports.drop(head)
-        self._moved_by_peers_s.pop(head, None)
+            reports.drop(leader)
+        self._moved_by_peers_s.pop(leader, None)
 
     def reported(self, now_s: float) -> list[HostId]:
-        """Return the heads whose groups this host itself saw stand still a short while ago."""
-        return self._still.recent(now_s)
+        """Return the leaders whose groups this host itself reported recently as stalled."""
+        return self._stalled.recent(now_s)
 
     def reported_unreachable(self, now_s: float) -> list[HostId]:
-        """Return the heads that this host itself could not reach a short while ago."""
+        """Return the leaders that this host itself recently could not reach."""
         return self._unreachable.recent(now_s)
 
     def suspected(self, now_s: float) -> set[HostId]:
-        """Return the heads of groups that any entry host reported a short while ago."""
+        """Return the leaders that any entry host reported recently."""
         own = {*self.reported(now_s), *self.reported_unreachable(now_s)}
-        by_peers = {*self._still_by_peers.recent(now_s), *self._unreachable_by_peers.recent(now_s)}
+        by_peers = {
+            *self._stalled_by_peers.recent(now_s),
+            *self._unreachable_by_peers.recent(now_s),
+        }
         return own | by_peers
 
-    def is_stalled(self, head: HostId, now_s: float) -> bool:
-        """Tell whether a group stands still."""
-        pace = self._paces.get(head)
-        if pace is None:
+    def is_stalled(self, leader: HostId, now_s: float) -> bool:
+        """Return whether a group has stalled."""
+        activity = self._activity.get(leader)
+        if activity is None:
             return False
-        is_told = self._still_by_peers.has(head, now_s)
-        return now_s - pace.read_s >= (TOLD_QUIET_S if is_told else pace.quiet_limit_s)
+        is_reported_by_peer = self._stalled_by_peers.has(leader, now_s)
+        return now_s - activity.last_read_s >= (
+            PEER_REPORTED_QUIET_S if is_reported_by_peer else activity.quiet_limit_s
+        )
 
-    def next_look_s(self, head: HostId, now_s: float) -> float:
-        """Return when to ask again whether a group stands still, if nothing moves.
+    def next_check_s(self, leader: HostId, now_s: float) -> float:
+        """Return when to check a group for a stall again, if no event arrives before.
 
-        A peer's word may come at any time for streams that wait for their first event.
+        For streams that wait for their first event, a peer's report may arrive at any time.
         """
-        pace = self._paces[head]
-        if not pace.has_events:
-            return now_s + LOOK_S
-        return max(pace.read_s + pace.quiet_limit_s, now_s + LOOK_S)
+        activity = self._activity[leader]
+        if not activity.has_events:
+            return now_s + CHECK_INTERVAL_S
+        return max(activity.last_read_s + activity.quiet_limit_s, now_s + CHECK_INTERVAL_S)
--- a/yewloom/tests/test_attempts.py
+++ b/yewloom/tests/test_attempts.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.attempts import AttemptRecord, AttemptState, FinalAnswer
+from yewloom.attempts import AttemptRecord, AttemptState, FailureResponse
 from yewloom.ids import HostId
 from yewloom.routes import RouteKind
 from yewloom.tests.entry_support import make_route
@@ -13,16 +13,16 @@
 STATES = st.lists(st.sampled_from(AttemptState), max_size=4)
 
 
-def _record(kind: RouteKind, states: list[AttemptState], most: int = 2) -> AttemptRecord:
-    record = AttemptRecord(make_route(kind, max_endpoints=most))
+def _record(kind: RouteKind, states: list[AttemptState], max_endpoints: int = 2) -> AttemptRecord:
+    record = AttemptRecord(make_route(kind, max_endpoints=max_endpoints))
     for number, state in enumerate(states):
         record.begin(HostId(f"e{number}"))
-        record.note(HostId(f"e{number}"), state)
+        record.set_state(HostId(f"e{number}"), state)
     return record
 
 
 class TestAttemptRecord(unittest.TestCase):
-    """Refusals are proved, and unsafe requests run once at most."""
+    """Refusals are proved, and unsafe requests run once at max_endpoints."""
 
     @given(st.sampled_from(RouteKind), STATES, st.booleans())
     def test_a_request_is_refused_only_if_no_endpoint_can_have_run_it(
@@ -31,24 +31,24 @@
         record = _record(kind, states)
         may_have_run = bool({AttemptState.SENT, AttemptState.ANSWERED} & set(states))
         if may_have_run:
-            self.assertNotEqual(record.final_answer(is_late), FinalAnswer.REFUSED)
+            self.assertNotEqual(record.failure_response(is_late), FailureResponse.REFUSED)
 
     @given(STATES)
     def test_an_unsafe_request_that_may_have_run_is_not_sent_again(
         self, states: list[AttemptState]
     ) -> None:
-        record = _record(RouteKind.UNSAFE, states, most=9)
+        record = _record(RouteKind.UNSAFE, states, max_endpoints=9)
         may_have_run = bool({AttemptState.SENT, AttemptState.ANSWERED} & set(states))
         self.assertEqual(record.may_try_another, not may_have_run)
 
     @given(STATES, st.integers(1, 4))
     def test_no_more_endpoints_than_the_route_allows(
-        self, states: list[AttemptState], most: int
+        self, states: list[AttemptState], max_endpoints: int
     ) -> None:
-        record = _record(RouteKind.REPEATABLE, states, most)
+        record = _record(RouteKind.REPEATABLE, states, max_endpoints)
         reached = sum(state is not AttemptState.NOTHING_SENT for state in states)
-        self.assertEqual(record.may_try_another, reached < most)
+        self.assertEqual(record.may_try_another, reached < max_endpoints)
 
     def test_an_endpoint_that_got_nothing_does_not_count_as_a_repeat(self) -> None:
-        self.assertFalse(_record(RouteKind.UNSAFE, [AttemptState.NOTHING_SENT]).is_repeat())
-        self.assertTrue(_record(RouteKind.UNSAFE, [AttemptState.NOT_RUN]).is_repeat())
+        self.assertFalse(_record(RouteKind.UNSAFE, [AttemptState.NOTHING_SENT]).is_retry())
+        self.assertTrue(_record(RouteKind.UNSAFE, [AttemptState.NOT_RUN]).is_retry())
--- a/yewloom/tests/test_event_stream.py
+++ b/yewloom/tests/test_event_stream.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.event_stream import EventSplitter, StreamCursor, StreamEvent, StreamOrderError
+from yewloom.event_stream import EventSplitter, EventStreamError, StreamCursor, StreamEvent
 
 
 def _event(number: int) -> bytes:
@@ -26,12 +26,12 @@
         events += splitter.feed(data)
         self.assertEqual([event.event_id for event in events], list(range(1, count + 1)))
         self.assertEqual(b"".join(e.data for e in events)[:4], b"id: ")
-        self.assertFalse(splitter.has_rest)
+        self.assertFalse(splitter.has_partial_event)
 
     def test_an_event_that_breaks_off_is_kept_back(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(len(splitter.feed(_event(1) + b"id: 2\nda")), 1)
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial_event)
 
     def test_other_lines_may_come_before_the_id(self) -> None:
         [event] = EventSplitter().feed(b"versions: 7\r\nid: 3\r\ndata: x\r\n\r\n")
@@ -55,5 +55,5 @@
     def test_a_missing_event_is_an_error(self) -> None:
         cursor = StreamCursor(4)
         self.assertTrue(cursor.accept(StreamEvent(5, b"")))
-        with self.assertRaises(StreamOrderError):
+        with self.assertRaises(EventStreamError):
             cursor.accept(StreamEvent(7, b""))
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -13,8 +13,8 @@
 from yewloom.ids import HostId
 from yewloom.planned_stop import STOP_MARGIN_S
 from yewloom.route_durations import LEAST
-from yewloom.selection import PLAIN_SLOTS
-from yewloom.stalls import LOOK_S, QUIET_S
+from yewloom.selection import PLAIN_SERVICE_SLOTS
+from yewloom.stalls import CHECK_INTERVAL_S, QUIET_S
 from yewloom.tests.caller_support import parse_answers
 from yewloom.tests.entry_support import make_plain
 from yewloom.tests.forwarding_support import (
@@ -186,7 +186,7 @@
         async def test(fixture: Fixture) -> None:
             await fixture.add_plain("p0", failing)
             await fixture.add_plain("p1", Endpoint(answer_ok))
-            for _ in range(PLAIN_SLOTS):
+            for _ in range(PLAIN_SERVICE_SLOTS):
                 fixture.selector.begin(HostId("p1"))
             fixture.retries_left = 1.0
             statuses: list[int] = []
@@ -359,7 +359,7 @@
             await endpoint.send(event(1))
             await trio.sleep(0.1)
             time.sleep(QUIET_S)  # noqa: ASYNC251 - of the host, too
-            await trio.sleep(LOOK_S / 2)
+            await trio.sleep(CHECK_INTERVAL_S / 2)
             await endpoint.send(event(2))
             await endpoint.finish()
 
@@ -429,10 +429,10 @@
         fixture = Fixture()
         endpoint = make_plain("p", "127.0.0.1:1")
         fixture.selector.begin(endpoint.id)
-        ended = mock.Mock(claimed=endpoint)
-        fixture.choice.drop_claim(ended)
-        fixture.choice.drop_claim(ended)
-        self.assertEqual((fixture.selector.running(), ended.claimed), ({}, None))
+        ended = mock.Mock(reserved=endpoint)
+        fixture.choice.release_reserved(ended)
+        fixture.choice.release_reserved(ended)
+        self.assertEqual((fixture.selector.running(), ended.reserved), ({}, None))
 
     async def _expect_two_events(self, fixture: Fixture) -> None:
         answer = await fixture.ask("/s/1")
--- a/yewloom/tests/test_reachability.py
+++ b/yewloom/tests/test_reachability.py
@@ -13,13 +13,13 @@
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.ids import DataCentreId, HostId
 from yewloom.reachability import (
-    CUT_PROBE_PAUSE_S,
-    ENDPOINTS_OF_A_CUT,
-    FAILURE_COUNTS_S,
-    PROBE_PAUSE_S,
+    CUT_OFF_PROBE_INTERVAL_S,
+    CUT_OFF_THRESHOLD,
+    FAILURE_WINDOW_S,
+    PROBE_INTERVAL_S,
     Reachability,
 )
-from yewloom.selection import Wanted
+from yewloom.selection import EndpointRequirements
 from yewloom.tests.entry_support import (
     ENGINES,
     HALL,
@@ -31,12 +31,12 @@
 
 HALLS = (HALL, DataCentreId("hall-b"), DataCentreId("hall-c"))
 CUT_OFF = HALLS[2]
-HEADS_OF_A_HALL = 6
-CUT_S = 5.0
+LEADERS_PER_DATA_CENTRE = 6
+CUT_DURATION_S = 5.0
 REQUESTS_PER_S = 13
 CONNECT_LIMIT_S = 0.25
 CONFIGURATION = make_configuration()
-WANTED = Wanted(ENGINES, SMALL)
+WANTED = EndpointRequirements(ENGINES, SMALL)
 
 
 class Host:
@@ -47,7 +47,7 @@
         self.reachability = Reachability(self.directory)
         self.selector = make_selector(self.directory, reachability=self.reachability)
         for hall in HALLS:
-            for number in range(HEADS_OF_A_HALL):
+            for number in range(LEADERS_PER_DATA_CENTRE):
                 names = [f"{hall}-{number}-{rank}" for rank in (0, 1)]
                 put_group(self.directory, f"{hall}-{number}", SMALL, names, data_centre=hall)
 
@@ -57,14 +57,14 @@
         assert chosen is not None
         return chosen
 
-    def head(self, hall: DataCentreId, number: int) -> Endpoint:
+    def leader(self, hall: DataCentreId, number: int) -> Endpoint:
         """Return a leader."""
         return self.directory.by_id[HostId(f"{hall}-{number}-0")]
 
     def lose(self, hall: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
         """Fail to connect to some leaders."""
         for number in numbers:
-            self.reachability.on_failure(self.head(hall, number), now_s)
+            self.reachability.on_failure(self.leader(hall, number), now_s)
 
 
 class TestCut(unittest.TestCase):
@@ -76,7 +76,7 @@
     def test_through_a_cut_two_requests_wait_for_a_connection(self) -> None:
         waited = 0
         pending: list[tuple[float, Endpoint]] = []
-        for number in range(int(CUT_S * REQUESTS_PER_S)):
+        for number in range(int(CUT_DURATION_S * REQUESTS_PER_S)):
             now_s = number / REQUESTS_PER_S
             while pending and pending[0][0] <= now_s:
                 failed_s, endpoint = pending.pop(0)
@@ -90,48 +90,48 @@
                 self.host.selector.end(endpoint.id)
                 pending.append((now_s + CONNECT_LIMIT_S, endpoint))
         self.assertGreater(waited, 0)
-        self.assertLessEqual(waited, REQUESTS_PER_S * CONNECT_LIMIT_S + ENDPOINTS_OF_A_CUT)
+        self.assertLessEqual(waited, REQUESTS_PER_S * CONNECT_LIMIT_S + CUT_OFF_THRESHOLD)
 
     def test_one_lost_endpoint_leaves_the_others_in_use(self) -> None:
         self.host.lose(CUT_OFF, 0)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
-        self.assertTrue(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 0)))
-        self.assertFalse(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 1)))
+        self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
+        self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 1)))
 
     def test_two_that_fail_long_after_each_other_are_no_cut(self) -> None:
         self.host.lose(CUT_OFF, 0)
-        self.host.lose(CUT_OFF, 1, now_s=FAILURE_COUNTS_S + 0.1)
+        self.host.lose(CUT_OFF, 1, now_s=FAILURE_WINDOW_S + 0.1)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
 
     def test_a_domain_that_goes_dark_is_no_cut_once_another_endpoint_answers_a_probe(self) -> None:
         self.host.lose(CUT_OFF, 0, 1)
-        self.assertTrue(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 5)))
+        self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
         probed = self.host.reachability.take_due_probes(0.0)
-        lost = {self.host.head(CUT_OFF, number).id for number in (0, 1)}
+        lost = {self.host.leader(CUT_OFF, number).id for number in (0, 1)}
         self.assertTrue(lost.isdisjoint(endpoint.id for endpoint in probed))
         self.host.reachability.on_connected(probed[0], 0.01)
-        self.assertFalse(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 5)))
-        self.assertTrue(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 0)))
+        self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
+        self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
 
     def test_the_end_of_a_cut_is_seen_by_the_next_round_of_probes(self) -> None:
         self.host.lose(CUT_OFF, 0, 1)
         self.host.reachability.take_due_probes(0.0)
-        self.assertEqual(self.host.reachability.take_due_probes(CUT_PROBE_PAUSE_S / 2), [])
-        for endpoint in self.host.reachability.take_due_probes(CUT_PROBE_PAUSE_S):
-            self.host.reachability.on_connected(endpoint, CUT_PROBE_PAUSE_S)
+        self.assertEqual(self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S / 2), [])
+        for endpoint in self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S):
+            self.host.reachability.on_connected(endpoint, CUT_OFF_PROBE_INTERVAL_S)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
-        due = self.host.reachability.take_due_probes(CUT_PROBE_PAUSE_S + PROBE_PAUSE_S)
+        due = self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S + PROBE_INTERVAL_S)
         for endpoint in due:
             self.host.reachability.on_connected(endpoint, 1.0)
         self.assertEqual(self.host.reachability.take_due_probes(10.0), [])
 
     def test_a_host_that_reaches_nobody_still_sends_to_someone(self) -> None:
         for hall in HALLS:
-            self.host.lose(hall, *range(HEADS_OF_A_HALL))
+            self.host.lose(hall, *range(LEADERS_PER_DATA_CENTRE))
         self.host.choose(0.0)
 
     def test_what_is_no_longer_listed_is_forgotten(self) -> None:
-        self.host.lose(CUT_OFF, *range(HEADS_OF_A_HALL))
+        self.host.lose(CUT_OFF, *range(LEADERS_PER_DATA_CENTRE))
         for endpoint in list(self.host.directory.by_id.values()):
             if endpoint.data_centre == CUT_OFF:
                 self.host.directory.remove(endpoint.id)
@@ -145,12 +145,12 @@
         for number, is_reached, pause_s in events:
             now_s += pause_s
             if is_reached:
-                host.reachability.on_connected(host.head(CUT_OFF, number), now_s)
+                host.reachability.on_connected(host.leader(CUT_OFF, number), now_s)
             else:
                 host.lose(CUT_OFF, number, now_s=now_s)
         for _ in range(2):
-            now_s += PROBE_PAUSE_S
+            now_s += PROBE_INTERVAL_S
             for endpoint in host.reachability.take_due_probes(now_s):
                 host.reachability.on_connected(endpoint, now_s)
-        heads = (host.head(CUT_OFF, number) for number in range(HEADS_OF_A_HALL))
-        self.assertFalse(any(host.reachability.is_avoided(head) for head in heads))
+        leaders = (host.leader(CUT_OFF, number) for number in range(LEADERS_PER_DATA_CENTRE))
+        self.assertFalse(any(host.reachability.is_avoided(leader) for leader in leaders))
--- a/yewloom/tests/test_retry_window.py
+++ b/yewloom/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on repeats."""
+"""Tests of the bound on retries."""
 
 import unittest
 
@@ -7,29 +7,29 @@
 
 from yewloom.entry_states import PeerBoard
 from yewloom.ids import EntryHostId
-from yewloom.retry_window import RetryWindow
+from yewloom.retry_window import RetryBudget
 from yewloom.tests.entry_support import HALL, PLAIN
 
 STEPS = st.lists(st.tuples(st.booleans(), st.floats(0, 3)), max_size=60)
 
 
 class TestRetryWindow(unittest.TestCase):
-    """In any window, repeats stay within the share of its requests and the extra."""
+    """In any window, retries stay within the share of its requests and the extra."""
 
     @given(STEPS)
     def test_repeats_of_any_window_are_bounded(self, steps: list[tuple[bool, float]]) -> None:
-        window, now_s = RetryWindow(0.2, 10.0, lambda: 3.0), 0.0
+        window, now_s = RetryBudget(0.2, 10.0, lambda: 3.0), 0.0
         requests: list[float] = []
-        repeats: list[float] = []
+        retries: list[float] = []
         for is_request, pause_s in steps:
             now_s += pause_s
             if is_request:
                 window.on_request(PLAIN, now_s)
                 requests.append(now_s)
-            elif window.try_repeat(PLAIN, now_s):
-                repeats.append(now_s)
+            elif window.try_acquire(PLAIN, now_s):
+                retries.append(now_s)
                 recent = sum(time_s >= now_s - 10.0 for time_s in requests)
-                used = sum(time_s >= now_s - 10.0 for time_s in repeats)
+                used = sum(time_s >= now_s - 10.0 for time_s in retries)
                 self.assertLessEqual(used, 0.2 * recent + 3.0)
 
     @given(st.integers(1, 80), st.floats(1, 300))
@@ -43,7 +43,7 @@
         self.assertLessEqual(part * hosts, extra * 1.000001)
 
     def test_services_have_windows_of_their_own(self) -> None:
-        window = RetryWindow(0.0, 10.0, lambda: 1.0)
-        self.assertTrue(window.try_repeat(PLAIN, 0.0))
-        self.assertFalse(window.try_repeat(PLAIN, 0.0))
-        self.assertTrue(window.try_repeat(type(PLAIN)("other"), 0.0))
+        window = RetryBudget(0.0, 10.0, lambda: 1.0)
+        self.assertTrue(window.try_acquire(PLAIN, 0.0))
+        self.assertFalse(window.try_acquire(PLAIN, 0.0))
+        self.assertTrue(window.try_acquire(type(PLAIN)("other"), 0.0))
--- a/yewloom/tests/test_routes.py
+++ b/yewloom/tests/test_routes.py
@@ -19,9 +19,9 @@
     @given(st.sets(PREFIXES, min_size=1), PREFIXES)
     def test_the_longest_prefix_is_found(self, prefixes: set[str], path: str) -> None:
         table = RouteTable(make_route(prefix=prefix) for prefix in sorted(prefixes))
-        fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
+        matching = [prefix for prefix in prefixes if path.startswith(prefix)]
         found = table.find("x.example", path)
-        expected = max(fitting, key=len, default=None)
+        expected = max(matching, key=len, default=None)
         self.assertEqual(found.path_prefix if found else None, expected)
 
     def test_another_host_has_no_route(self) -> None:
--- a/yewloom/tests/test_selection.py
+++ b/yewloom/tests/test_selection.py
@@ -9,7 +9,7 @@
 from yewloom.entry_states import PeerBoard
 from yewloom.ids import DataCentreId, EntryHostId, HostId
 from yewloom.schema.entry_pb2 import EndpointLoad, EntryState
-from yewloom.selection import Wanted
+from yewloom.selection import EndpointRequirements
 from yewloom.tests.entry_support import (
     ENGINES,
     HALL,
@@ -36,11 +36,11 @@
 
     def choose(self, *tried: str) -> str | None:
         """Choose a leader of the small model."""
-        return self._choose(Wanted(ENGINES, SMALL), *tried)
+        return self._choose(EndpointRequirements(ENGINES, SMALL), *tried)
 
-    def _choose(self, wanted: Wanted, *tried: str) -> str | None:
+    def _choose(self, requirements: EndpointRequirements, *tried: str) -> str | None:
         names = {HostId(name) for name in tried}
-        found = self.selector.choose(wanted, CONFIGURATION, names, 0.0)
+        found = self.selector.choose(requirements, CONFIGURATION, names, 0.0)
         return found.id if found is not None else None
 
     def test_only_open_leaders_of_the_model_take_requests(self) -> None:
@@ -53,11 +53,11 @@
 
     def test_leaving_endpoints_get_nothing(self) -> None:
         self.directory.put(make_plain("p"))
-        self.assertEqual(self._choose(Wanted(PLAIN, None)), "p")
+        self.assertEqual(self._choose(EndpointRequirements(PLAIN, None)), "p")
         key = put_group(self.directory, "g", SMALL, ["a", "b"])
-        head = self.directory.members(key)[0]
+        leader = self.directory.members(key)[0]
         self.directory.put(
-            make_engine("a", membership=head.membership, model=SMALL, is_leaving=True)
+            make_engine("a", membership=leader.membership, model=SMALL, is_leaving=True)
         )
         self.assertIsNone(self.choose())
 
@@ -65,8 +65,8 @@
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         for _ in range(10):
-            self.selector.paces.note(HostId("a"), 0.5, 0.0)
-            self.selector.paces.note(HostId("c"), 0.05, 0.0)
+            self.selector.event_intervals.record(HostId("a"), 0.5, 0.0)
+            self.selector.event_intervals.record(HostId("c"), 0.05, 0.0)
         self.selector.begin(HostId("c"))
         self.assertEqual(self.choose(), "c")
         for _ in range(20):
