--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -1,4 +1,4 @@
-"""A forwarder before scripted endpoints, and callers that ask it, on the loopback."""
+"""A forwarder with scripted endpoints, and callers that send it requests, on localhost."""
 
 import socket
 import time
@@ -39,11 +39,12 @@
 
 GRACE_S = 8.0
 
-PROOF_INTERVAL_S = 1.0
-"""Time between two proofs that the configuration is current; a host's watches end as often."""
+CONFIRM_INTERVAL_S = 1.0
+"""Interval at which the configuration is confirmed as current; a real host's watches end as often.
+"""
 
 LONG_BODY = b"x" * (15 << 20)
-"""More than the sockets of a caller that does not read hold."""
+"""More bytes than the socket buffers of a caller that does not read can hold."""
 
 BOUNDS = ServingBounds(
     key_revocation_ms=5000,
@@ -54,26 +55,26 @@
 )
 LIMITS = CallerLimits(max_header_bytes=2000, max_body_bytes=5000, header_timeout_ms=300)
 STREAM_ROUTE = make_route(RouteKind.STREAM, "/s/", ENGINES, is_resumable=True)
-ONCE_ROUTE = make_route(RouteKind.STREAM, "/once/", ENGINES)
+NON_RESUMABLE_ROUTE = make_route(RouteKind.STREAM, "/once/", ENGINES)
 UNSAFE_ROUTE = make_route(RouteKind.UNSAFE, "/u/")
 SAFE_ROUTE = make_route(RouteKind.REPEATABLE, "/r/")
 OPEN_ROUTE = make_route(RouteKind.REPEATABLE, "/open/", is_open=True)
-ROUTES = (STREAM_ROUTE, ONCE_ROUTE, UNSAFE_ROUTE, SAFE_ROUTE, OPEN_ROUTE)
+ROUTES = (STREAM_ROUTE, NON_RESUMABLE_ROUTE, UNSAFE_ROUTE, SAFE_ROUTE, OPEN_ROUTE)
 
 
 class Endpoint:
-    """An endpoint that plays a script: a function that gets the request and answers by hand."""
+    """An endpoint that runs a script: a function that gets the request and writes the answer."""
 
-    def __init__(self, play: Callable[["Endpoint", h11.Request], Awaitable[None]]) -> None:
-        self._play = play
+    def __init__(self, script: Callable[["Endpoint", h11.Request], Awaitable[None]]) -> None:
+        self._script = script
         self.requests: list[h11.Request] = []
         self.bodies: list[bytes] = []
         self.stream: trio.SocketStream | None = None
         self.connection = h11.Connection(h11.SERVER)
-        self.was_left = trio.Event()
+        self.has_lost_caller = trio.Event()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Read one request and play the script."""
+        """Read one request and run the script."""
         self.stream, self.connection = stream, h11.Connection(h11.SERVER)
         body = b""
         request = None
@@ -92,19 +93,19 @@
         self.requests.append(request)
         self.bodies.append(body)
         try:
-            await self._play(self, request)
+            await self._script(self, request)
         except trio.BrokenResourceError:
-            self.was_left.set()
+            self.has_lost_caller.set()
         await trio.aclose_forcefully(stream)
 
     async def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
-        """Send a whole answer that echoes the request's id."""
+        """Send a complete answer that echoes the request id."""
         await self.start(status, body_length=len(body), **headers)
         if body:
             await self.send(body)
 
     async def start(self, status: int, body_length: int | None = None, **headers: str) -> None:
-        """Send the head of an answer; in chunks if no length is given."""
+        """Send the head of an answer; the body is chunked if no length is given."""
         request_id = dict(self.requests[-1].headers)[b"yewloom-request-id"]
         sent = [(b"yewloom-request-id", request_id), (b"yewloom-server-stamp", b"stamp")]
         sent += [(k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()]
@@ -117,7 +118,7 @@
         await self.raw(self.connection.send(h11.Data(data=data)))
 
     async def finish(self) -> None:
-        """Mark the body as whole."""
+        """End the body."""
         await self.raw(self.connection.send(h11.EndOfMessage()))
 
     async def raw(self, data: bytes | None) -> None:
@@ -127,13 +128,13 @@
 
 
 class SharedEndpoint(Endpoint):
-    """An endpoint that serves several requests at once, each with a player of its own."""
+    """An endpoint that serves several requests at once, each by its own ``Endpoint``."""
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Read one request and play the script."""
-        player = Endpoint(self._play)
-        player.requests = self.requests
-        await player.serve(stream)
+        """Read one request and run the script."""
+        endpoint = Endpoint(self._script)
+        endpoint.requests = self.requests
+        await endpoint.serve(stream)
 
 
 def event(number: int) -> bytes:
@@ -142,7 +143,7 @@
 
 
 class Answer:
-    """What a caller received; ``is_whole`` says that the answer ended by its framing."""
+    """What a caller received; ``is_whole`` says whether the answer is complete by its framing."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -152,7 +153,7 @@
 
 
 class Fixture:
-    """An entry host's forwarding before scripted endpoints, on the loopback."""
+    """The forwarding of an entry host, with scripted endpoints, on localhost."""
 
     def __init__(self, configuration: Configuration | None = None) -> None:
         self.book = ConfigurationBook()
@@ -191,36 +192,40 @@
         self.address = ("127.0.0.1", 0)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to serve callers."""
+        """Start to serve callers."""
         self._nursery = nursery
         self.lateness.watch_this_run()
         self.book.apply(self.configuration, trio.current_time())
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.address = listeners[0].socket.getsockname()
         nursery.start_soon(trio.serve_listeners, self.server._serve_connection, listeners)
-        nursery.start_soon(self._keep_configuration_proved)
+        nursery.start_soon(self._keep_configuration_confirmed)
         nursery.start_soon(self.crashes.checks.run)
 
-    async def _keep_configuration_proved(self) -> None:
-        """Prove the configuration current again and again, as the watches of a host do.
+    async def _keep_configuration_confirmed(self) -> None:
+        """Confirm the configuration as current periodically, as the watches of a host do.
 
-        Else keyed requests are refused once a test has gone on for some seconds.
+        Otherwise requests with a key are refused once a test has run for a few seconds.
         """
         while True:
-            await trio.sleep(PROOF_INTERVAL_S)
+            await trio.sleep(CONFIRM_INTERVAL_S)
             self.book.confirm(trio.current_time())
 
     async def add_plain(
         self, name: str, endpoint: Endpoint, ends_with_a_request: bool = False
     ) -> None:
-        """List a plain service's endpoint; one that ends closes its port with the connection."""
+        """Add an endpoint of a plain service to the directory.
+
+        With ``ends_with_a_request``, it closes its port when it gets a request, like a process that
+        crashes.
+        """
         address = await self._listen(endpoint, ends_with_a_request)
         self.directory.put(make_plain(name, address))
 
     async def add_engine(
         self, name: str, endpoint: Endpoint, ends_with_a_request: bool = False
     ) -> None:
-        """List the leader of a group of the small model."""
+        """Add the leader of a group with the small model to the directory."""
         key = put_group(self.directory, f"group-{name}", SMALL, [name, f"{name}-2"])
         member = self.directory.members(key)[0].membership
         address = await self._listen(endpoint, ends_with_a_request)
@@ -228,13 +233,13 @@
         self.directory.put(replace(engine, address=address))
 
     async def ask(self, path: str, **headers: str) -> Answer:
-        """Send a request with a body as a caller would, and read the answer."""
+        """Send a request with a body as a caller, and read the answer."""
         stream = await trio.open_tcp_stream(*self.address)
         connection = await self.send(stream, path, **headers)
         return await self.read(stream, connection)
 
-    async def open_slow(self) -> trio.SocketStream:
-        """Open the connection of a caller that reads little at a time."""
+    async def open_slow_reader(self) -> trio.SocketStream:
+        """Open a connection of a caller with a small receive buffer."""
         connection = trio.socket.socket()
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await connection.connect(self.address)
@@ -246,19 +251,19 @@
         await stream.send_all(data)
         return connection
 
-    async def ask_held_up(self, path: str, held_up_s: float, **headers: str) -> Answer:
-        """Send a request to a host that is held up before it can read it, and read the answer."""
+    async def ask_while_blocked(self, path: str, blocked_s: float, **headers: str) -> Answer:
+        """Send a request, block the event loop before the host can read it, and read the answer."""
         connection, data = self._request(path, headers)
         caller = socket.create_connection(self.address)
         caller.sendall(data)
-        time.sleep(held_up_s)  # noqa: ASYNC251 - nothing of the host runs meanwhile
+        time.sleep(blocked_s)  # noqa: ASYNC251 - blocks the event loop on purpose
         caller.setblocking(False)
         return await self.read(
             trio.SocketStream(trio.socket.from_stdlib_socket(caller)), connection
         )
 
     def _request(self, path: str, headers: dict[str, str]) -> tuple[h11.Connection, bytes]:
-        """Return a request's bytes, and the connection that reads its answer."""
+        """Return the bytes of a request, and the h11 connection that parses the answer."""
         connection = h11.Connection(h11.CLIENT)
         sent = {
             "host": "x.example",
@@ -273,23 +278,23 @@
         return connection, data + (connection.send(h11.EndOfMessage()) or b"")
 
     async def read(self, stream: trio.SocketStream, connection: h11.Connection) -> Answer:
-        """Read an answer until its end or the connection's."""
+        """Read an answer until it is complete or the connection ends."""
         answer = Answer()
         while True:
             try:
-                found = connection.next_event()
-                if found is h11.NEED_DATA:
+                h11_event = connection.next_event()
+                if h11_event is h11.NEED_DATA:
                     connection.receive_data(await stream.receive_some(65536))
             except (h11.RemoteProtocolError, trio.BrokenResourceError):
                 return answer
-            if isinstance(found, h11.Response):
-                answer.status, answer.headers = found.status_code, dict(found.headers)
-            elif isinstance(found, h11.Data):
-                answer.body += found.data
-            elif isinstance(found, h11.EndOfMessage):
+            if isinstance(h11_event, h11.Response):
+                answer.status, answer.headers = h11_event.status_code, dict(h11_event.headers)
+            elif isinstance(h11_event, h11.Data):
+                answer.body += h11_event.data
+            elif isinstance(h11_event, h11.EndOfMessage):
                 answer.is_whole = True
                 return answer
-            elif isinstance(found, h11.ConnectionClosed):
+            elif isinstance(h11_event, h11.ConnectionClosed):
                 return answer
 
     async def _listen(self, endpoint: Endpoint, ends_with_a_request: bool = False) -> str:
@@ -309,40 +314,40 @@
     async def _serve(
         self, serve: Callable[[trio.SocketStream], Awaitable[None]], listener: trio.SocketListener
     ) -> None:
-        """Serve until the listener is closed; what was accepted before goes on."""
+        """Serve until the listener is closed; accepted connections are served on."""
         async with trio.open_nursery() as nursery:
             try:
                 await trio.serve_listeners(serve, [listener], handler_nursery=nursery)
             except* trio.ClosedResourceError:
-                pass  # The endpoint has ended.
+                pass  # The endpoint has closed its port.
 
 
 async def answer_ok(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer with a success."""
+    """Answer with status 200."""
     await endpoint.answer(200, b"fine")
 
 
-async def answer_at_length(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer with more than a caller's sockets hold."""
+async def answer_with_long_body(endpoint: Endpoint, request: h11.Request) -> None:
+    """Answer with more bytes than a caller's socket buffers can hold."""
     await endpoint.answer(200, LONG_BODY)
 
 
-async def refuse_as_full(endpoint: Endpoint, request: h11.Request) -> None:
-    """Refuse, promising that nothing ran."""
+async def refuse_not_run(endpoint: Endpoint, request: h11.Request) -> None:
+    """Refuse, and promise that the request has not run."""
     await endpoint.answer(503, b"", yewloom_not_executed="1")
 
 
 async def close_without_answer(endpoint: Endpoint, request: h11.Request) -> None:
-    """Read the request and close."""
+    """Close the connection after reading the request."""
 
 
 async def fail(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer that the request failed."""
+    """Answer with status 500."""
     await endpoint.answer(500, b"oops")
 
 
 def run(test: Callable[[Fixture], Awaitable[None]], routes: tuple[Route, ...] = ROUTES) -> None:
-    """Run a test with a fixture that serves."""
+    """Run a test with a fixture that serves callers."""
 
     async def main() -> None:
         fixture = Fixture(make_configuration(*routes))
--- a/yewloom/tests/test_attempts.py
+++ b/yewloom/tests/test_attempts.py
@@ -22,7 +22,7 @@
 
 
 class TestAttemptRecord(unittest.TestCase):
-    """Refusals are proved, and unsafe requests run once at max_endpoints."""
+    """A request is refused only if it has not run, and an unsafe one runs at most once."""
 
     @given(st.sampled_from(RouteKind), STATES, st.booleans())
     def test_a_request_is_refused_only_if_no_endpoint_can_have_run_it(
@@ -42,13 +42,13 @@
         self.assertEqual(record.may_try_another, not may_have_run)
 
     @given(STATES, st.integers(1, 4))
-    def test_no_more_endpoints_than_the_route_allows(
+    def test_a_request_is_sent_to_at_most_the_endpoints_that_the_route_allows(
         self, states: list[AttemptState], max_endpoints: int
     ) -> None:
         record = _record(RouteKind.REPEATABLE, states, max_endpoints)
         reached = sum(state is not AttemptState.NOTHING_SENT for state in states)
         self.assertEqual(record.may_try_another, reached < max_endpoints)
 
-    def test_an_endpoint_that_got_nothing_does_not_count_as_a_repeat(self) -> None:
+    def test_an_endpoint_that_received_nothing_does_not_make_a_retry(self) -> None:
         self.assertFalse(_record(RouteKind.UNSAFE, [AttemptState.NOTHING_SENT]).is_retry())
         self.assertTrue(_record(RouteKind.UNSAFE, [AttemptState.NOT_RUN]).is_retry())
--- a/yewloom/tests/test_event_stream.py
+++ b/yewloom/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Tests of streams over several endpoints: whole, in order, each event once."""
+"""Tests of streams across several endpoints: complete, in order, each event once."""
 
 import unittest
 
@@ -13,10 +13,12 @@
 
 
 class TestEventSplitter(unittest.TestCase):
-    """Events are cut at blank lines, however the bytes arrive."""
+    """Events are split at blank lines, however the bytes arrive."""
 
     @given(st.integers(1, 12), st.lists(st.integers(1, 30)))
-    def test_any_cut_of_the_bytes_gives_the_same_events(self, count: int, cuts: list[int]) -> None:
+    def test_any_chunking_of_the_bytes_gives_the_same_events(
+        self, count: int, cuts: list[int]
+    ) -> None:
         data = b"".join(_event(number) for number in range(1, count + 1))
         splitter = EventSplitter()
         events: list[StreamEvent] = []
@@ -28,7 +30,7 @@
         self.assertEqual(b"".join(e.data for e in events)[:4], b"id: ")
         self.assertFalse(splitter.has_partial_event)
 
-    def test_an_event_that_breaks_off_is_kept_back(self) -> None:
+    def test_an_incomplete_event_is_held_back(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(len(splitter.feed(_event(1) + b"id: 2\nda")), 1)
         self.assertTrue(splitter.has_partial_event)
@@ -39,18 +41,18 @@
 
 
 class TestStreamCursor(unittest.TestCase):
-    """Runs at several endpoints make one answer."""
+    """Streams of several endpoints are joined into one."""
 
     @given(st.lists(st.integers(1, 8), min_size=1, max_size=4))
-    def test_runs_that_overlap_give_each_event_once(self, ends: list[int]) -> None:
-        cursor, passed = StreamCursor(0), []
-        for end in ends:
-            # Each run begins at or before the place where the last one broke off.
-            for number in range(max(1, cursor.last_event_id - 1), end + 1):
+    def test_overlapping_streams_give_each_event_once(self, last_ids: list[int]) -> None:
+        cursor, accepted = StreamCursor(0), []
+        for last_id in last_ids:
+            # Each stream starts at or before the event at which the previous one broke off.
+            for number in range(max(1, cursor.last_event_id - 1), last_id + 1):
                 event = StreamEvent(number, b"")
                 if cursor.accept(event):
-                    passed.append(number)
-        self.assertEqual(passed, list(range(1, max(ends) + 1)))
+                    accepted.append(number)
+        self.assertEqual(accepted, list(range(1, max(last_ids) + 1)))
 
     def test_a_missing_event_is_an_error(self) -> None:
         cursor = StreamCursor(4)
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of forwarding over real connections: what endpoints see and what callers are told."""
+"""Tests of forwarding over real connections: what endpoints receive and what callers get."""
 
 import time
 import unittest
@@ -25,21 +25,21 @@
     Endpoint,
     Fixture,
     SharedEndpoint,
-    answer_at_length,
     answer_ok,
+    answer_with_long_body,
     close_without_answer,
     event,
     fail,
-    refuse_as_full,
+    refuse_not_run,
     run,
 )
 
-TICK_MS = 20
-"""Steps in which the system tells how long bytes have waited, with some to spare."""
+TIMER_TOLERANCE_MS = 20
+"""Resolution at which the operating system reports how long bytes have waited, plus a margin."""
 
 
-async def pause_amid_a_stream(endpoint: Endpoint, request: h11.Request) -> None:
-    """Stand still between two events for longer than a group that serves does."""
+async def pause_mid_stream(endpoint: Endpoint, request: h11.Request) -> None:
+    """Pause between two events for longer than the stall timeout."""
     await endpoint.start(200)
     await endpoint.send(event(1))
     await trio.sleep(QUIET_S * 2)
@@ -50,7 +50,7 @@
 class TestPlainForwarding(unittest.TestCase):
     """Requests to plain services."""
 
-    def test_method_path_query_and_body_go_on_unchanged(self) -> None:
+    def test_method_path_query_and_body_are_forwarded_unchanged(self) -> None:
         async def test(fixture: Fixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
@@ -68,7 +68,7 @@
 
         run(test)
 
-    def test_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused(self) -> None:
+    def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused(self) -> None:
         async def test(fixture: Fixture) -> None:
             endpoints = [Endpoint(close_without_answer), Endpoint(close_without_answer)]
             for number, endpoint in enumerate(endpoints):
@@ -79,9 +79,9 @@
 
         run(test)
 
-    def test_an_unsafe_request_that_did_not_run_goes_to_another_endpoint(self) -> None:
+    def test_an_unsafe_request_that_did_not_run_is_retried_elsewhere(self) -> None:
         async def test(fixture: Fixture) -> None:
-            full, free = Endpoint(refuse_as_full), Endpoint(answer_ok)
+            full, free = Endpoint(refuse_not_run), Endpoint(answer_ok)
             await fixture.add_plain("p1", full)
             await fixture.add_plain("p2", free)
             fixture.selector.begin(HostId("p2"))
@@ -90,53 +90,53 @@
 
         run(test)
 
-    def test_a_request_that_is_read_after_its_deadline_runs_nowhere(self) -> None:
-        """Guards against work that nobody waits for, behind a host that was held up."""
+    def test_a_request_read_after_its_deadline_is_not_forwarded(self) -> None:
+        """Guards against forwarding requests that have expired while the event loop was blocked."""
 
         async def test(fixture: Fixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             for path in ("/u/1", "/r/1"):
-                answer = await fixture.ask_held_up(path, 0.5, yewloom_deadline_ms="300")
+                answer = await fixture.ask_while_blocked(path, 0.5, yewloom_deadline_ms="300")
                 self.assertEqual(answer.status, 503)
             self.assertEqual(endpoint.requests, [])
 
         run(test)
 
-    def test_a_request_that_is_read_late_is_given_the_rest_of_its_time(self) -> None:
+    def test_a_request_read_late_gets_only_its_remaining_time(self) -> None:
         async def test(fixture: Fixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
-            answer = await fixture.ask_held_up("/u/1", 0.5, yewloom_deadline_ms="1500")
+            answer = await fixture.ask_while_blocked("/u/1", 0.5, yewloom_deadline_ms="1500")
             self.assertEqual(answer.status, 200)
             left_ms = int(dict(endpoint.requests[0].headers)[b"yewloom-deadline-ms"])
-            self.assertLessEqual(left_ms, 1000 + TICK_MS)
+            self.assertLessEqual(left_ms, 1000 + TIMER_TOLERANCE_MS)
 
         run(test)
 
-    def test_a_host_that_was_held_up_takes_no_endpoint_to_be_out_of_reach(self) -> None:
-        """Guards against a host that takes its own standstill for the silence of others."""
+    def test_a_blocked_event_loop_does_not_make_endpoints_unreachable(self) -> None:
+        """Guards against a host that attributes the delay of its own event loop to endpoints."""
         connect, calls = trio.open_tcp_stream, list[int]()
 
         async def connect_late(*where: Any, **options: Any) -> trio.SocketStream:
             calls.append(1)
             if len(calls) == 1:
-                time.sleep(2 * CONNECT_TIMEOUT_S)  # noqa: ASYNC251 - holds the host up
+                time.sleep(2 * CONNECT_TIMEOUT_S)  # noqa: ASYNC251 - blocks the event loop on purpose
                 await trio.lowlevel.checkpoint()
             return await connect(*where, **options)
 
         async def test(fixture: Fixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", connect_late):
-                answer = await fixture.ask_held_up("/u/1", 0.0)
+                answer = await fixture.ask_while_blocked("/u/1", 0.0)
             self.assertEqual((answer.status, len(calls)), (200, 2))
             self.assertEqual(fixture.stalls.suspected(trio.current_time()), set())
 
         run(test)
 
-    def test_a_refusal_names_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_after_header(self) -> None:
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(refuse_as_full))
+            await fixture.add_plain("p", Endpoint(refuse_not_run))
             answer = await fixture.ask("/u/1")
             self.assertEqual(answer.status, 503)
             self.assertGreater(float(answer.headers[b"retry-after"]), 0)
@@ -144,14 +144,14 @@
 
         run(test)
 
-    def test_a_dead_port_proves_that_nothing_ran(self) -> None:
+    def test_a_refused_connection_leads_to_a_refusal(self) -> None:
         async def test(fixture: Fixture) -> None:
             fixture.directory.put(make_plain("p", "127.0.0.1:1"))
             self.assertEqual((await fixture.ask("/u/1")).status, 503)
 
         run(test)
 
-    def test_a_repeatable_request_that_failed_is_tried_elsewhere(self) -> None:
+    def test_a_failed_repeatable_request_is_retried_elsewhere(self) -> None:
         async def test(fixture: Fixture) -> None:
             bad, good = Endpoint(fail), Endpoint(answer_ok)
             await fixture.add_plain("p1", bad)
@@ -162,7 +162,7 @@
 
         run(test)
 
-    def test_the_failure_of_the_last_endpoint_is_passed_on_as_it_is(self) -> None:
+    def test_the_failure_of_the_last_endpoint_is_forwarded_unchanged(self) -> None:
         async def test(fixture: Fixture) -> None:
             await fixture.add_plain("p1", Endpoint(fail))
             answer = await fixture.ask("/r/1")
@@ -171,8 +171,8 @@
 
         run(test)
 
-    def test_a_failure_is_kept_while_the_last_repeat_goes_to_another_request(self) -> None:
-        """Guards against a repeat that two requests count on, of which one then ends in 502."""
+    def test_a_failure_is_forwarded_if_another_request_takes_the_last_retry(self) -> None:
+        """Guards against two requests that rely on the same retry, so that one ends in 502."""
         both_asked = trio.Event()
 
         async def fail_both_at_once(endpoint: Endpoint, request: h11.Request) -> None:
@@ -201,30 +201,30 @@
 
         run(test)
 
-    def test_an_answer_to_another_request_is_not_passed_on(self) -> None:
-        async def lie(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_an_answer_to_another_request_is_not_forwarded(self) -> None:
+        async def answer_other_request(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.raw(
                 b"HTTP/1.1 200 OK\r\nyewloom-request-id: other\r\ncontent-length: 1\r\n\r\nx"
             )
 
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(lie))
+            await fixture.add_plain("p", Endpoint(answer_other_request))
             self.assertEqual((await fixture.ask("/u/1")).status, 502)
 
         run(test)
 
-    def test_an_answer_cut_short_is_not_passed_on(self) -> None:
-        async def cut(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_a_truncated_answer_is_not_forwarded(self) -> None:
+        async def truncate(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200, body_length=10)
             await endpoint.send(b"half")
 
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(cut))
+            await fixture.add_plain("p", Endpoint(truncate))
             self.assertEqual((await fixture.ask("/u/1")).status, 502)
 
         run(test)
 
-    def test_the_route_limit_ends_a_request_that_no_one_answers(self) -> None:
+    def test_an_unanswered_request_ends_at_its_deadline(self) -> None:
         async def hang(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep_forever()
 
@@ -235,7 +235,7 @@
 
         run(test)
 
-    def test_an_endpoint_that_closes_before_its_answer_gets_nothing_more_for_a_time(self) -> None:
+    def test_an_endpoint_that_closes_before_its_answer_is_avoided_temporarily(self) -> None:
         async def test(fixture: Fixture) -> None:
             broken, sound = Endpoint(close_without_answer), Endpoint(answer_ok)
             await fixture.add_plain("broken", broken)
@@ -250,7 +250,7 @@
 
 
 class TestAdmission(unittest.TestCase):
-    """Routes, keys and configurations that may be out of date."""
+    """Routes, API keys and configurations that may be outdated."""
 
     def test_unknown_routes_and_keys(self) -> None:
         async def test(fixture: Fixture) -> None:
@@ -261,7 +261,7 @@
 
         run(test)
 
-    def test_keys_that_can_not_be_confirmed_are_refused_with_a_time_to_come_back(self) -> None:
+    def test_keys_that_can_not_be_confirmed_are_refused_with_retry_after(self) -> None:
         async def test(fixture: Fixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             fixture.book._confirmed_s = trio.current_time() - 4.0
@@ -282,17 +282,17 @@
 
 
 class TestStreams(unittest.TestCase):
-    """Events of streams, and streams that go on elsewhere."""
+    """Events of streams, and streams that are resumed elsewhere."""
 
-    def test_a_stream_that_ran_and_gave_nothing_is_not_said_to_be_refused(self) -> None:
+    def test_a_stream_that_may_have_run_without_events_is_not_refused(self) -> None:
         async def test(fixture: Fixture) -> None:
             await fixture.add_engine("a", Endpoint(close_without_answer))
             self.assertEqual((await fixture.ask("/s/1")).status, 502)
 
         run(test)
 
-    def test_events_are_passed_on_whole(self) -> None:
-        async def play(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_events_are_forwarded_complete(self) -> None:
+        async def send_split_events(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200, content_type="text/event-stream")
             for number in (1, 2, 3):
                 await endpoint.send(event(number)[:5])
@@ -300,19 +300,19 @@
             await endpoint.finish()
 
         async def test(fixture: Fixture) -> None:
-            await fixture.add_engine("a", Endpoint(play))
+            await fixture.add_engine("a", Endpoint(send_split_events))
             answer = await fixture.ask("/s/1")
             self.assertEqual(answer.body, event(1) + event(2) + event(3))
             self.assertTrue(answer.is_whole)
 
         run(test)
 
-    def test_a_stream_that_breaks_off_goes_on_at_another_group(self) -> None:
+    def test_a_stream_that_breaks_off_is_resumed_at_another_group(self) -> None:
         async def break_off(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1) + event(2) + event(3)[:4])
 
-        async def go_on(endpoint: Endpoint, request: h11.Request) -> None:
+        async def resume(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             last = int(dict(request.headers)[b"last-event-id"])
             for number in range(last + 1, 5):
@@ -320,7 +320,7 @@
             await endpoint.finish()
 
         async def test(fixture: Fixture) -> None:
-            second = Endpoint(go_on)
+            second = Endpoint(resume)
             await fixture.add_engine("a", Endpoint(break_off))
             await fixture.add_engine("b", second)
             fixture.selector.begin(HostId("b"))
@@ -331,41 +331,41 @@
 
         run(test)
 
-    def test_a_group_that_stands_still_loses_its_streams(self) -> None:
+    def test_streams_of_a_stalled_group_are_resumed_elsewhere(self) -> None:
         async def stall(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
             await trio.sleep_forever()
 
-        async def go_on(endpoint: Endpoint, request: h11.Request) -> None:
+        async def resume(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(2))
             await endpoint.finish()
 
         async def test(fixture: Fixture) -> None:
             await fixture.add_engine("a", Endpoint(stall))
-            await fixture.add_engine("b", Endpoint(go_on))
+            await fixture.add_engine("b", Endpoint(resume))
             fixture.selector.begin(HostId("b"))
             answer = await fixture.ask("/s/1")
             self.assertEqual((answer.body, answer.is_whole), (event(1) + event(2), True))
 
         run(test)
 
-    def test_a_host_that_was_held_up_takes_no_group_to_stand_still(self) -> None:
-        """Guards against a host that takes its own standstill for the silence of others."""
+    def test_a_blocked_event_loop_does_not_make_a_group_stalled(self) -> None:
+        """Guards against a host that attributes the delay of its own event loop to endpoints."""
 
-        async def go_on_after_a_standstill(endpoint: Endpoint, request: h11.Request) -> None:
+        async def continue_after_block(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
             await trio.sleep(0.1)
-            time.sleep(QUIET_S)  # noqa: ASYNC251 - of the host, too
+            time.sleep(QUIET_S)  # noqa: ASYNC251 - blocks the host's event loop, too
             await trio.sleep(CHECK_INTERVAL_S / 2)
             await endpoint.send(event(2))
             await endpoint.finish()
 
         async def test(fixture: Fixture) -> None:
             other = Endpoint(answer_ok)
-            await fixture.add_engine("a", Endpoint(go_on_after_a_standstill))
+            await fixture.add_engine("a", Endpoint(continue_after_block))
             await fixture.add_engine("b", other)
             fixture.selector.begin(HostId("b"))
             answer = await fixture.ask("/s/1")
@@ -375,45 +375,51 @@
 
         run(test)
 
-    def test_a_slow_stream_that_can_not_go_on_elsewhere_is_not_left(self) -> None:
-        """A busy engine is silent for a second while retries are used up, or a stop is near."""
+    def test_a_slow_stream_that_can_not_be_resumed_elsewhere_is_not_abandoned(self) -> None:
+        """Guards against cutting off a stream of a busy engine that has no other endpoint to go to.
+
+        The engine sends no event for about a second while the retry budget is used up or a stop is
+        near.
+        """
 
         def use_up_retries(fixture: Fixture) -> None:
             fixture.retries_left = 0.0
 
-        def stop_soon(fixture: Fixture) -> None:
+        def begin_stop(fixture: Fixture) -> None:
             for _ in range(LEAST):
                 fixture.choice.durations.note(STREAM_ROUTE.name, 2.0)
             ends_s = trio.current_time() + 1.9
             fixture.stop.begin(ends_s - GRACE_S + STOP_MARGIN_S)
 
-        for hinder in (use_up_retries, stop_soon):
+        for prevent_retry in (use_up_retries, begin_stop):
 
-            async def test(fixture: Fixture, hinder: Callable[[Fixture], None] = hinder) -> None:
+            async def test(
+                fixture: Fixture, prevent_retry: Callable[[Fixture], None] = prevent_retry
+            ) -> None:
                 other = Endpoint(answer_ok)
-                await fixture.add_engine("a", Endpoint(pause_amid_a_stream))
+                await fixture.add_engine("a", Endpoint(pause_mid_stream))
                 await fixture.add_engine("b", other)
                 fixture.selector.begin(HostId("b"))
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._expect_two_events, fixture)
                     await trio.sleep(QUIET_S / 2)
-                    hinder(fixture)
+                    prevent_retry(fixture)
                 self.assertEqual(other.requests, [])
 
-            with self.subTest(hinder.__name__):
+            with self.subTest(prevent_retry.__name__):
                 run(test)
 
-    def test_a_stream_is_not_left_for_a_repeat_that_another_one_takes(self) -> None:
-        """Guards against streams that leave one engine at once, of which one is then cut off."""
+    def test_a_stream_is_not_abandoned_if_another_one_takes_the_last_retry(self) -> None:
+        """Guards against two streams that abandon an engine for one retry: one would be cut off."""
 
-        async def go_on(endpoint: Endpoint, request: h11.Request) -> None:
+        async def resume(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(2))
             await endpoint.finish()
 
         async def test(fixture: Fixture) -> None:
-            other = Endpoint(go_on)
-            await fixture.add_engine("a", SharedEndpoint(pause_amid_a_stream))
+            other = Endpoint(resume)
+            await fixture.add_engine("a", SharedEndpoint(pause_mid_stream))
             await fixture.add_engine("b", other)
             for _ in range(3):
                 fixture.selector.begin(HostId("b"))
@@ -425,7 +431,7 @@
 
         run(test)
 
-    def test_an_endpoint_that_was_claimed_for_a_request_that_ended_has_its_place_back(self) -> None:
+    def test_the_reserved_endpoint_of_an_ended_request_is_released_once(self) -> None:
         fixture = Fixture()
         endpoint = make_plain("p", "127.0.0.1:1")
         fixture.selector.begin(endpoint.id)
@@ -438,7 +444,7 @@
         answer = await fixture.ask("/s/1")
         self.assertEqual((answer.body, answer.is_whole), (event(1) + event(2), True))
 
-    def test_a_stream_that_may_not_be_resumed_is_cut_off_visibly(self) -> None:
+    def test_a_non_resumable_stream_that_breaks_off_stays_incomplete(self) -> None:
         async def break_off(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
@@ -454,7 +460,7 @@
 
         run(test)
 
-    def test_a_run_that_skips_an_event_is_not_joined_on(self) -> None:
+    def test_a_stream_that_skips_an_event_is_cut_off(self) -> None:
         async def skip(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
@@ -470,8 +476,8 @@
 
         run(test)
 
-    def test_a_caller_that_leaves_ends_the_work(self) -> None:
-        async def go_on_forever(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_a_caller_that_disconnects_ends_the_attempt(self) -> None:
+        async def stream_forever(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             number = 0
             while True:
@@ -480,19 +486,19 @@
                 await trio.sleep(0.01)
 
         async def test(fixture: Fixture) -> None:
-            endpoint = Endpoint(go_on_forever)
+            endpoint = Endpoint(stream_forever)
             await fixture.add_engine("a", endpoint)
             stream = await trio.open_tcp_stream(*fixture.address)
             await fixture.send(stream, "/s/1")
             await stream.receive_some(1000)
             await stream.aclose()
-            await endpoint.was_left.wait()
+            await endpoint.has_lost_caller.wait()
 
         run(test)
 
 
 class TestConnections(unittest.TestCase):
-    """Callers' connections: limits, reuse and planned stops."""
+    """Connections of callers: limits and reuse."""
 
     def test_a_connection_carries_many_requests(self) -> None:
         async def test(fixture: Fixture) -> None:
@@ -504,15 +510,15 @@
 
         run(test)
 
-    def test_the_route_limit_spares_what_waits_for_its_caller_to_take_an_answer(self) -> None:
-        """Guards against refusing, as read too late, what only its own caller kept waiting."""
+    def test_the_route_time_limit_excludes_the_wait_for_a_slow_caller(self) -> None:
+        """Guards against refusing a request as read too late if only its own caller delayed it."""
 
         def ask_twice(deadline_ms: dict[str, str]) -> list[tuple[int, int]]:
             answers: list[tuple[int, bytes]] = []
 
             async def test(fixture: Fixture) -> None:
-                await fixture.add_plain("p", Endpoint(answer_at_length))
-                caller = await fixture.open_slow()
+                await fixture.add_plain("p", Endpoint(answer_with_long_body))
+                caller = await fixture.open_slow_reader()
                 await fixture.send(caller, "/u/1")
                 await trio.sleep(0.5)
                 await fixture.send(caller, "/u/2", connection="close", **deadline_ms)
@@ -529,7 +535,7 @@
         own_deadline = {"yewloom_deadline_ms": str(UNSAFE_ROUTE.timeout_ms)}
         self.assertEqual(ask_twice(own_deadline), [(200, len(LONG_BODY)), (503, 0)])
 
-    def test_what_is_too_long_too_slow_or_spoilt_is_refused_and_sent_nowhere(self) -> None:
+    def test_invalid_oversized_and_slow_requests_are_refused_and_not_forwarded(self) -> None:
         head = b"POST /u/1 HTTP/1.1\r\nhost: x.example\r\n"
         cases = {
             b"nonsense\r\n\r\n": 400,
@@ -544,7 +550,7 @@
             for data, status in cases.items():
                 stream = await trio.open_tcp_stream(*fixture.address)
                 await stream.send_all(data)
-                answer = await fixture.read(stream, _asked())
+                answer = await fixture.read(stream, _caller_connection())
                 self.assertEqual(answer.status, status, data[:40])
                 self.assertEqual(answer.headers[b"connection"], b"close")
             self.assertEqual(endpoint.requests, [])
@@ -552,8 +558,8 @@
         run(test)
 
 
-def _asked() -> h11.Connection:
-    """Return a caller's connection that has sent a request."""
+def _caller_connection() -> h11.Connection:
+    """Return the client state of a connection on which a request was sent."""
     connection = h11.Connection(h11.CLIENT)
     connection.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     connection.send(h11.EndOfMessage())
--- a/yewloom/tests/test_forwarding_limits.py
+++ b/yewloom/tests/test_forwarding_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of requests whose endpoints name limits."""
+"""Tests of forwarding to endpoints that announce rate limits."""
 
 import unittest
 
@@ -11,49 +11,49 @@
     Fixture,
     answer_ok,
     event,
-    refuse_as_full,
+    refuse_not_run,
     run,
 )
 
 LIMIT_PER_S = 2.0
 
 LOW_LIMIT = "0.1"
-"""A limit that takes no second request while a test lasts."""
+"""A limit that allows no second request during a test."""
 
 
-async def _answer_limited(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer, and name a limit."""
+async def _answer_with_limit(endpoint: Endpoint, request: h11.Request) -> None:
+    """Answer, and announce a limit."""
     await endpoint.answer(200, b"fine", server_limit=f"{LIMIT_PER_S:g}")
 
 
-async def _refuse_limited(endpoint: Endpoint, request: h11.Request) -> None:
-    """Refuse as not run, and name a low limit."""
+async def _refuse_low_limit(endpoint: Endpoint, request: h11.Request) -> None:
+    """Refuse as not run, and announce a low limit."""
     await endpoint.answer(503, b"", yewloom_not_executed="1", server_limit=LOW_LIMIT)
 
 
-async def _stream_limited(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer with a stream whose head names a low limit."""
+async def _stream_low_limit(endpoint: Endpoint, request: h11.Request) -> None:
+    """Answer with a stream whose head announces a low limit."""
     await endpoint.start(200, server_limit=LOW_LIMIT)
     await endpoint.send(event(1))
     await endpoint.finish()
 
 
-async def _answer_low(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer, and name a low limit."""
+async def _answer_low_limit(endpoint: Endpoint, request: h11.Request) -> None:
+    """Answer, and announce a low limit."""
     await endpoint.answer(200, b"fine", server_limit=LOW_LIMIT)
 
 
-async def _answer_without_meaning(endpoint: Endpoint, request: h11.Request) -> None:
-    """Answer, and name something that is no limit."""
+async def _answer_invalid_limit(endpoint: Endpoint, request: h11.Request) -> None:
+    """Answer, and announce an invalid limit."""
     await endpoint.answer(200, b"fine", server_limit="-1")
 
 
 class TestLimits(unittest.TestCase):
-    """The rest goes elsewhere, or is refused at once."""
+    """Requests beyond an endpoint's limit go elsewhere or are refused at once."""
 
-    def test_what_a_limited_endpoint_does_not_take_goes_to_the_others(self) -> None:
+    def test_requests_beyond_the_limit_of_an_endpoint_go_to_the_others(self) -> None:
         async def test(fixture: Fixture) -> None:
-            limited, free = Endpoint(_answer_low), Endpoint(answer_ok)
+            limited, free = Endpoint(_answer_low_limit), Endpoint(answer_ok)
             await fixture.add_plain("limited", limited)
             await fixture.add_plain("free", free)
             for _ in range(30):
@@ -63,16 +63,16 @@
 
         run(test)
 
-    def test_what_finds_no_endpoint_is_refused_at_once_and_may_come_when_it_is_taken(self) -> None:
+    def test_without_an_endpoint_below_its_limit_a_request_is_refused_at_once(self) -> None:
         async def test(fixture: Fixture) -> None:
-            limited = Endpoint(_answer_low)
+            limited = Endpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
             self.assertEqual((await fixture.ask("/u/1")).status, 200)
             refused = await fixture.ask("/u/1", yewloom_deadline_ms="60000")
             self.assertEqual(refused.status, 503)
             wait_s = float(refused.headers[b"retry-after"])
             self.assertTrue(0 < wait_s <= 1 / float(LOW_LIMIT), wait_s)
-            now_s = trio.current_time() + wait_s  # As if that time had passed.
+            now_s = trio.current_time() + wait_s  # As if this time had passed.
             endpoint = fixture.directory.by_id[HostId("limited")]
             self.assertEqual(fixture.limits.wait_s(endpoint, now_s), 0.0)
             fixture.limits.spend(endpoint, now_s)
@@ -81,20 +81,20 @@
 
         run(test)
 
-    def test_each_sending_counts(self) -> None:
+    def test_each_attempt_counts(self) -> None:
         async def test(fixture: Fixture) -> None:
-            limited = Endpoint(_answer_low)
+            limited = Endpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
-            named_s = trio.current_time() - 1.05 / float(LOW_LIMIT)  # One may be sent since.
+            named_s = trio.current_time() - 1.05 / float(LOW_LIMIT)  # One request is allowed since.
             fixture.limits.note(HostId("limited"), float(LOW_LIMIT), named_s)
             statuses = [(await fixture.ask("/u/1")).status for _ in range(2)]
             self.assertEqual(statuses, [200, 503])
 
         run(test)
 
-    def test_a_refusal_that_names_a_limit_is_heard_too(self) -> None:
+    def test_a_refusal_can_announce_a_limit(self) -> None:
         async def test(fixture: Fixture) -> None:
-            limited = Endpoint(_refuse_limited)
+            limited = Endpoint(_refuse_low_limit)
             await fixture.add_plain("limited", limited)
             for _ in range(5):
                 self.assertEqual((await fixture.ask("/u/1")).status, 503)
@@ -102,9 +102,9 @@
 
         run(test)
 
-    def test_the_head_of_a_stream_names_a_limit_too(self) -> None:
+    def test_the_head_of_a_stream_can_announce_a_limit(self) -> None:
         async def test(fixture: Fixture) -> None:
-            leader = Endpoint(_stream_limited)
+            leader = Endpoint(_stream_low_limit)
             await fixture.add_engine("leader", leader)
             statuses = [(await fixture.ask("/s/1")).status for _ in range(3)]
             self.assertEqual(statuses, [200, 503, 503])
@@ -112,9 +112,9 @@
 
         run(test)
 
-    def test_repeats_count_towards_the_limit(self) -> None:
+    def test_retries_count_towards_the_limit(self) -> None:
         async def test(fixture: Fixture) -> None:
-            limited, full = Endpoint(_answer_low), Endpoint(refuse_as_full)
+            limited, full = Endpoint(_answer_low_limit), Endpoint(refuse_not_run)
             await fixture.add_plain("limited", limited)
             self.assertEqual((await fixture.ask("/r/1")).status, 200)
             await fixture.add_plain("full", full)
@@ -124,14 +124,14 @@
 
         run(test)
 
-    def test_an_answer_that_names_no_limit_ends_it(self) -> None:
+    def test_an_answer_without_a_limit_ends_the_limit(self) -> None:
         async def test(fixture: Fixture) -> None:
-            answers = iter([_answer_limited, answer_ok])
+            answers = iter([_answer_with_limit, answer_ok])
 
-            async def play(endpoint: Endpoint, request: h11.Request) -> None:
+            async def answer_next(endpoint: Endpoint, request: h11.Request) -> None:
                 await next(answers, answer_ok)(endpoint, request)
 
-            await fixture.add_plain("p", Endpoint(play))
+            await fixture.add_plain("p", Endpoint(answer_next))
             self.assertEqual((await fixture.ask("/u/1")).status, 200)
             await trio.sleep(1 / LIMIT_PER_S)
             for _ in range(5):
@@ -139,9 +139,9 @@
 
         run(test)
 
-    def test_a_text_that_is_no_limit_limits_nothing(self) -> None:
+    def test_an_invalid_limit_is_ignored(self) -> None:
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(_answer_without_meaning))
+            await fixture.add_plain("p", Endpoint(_answer_invalid_limit))
             for _ in range(5):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
 
--- a/yewloom/tests/test_forwarding_stop.py
+++ b/yewloom/tests/test_forwarding_stop.py
@@ -1,4 +1,4 @@
-"""Tests of forwarding while a host stops, and of answers that outlast their time."""
+"""Tests of forwarding while a host stops, and of answers that outlast a time limit."""
 
 import os
 import time
@@ -18,17 +18,17 @@
     Answer,
     Endpoint,
     Fixture,
-    answer_at_length,
     answer_ok,
-    refuse_as_full,
+    answer_with_long_body,
+    refuse_not_run,
     run,
 )
 
 
 class TestStop(unittest.TestCase):
-    """Requests that a planned stop, their deadline or their caller ends."""
+    """Requests that end by a planned stop, by their deadline or by their caller."""
 
-    def test_a_planned_stop_closes_connections_behind_an_answer(self) -> None:
+    def test_a_planned_stop_closes_connections_after_an_answer(self) -> None:
         async def test(fixture: Fixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             idle = await trio.open_tcp_stream(*fixture.address)
@@ -42,7 +42,7 @@
 
         run(test)
 
-    def test_a_request_after_the_stop_is_refused_and_may_come_back_at_once(self) -> None:
+    def test_a_request_after_the_stop_is_refused_with_retry_after_zero(self) -> None:
         async def test(fixture: Fixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
@@ -53,13 +53,13 @@
 
         run(test)
 
-    def test_a_request_that_usually_takes_longer_than_the_stop_is_refused(self) -> None:
-        async def slowly(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_a_request_that_typically_takes_longer_than_the_stop_is_refused(self) -> None:
+        async def answer_slowly(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep(0.1)
             await endpoint.answer(200, b"fine")
 
         async def test(fixture: Fixture) -> None:
-            slow, fast = Endpoint(slowly), Endpoint(answer_ok)
+            slow, fast = Endpoint(answer_slowly), Endpoint(answer_ok)
             await fixture.add_plain("p", slow)
             for _ in range(LEAST):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
@@ -73,15 +73,15 @@
 
         run(test)
 
-    def test_a_request_that_the_stop_overtakes_is_answered_truthfully(self) -> None:
-        async def never(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_a_request_that_the_stop_ends_is_answered_as_may_have_run(self) -> None:
+        async def never_answer(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep_forever()
 
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(never))
+            await fixture.add_plain("p", Endpoint(never_answer))
             answers: list[Answer] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._ask_into, fixture, answers)
+                nursery.start_soon(self._ask_and_append, fixture, answers)
                 await trio.sleep(0.1)
                 fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S)
                 fixture.forwarder.end_open()
@@ -114,8 +114,8 @@
                 outlasts: Callable[[Fixture, trio.SocketStream], Awaitable[None]] = outlasts,
                 answer: tuple[int, bytes] = answer,
             ) -> None:
-                await fixture.add_plain("p", Endpoint(answer_at_length))
-                caller = await fixture.open_slow()
+                await fixture.add_plain("p", Endpoint(answer_with_long_body))
+                caller = await fixture.open_slow_reader()
                 await outlasts(fixture, caller)
                 await trio.sleep(1.0)
                 received = bytearray()
@@ -126,10 +126,14 @@
             with self.subTest(outlasts.__name__):
                 run(test)
 
-    def test_an_answer_that_came_while_the_time_ran_out_leaves_no_caller_without_one(self) -> None:
-        """The host is behind with its work: it sees the answer and the end of the time at once."""
+    def test_an_answer_that_arrives_as_the_time_runs_out_still_gives_the_caller_one(self) -> None:
+        """Guards against callers that get neither an answer nor a close.
 
-        async def answer_behind_the_loop(endpoint: Endpoint, request: h11.Request) -> None:
+        The event loop is blocked, so it sees the endpoint's answer and the deadline, or the stop,
+        at the same time.
+        """
+
+        async def answer_and_block_the_loop(endpoint: Endpoint, request: h11.Request) -> None:
             assert endpoint.stream is not None
             head = h11.Response(
                 status_code=200,
@@ -138,7 +142,7 @@
             data = (endpoint.connection.send(head) or b"") + b"fine"
             await trio.sleep(0.1)
             os.write(endpoint.stream.socket.fileno(), data)
-            time.sleep(0.3)  # noqa: ASYNC251 - holds the loop up, and with it the host
+            time.sleep(0.3)  # noqa: ASYNC251 - blocks the event loop on purpose
 
         async def stop(fixture: Fixture) -> None:
             ends_s = trio.current_time() + 0.25
@@ -147,17 +151,17 @@
             await trio.sleep_until(ends_s)
             fixture.forwarder.end_open()
 
-        for what, deadline_ms, late_status in (("stop", 5000, 502), ("deadline", 290, 504)):
+        for cause, deadline_ms, late_status in (("stop", 5000, 502), ("deadline", 290, 504)):
 
             async def test(
                 fixture: Fixture,
-                what: str = what,
+                cause: str = cause,
                 deadline_ms: int = deadline_ms,
                 late_status: int = late_status,
             ) -> None:
-                await fixture.add_plain("p", Endpoint(answer_behind_the_loop))
+                await fixture.add_plain("p", Endpoint(answer_and_block_the_loop))
                 async with trio.open_nursery() as nursery:
-                    if what == "stop":
+                    if cause == "stop":
                         nursery.start_soon(stop, fixture)
                     with trio.move_on_after(3.0):
                         answer = await fixture.ask("/u/1", yewloom_deadline_ms=str(deadline_ms))
@@ -166,13 +170,15 @@
                         return
                     self.fail("neither an answer nor a close")
 
-            with self.subTest(what):
+            with self.subTest(cause):
                 run(test)
 
-    def test_a_whole_answer_that_the_caller_broke_off_does_not_count_as_answered(self) -> None:
+    def test_an_answer_that_the_caller_did_not_receive_fully_does_not_count_as_answered(
+        self,
+    ) -> None:
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_at_length))
-            caller = await fixture.open_slow()
+            await fixture.add_plain("p", Endpoint(answer_with_long_body))
+            caller = await fixture.open_slow_reader()
             await fixture.send(caller, "/u/1")
             await trio.sleep(1.0)
             await trio.aclose_forcefully(caller)
@@ -183,7 +189,7 @@
 
     @staticmethod
     def _outcomes(fixture: Fixture) -> list[str]:
-        """Return the outcomes that the metrics count."""
+        """Return the outcomes that the metrics have counted."""
         return [
             sample.labels["outcome"]
             for metric in fixture.metrics.registry.collect()
@@ -191,21 +197,21 @@
             if sample.name == "yewloom_forwarded_requests_total"
         ]
 
-    def test_no_further_endpoint_gets_a_request_that_the_stop_would_cut_off(self) -> None:
-        async def slowly(endpoint: Endpoint, request: h11.Request) -> None:
+    def test_a_request_that_the_stop_would_cut_off_is_not_retried(self) -> None:
+        async def answer_slowly(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep(0.2)
             await endpoint.answer(200, b"fine")
 
-        async def refuse_late(endpoint: Endpoint, request: h11.Request) -> None:
+        async def refuse_slowly(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep(0.12)
-            await refuse_as_full(endpoint, request)
+            await refuse_not_run(endpoint, request)
 
         async def test(fixture: Fixture) -> None:
-            await fixture.add_plain("p", Endpoint(slowly))
+            await fixture.add_plain("p", Endpoint(answer_slowly))
             for _ in range(LEAST):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
             fixture.directory.remove(HostId("p"))
-            full, free = Endpoint(refuse_late), Endpoint(slowly)
+            full, free = Endpoint(refuse_slowly), Endpoint(answer_slowly)
             await fixture.add_plain("p1", full)
             await fixture.add_plain("p2", free)
             fixture.selector.begin(HostId("p2"))
@@ -216,5 +222,5 @@
         run(test)
 
     @staticmethod
-    async def _ask_into(fixture: Fixture, answers: list[Answer]) -> None:
+    async def _ask_and_append(fixture: Fixture, answers: list[Answer]) -> None:
         answers.append(await fixture.ask("/u/1"))
--- a/yewloom/tests/test_medians.py
+++ b/yewloom/tests/test_medians.py
@@ -1,4 +1,4 @@
-"""Tests of medians against the standard library's."""
+"""Tests of the median functions against those of the standard library."""
 
 import statistics
 import subprocess
@@ -14,14 +14,14 @@
 
 
 class TestMedians(unittest.TestCase):
-    """The same values, and nothing that a start would pay for."""
+    """They return the same values, without an import that would slow down the start."""
 
     @given(VALUES)
-    def test_they_are_those_of_the_standard_library(self, values: list[float]) -> None:
+    def test_medians_equal_those_of_the_standard_library(self, values: list[float]) -> None:
         self.assertEqual(median(values), statistics.median(values))
         self.assertEqual(median_low(values), statistics.median_low(values))
 
-    def test_the_program_does_not_load_the_standard_librarys_module(self) -> None:
+    def test_the_program_does_not_import_statistics(self) -> None:
         code = "import sys, yewloom.platform.program; print('statistics' in sys.modules)"
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
         self.assertEqual(done.stdout.strip(), b"False")
--- a/yewloom/tests/test_reachability.py
+++ b/yewloom/tests/test_reachability.py
@@ -1,7 +1,8 @@
-"""Tests of where requests go while a data centre is cut off, and while single endpoints crash.
+"""Tests of endpoint selection while a data centre is cut off, and while single endpoints crash.
 
-The pattern is a cut of one of three data centres for 5 s, of which clients on the other side go on
-sending 13 requests a second to each of their hosts, a third of them meant for the lost endpoints.
+The scenario is a network partition that cuts off one of three data centres for 5 s. Callers on the
+other side continue to send 13 requests per second to each of their hosts, a third of which would go
+to the unreachable endpoints.
 """
 
 import unittest
@@ -34,13 +35,13 @@
 LEADERS_PER_DATA_CENTRE = 6
 CUT_DURATION_S = 5.0
 REQUESTS_PER_S = 13
-CONNECT_LIMIT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 CONFIGURATION = make_configuration()
-WANTED = EndpointRequirements(ENGINES, SMALL)
+REQUIREMENTS = EndpointRequirements(ENGINES, SMALL)
 
 
-class Host:
-    """A host that chooses endpoints of three data centres, and learns from its connections."""
+class EntryHostModel:
+    """An entry host that selects endpoints in three data centres and tracks its connections."""
 
     def __init__(self) -> None:
         self.directory = EndpointDirectory()
@@ -52,8 +53,8 @@
                 put_group(self.directory, f"{hall}-{number}", SMALL, names, data_centre=hall)
 
     def choose(self, now_s: float, tried: Container[HostId] = ()) -> Endpoint:
-        """Return the endpoint that a request gets."""
-        chosen = self.selector.choose(WANTED, CONFIGURATION, tried, now_s)
+        """Return the endpoint that is selected for a request."""
+        chosen = self.selector.choose(REQUIREMENTS, CONFIGURATION, tried, now_s)
         assert chosen is not None
         return chosen
 
@@ -61,20 +62,20 @@
         """Return a leader."""
         return self.directory.by_id[HostId(f"{hall}-{number}-0")]
 
-    def lose(self, hall: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
-        """Fail to connect to some leaders."""
+    def fail_to_connect(self, hall: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
+        """Record failures to connect to some leaders."""
         for number in numbers:
             self.reachability.on_failure(self.leader(hall, number), now_s)
 
 
-class TestCut(unittest.TestCase):
+class TestCutOffDataCentre(unittest.TestCase):
     """A data centre that is cut off."""
 
     def setUp(self) -> None:
-        self.host = Host()
+        self.host = EntryHostModel()
 
-    def test_through_a_cut_two_requests_wait_for_a_connection(self) -> None:
-        waited = 0
+    def test_only_few_requests_wait_for_a_connection_during_a_partition(self) -> None:
+        delayed = 0
         pending: list[tuple[float, Endpoint]] = []
         for number in range(int(CUT_DURATION_S * REQUESTS_PER_S)):
             now_s = number / REQUESTS_PER_S
@@ -82,29 +83,29 @@
                 failed_s, endpoint = pending.pop(0)
                 self.host.reachability.on_failure(endpoint, failed_s)
             for endpoint in self.host.reachability.take_due_probes(now_s):
-                self.assertEqual(endpoint.data_centre, CUT_OFF)  # It fails as the requests do.
+                self.assertEqual(endpoint.data_centre, CUT_OFF)  # Probes fail, as the requests do.
             endpoint = self.host.choose(now_s)
             self.host.selector.begin(endpoint.id)
             if endpoint.data_centre == CUT_OFF:
-                waited += 1
+                delayed += 1
                 self.host.selector.end(endpoint.id)
-                pending.append((now_s + CONNECT_LIMIT_S, endpoint))
-        self.assertGreater(waited, 0)
-        self.assertLessEqual(waited, REQUESTS_PER_S * CONNECT_LIMIT_S + CUT_OFF_THRESHOLD)
+                pending.append((now_s + CONNECT_TIMEOUT_S, endpoint))
+        self.assertGreater(delayed, 0)
+        self.assertLessEqual(delayed, REQUESTS_PER_S * CONNECT_TIMEOUT_S + CUT_OFF_THRESHOLD)
 
-    def test_one_lost_endpoint_leaves_the_others_in_use(self) -> None:
-        self.host.lose(CUT_OFF, 0)
+    def test_one_unreachable_endpoint_leaves_the_others_in_use(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
         self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
         self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 1)))
 
-    def test_two_that_fail_long_after_each_other_are_no_cut(self) -> None:
-        self.host.lose(CUT_OFF, 0)
-        self.host.lose(CUT_OFF, 1, now_s=FAILURE_WINDOW_S + 0.1)
+    def test_two_failures_long_after_each_other_do_not_cut_off_a_data_centre(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0)
+        self.host.fail_to_connect(CUT_OFF, 1, now_s=FAILURE_WINDOW_S + 0.1)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
 
-    def test_a_domain_that_goes_dark_is_no_cut_once_another_endpoint_answers_a_probe(self) -> None:
-        self.host.lose(CUT_OFF, 0, 1)
+    def test_a_data_centre_is_not_cut_off_once_another_endpoint_answers_a_probe(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0, 1)
         self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
         probed = self.host.reachability.take_due_probes(0.0)
         lost = {self.host.leader(CUT_OFF, number).id for number in (0, 1)}
@@ -113,8 +114,8 @@
         self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
         self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
 
-    def test_the_end_of_a_cut_is_seen_by_the_next_round_of_probes(self) -> None:
-        self.host.lose(CUT_OFF, 0, 1)
+    def test_the_end_of_a_partition_is_detected_by_the_next_round_of_probes(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0, 1)
         self.host.reachability.take_due_probes(0.0)
         self.assertEqual(self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S / 2), [])
         for endpoint in self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S):
@@ -125,13 +126,13 @@
             self.host.reachability.on_connected(endpoint, 1.0)
         self.assertEqual(self.host.reachability.take_due_probes(10.0), [])
 
-    def test_a_host_that_reaches_nobody_still_sends_to_someone(self) -> None:
+    def test_a_host_that_reaches_no_endpoint_still_selects_one(self) -> None:
         for hall in HALLS:
-            self.host.lose(hall, *range(LEADERS_PER_DATA_CENTRE))
+            self.host.fail_to_connect(hall, *range(LEADERS_PER_DATA_CENTRE))
         self.host.choose(0.0)
 
-    def test_what_is_no_longer_listed_is_forgotten(self) -> None:
-        self.host.lose(CUT_OFF, *range(LEADERS_PER_DATA_CENTRE))
+    def test_endpoints_that_are_no_longer_listed_are_not_probed(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, *range(LEADERS_PER_DATA_CENTRE))
         for endpoint in list(self.host.directory.by_id.values()):
             if endpoint.data_centre == CUT_OFF:
                 self.host.directory.remove(endpoint.id)
@@ -141,13 +142,13 @@
     def test_once_every_probe_is_answered_nothing_is_avoided(
         self, events: list[tuple[int, bool, float]]
     ) -> None:
-        host, now_s = Host(), 0.0
+        host, now_s = EntryHostModel(), 0.0
         for number, is_reached, pause_s in events:
             now_s += pause_s
             if is_reached:
                 host.reachability.on_connected(host.leader(CUT_OFF, number), now_s)
             else:
-                host.lose(CUT_OFF, number, now_s=now_s)
+                host.fail_to_connect(CUT_OFF, number, now_s=now_s)
         for _ in range(2):
             now_s += PROBE_INTERVAL_S
             for endpoint in host.reachability.take_due_probes(now_s):
--- a/yewloom/tests/test_retry_window.py
+++ b/yewloom/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on retries."""
+"""Tests of the retry budget."""
 
 import unittest
 
@@ -13,37 +13,37 @@
 STEPS = st.lists(st.tuples(st.booleans(), st.floats(0, 3)), max_size=60)
 
 
-class TestRetryWindow(unittest.TestCase):
-    """In any window, retries stay within the share of its requests and the extra."""
+class TestRetryBudget(unittest.TestCase):
+    """In any time window, retries stay within a ratio of its requests plus the extra."""
 
     @given(STEPS)
-    def test_repeats_of_any_window_are_bounded(self, steps: list[tuple[bool, float]]) -> None:
-        window, now_s = RetryBudget(0.2, 10.0, lambda: 3.0), 0.0
+    def test_retries_in_any_window_are_bounded(self, steps: list[tuple[bool, float]]) -> None:
+        budget, now_s = RetryBudget(0.2, 10.0, lambda: 3.0), 0.0
         requests: list[float] = []
         retries: list[float] = []
         for is_request, pause_s in steps:
             now_s += pause_s
             if is_request:
-                window.on_request(PLAIN, now_s)
+                budget.on_request(PLAIN, now_s)
                 requests.append(now_s)
-            elif window.try_acquire(PLAIN, now_s):
+            elif budget.try_acquire(PLAIN, now_s):
                 retries.append(now_s)
                 recent = sum(time_s >= now_s - 10.0 for time_s in requests)
                 used = sum(time_s >= now_s - 10.0 for time_s in retries)
                 self.assertLessEqual(used, 0.2 * recent + 3.0)
 
     @given(st.integers(1, 80), st.floats(1, 300))
-    def test_parts_of_any_number_of_hosts_sum_up_to_the_extra_at_most(
+    def test_the_shares_of_all_hosts_sum_up_to_the_extra_at_most(
         self, hosts: int, extra: float
     ) -> None:
         board = PeerBoard(EntryHostId("h0"), HALL)
         for number in range(hosts):
             board.know(EntryHostId(f"h{number}"))
-        part = extra / board.hosts_to_share_with()
-        self.assertLessEqual(part * hosts, extra * 1.000001)
-
-    def test_services_have_windows_of_their_own(self) -> None:
-        window = RetryBudget(0.0, 10.0, lambda: 1.0)
-        self.assertTrue(window.try_acquire(PLAIN, 0.0))
-        self.assertFalse(window.try_acquire(PLAIN, 0.0))
-        self.assertTrue(window.try_acquire(type(PLAIN)("other"), 0.0))
+        share = extra / board.hosts_to_share_with()
+        self.assertLessEqual(share * hosts, extra * 1.000001)
+
+    def test_each_service_has_its_own_budget(self) -> None:
+        budget = RetryBudget(0.0, 10.0, lambda: 1.0)
+        self.assertTrue(budget.try_acquire(PLAIN, 0.0))
+        self.assertFalse(budget.try_acquire(PLAIN, 0.0))
+        self.assertTrue(budget.try_acquire(type(PLAIN)("other"), 0.0))
--- a/yewloom/tests/test_routes.py
+++ b/yewloom/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of finding routes."""
+"""Tests of the lookup of routes."""
 
 import unittest
 
--- a/yewloom/tests/test_selection.py
+++ b/yewloom/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of endpoints."""
+"""Tests of the selection of endpoints."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 class TestSelector(unittest.TestCase):
-    """Which endpoint gets a request."""
+    """Which endpoint is selected for a request."""
 
     def setUp(self) -> None:
         self.directory = EndpointDirectory()
@@ -35,7 +35,7 @@
         self.selector = make_selector(self.directory, self.board)
 
     def choose(self, *tried: str) -> str | None:
-        """Choose a leader of the small model."""
+        """Select a leader of a group with the small model."""
         return self._choose(EndpointRequirements(ENGINES, SMALL), *tried)
 
     def _choose(self, requirements: EndpointRequirements, *tried: str) -> str | None:
@@ -51,7 +51,7 @@
         self.assertEqual(self.choose(), "g")
         self.assertIsNone(self.choose("g"))
 
-    def test_leaving_endpoints_get_nothing(self) -> None:
+    def test_leaving_endpoints_get_no_requests(self) -> None:
         self.directory.put(make_plain("p"))
         self.assertEqual(self._choose(EndpointRequirements(PLAIN, None)), "p")
         key = put_group(self.directory, "g", SMALL, ["a", "b"])
@@ -61,7 +61,7 @@
         )
         self.assertIsNone(self.choose())
 
-    def test_a_group_that_turned_slow_gets_a_request_only_beside_busy_ones(self) -> None:
+    def test_a_slow_group_gets_a_request_only_if_the_others_are_busy(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         for _ in range(10):
@@ -73,7 +73,7 @@
             self.selector.begin(HostId("c"))
         self.assertEqual(self.choose(), "a")
 
-    def test_a_whole_group_goes_before_one_that_lacks_a_member(self) -> None:
+    def test_a_complete_group_is_preferred_to_one_without_a_member(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         self.directory.remove(HostId("b"))
@@ -82,14 +82,14 @@
         self.assertEqual(self.choose(), "c")
         self.assertEqual(self.choose("c"), "a")
 
-    def test_an_avoided_endpoint_is_chosen_only_without_another(self) -> None:
+    def test_an_avoided_endpoint_is_chosen_only_if_there_is_no_other(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         self.selector.avoid(HostId("a"), 5.0)
         self.assertEqual(self.choose(), "a")
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         self.assertEqual(self.choose(), "c")
 
-    def test_near_endpoints_go_first_until_they_are_busier(self) -> None:
+    def test_endpoints_in_the_same_data_centre_are_preferred_until_they_are_busier(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         key = put_group(self.directory, "g2", SMALL, ["c", "d"])
         for member in list(self.directory.members(key).values()):
@@ -106,7 +106,7 @@
             self.selector.begin(HostId("a"))
         self.assertEqual(self.choose(), "c")
 
-    def test_what_peers_run_counts_as_well(self) -> None:
+    def test_requests_of_peers_count_as_load(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         loads = [EndpointLoad(endpoint="a", running=4)]
@@ -118,7 +118,7 @@
         self.assertEqual(self.choose(), "a")
 
     @given(st.lists(st.sampled_from("abc"), max_size=30))
-    def test_counts_return_to_nothing(self, names: list[str]) -> None:
+    def test_counts_return_to_zero(self, names: list[str]) -> None:
         selector = make_selector(self.directory, self.board)
         for name in names:
             selector.begin(HostId(name))
--- a/yewloom/tests/test_slow_engines.py
+++ b/yewloom/tests/test_slow_engines.py
@@ -1,7 +1,7 @@
-"""Tests of a coordinator whose engines answer late or never, on a clock that jumps.
+"""Tests of a coordinator whose engines answer late or never, on trio's mock clock.
 
-The pattern is a host lost every three seconds: the coordinator goes on asking those that are dead,
-each for as long as an answer may take, while the groups of others are to be repaired.
+The scenario is a host lost every three seconds: the coordinator keeps querying the dead ones, each
+until the query times out, while it has to repair the groups of others.
 """
 
 import functools
@@ -38,17 +38,17 @@
 from yewloom.states import GroupIntent
 from yewloom.tests.entry_support import SMALL, make_engine
 
-ANSWER_S = 0.4
-"""Time after which an engine that is dead counts as silent."""
+SILENT_AFTER_S = 0.4
+"""Time after which an order to a dead engine fails."""
 
-SLOW_S = 1.0
-"""Time that a slow engine takes for an answer."""
+SLOW_ANSWER_S = 1.0
+"""Time that a slow engine takes to answer."""
 
 KEY = GroupKey(GroupId("g"), 1)
 
 
 class Engines:
-    """Engines of which the one named ``dead`` never answers."""
+    """Fake engines; the one named ``dead`` never answers."""
 
     def __init__(self) -> None:
         self.orders: list[tuple[HostId, EngineOrder]] = []
@@ -58,23 +58,23 @@
     async def send(
         self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
     ) -> OrderAnswer:
-        """Take an order."""
+        """Record an order; ``dead`` does not confirm it."""
         self.orders.append((engine, order))
         if engine == "dead":
-            await trio.sleep(ANSWER_S)
+            await trio.sleep(SILENT_AFTER_S)
             return OrderAnswer.UNREACHABLE
         return OrderAnswer.BEGUN
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Answer a question; the engine named ``slow`` takes a second for it."""
+        """Return a report; the engine named ``slow`` takes a second, ``dead`` never answers."""
         self.asked.append(address)
-        if address == "dead" or (address == "slow" and timeout_s < SLOW_S):
+        if address == "dead" or (address == "slow" and timeout_s < SLOW_ANSWER_S):
             await trio.sleep(timeout_s)
             return None
         if address == "slow":
-            await trio.sleep(SLOW_S)
+            await trio.sleep(SLOW_ANSWER_S)
         return EngineReport(1, self.started_unix_ms)
 
 
@@ -98,7 +98,7 @@
         self.engines, self.state = Engines(), PlanState()
         self.delivery = OrderDelivery(self.engines, self.state, ForwardMetrics())
 
-    def test_a_dead_engine_holds_up_no_order_to_another_one(self) -> None:
+    def test_a_dead_engine_does_not_delay_orders_to_others(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             self.delivery.give([_order("dead", LeaveGroup(KEY))], tasks)
             self.delivery.give([_order("a", OpenGroup(KEY))], tasks)
@@ -106,19 +106,19 @@
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(trio.current_time(), began_s)
             self.assertIn(("a", OpenGroup(KEY)), self.engines.orders)
-            await trio.sleep(ANSWER_S * 2)
+            await trio.sleep(SILENT_AFTER_S * 2)
             self.assertTrue(self.state.is_silent(HostId("dead")))
 
         _run(test)
 
-    def test_an_engine_gets_one_order_at_a_time_and_the_rest_are_planned_again(self) -> None:
+    def test_an_engine_gets_one_order_at_a_time_and_others_are_planned_again(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             staging = _order("dead", StageModel(SMALL))
             self.delivery.give([_order("dead", LeaveGroup(KEY))], tasks)
             self.assertTrue(self.state.may_order(staging, 0.0))
             self.delivery.give([staging], tasks)
             self.assertTrue(self.state.may_order(staging, 0.0))
-            await trio.sleep(ANSWER_S * 2)
+            await trio.sleep(SILENT_AFTER_S * 2)
             self.assertEqual(len(self.engines.orders), 1)
 
         _run(test)
@@ -127,25 +127,25 @@
         async def test(tasks: BackgroundTasks) -> None:
             join = JoinGroup(KEY, SMALL, [HostId("slow")])
             self.delivery.give([_order("slow", join)], tasks)
-            await trio.sleep(SLOW_S + 0.1)
+            await trio.sleep(SLOW_ANSWER_S + 0.1)
             self.assertEqual(self.engines.orders, [("slow", join)])
 
         _run(test)
 
-    def test_an_engine_that_says_nothing_is_given_a_load_once_and_no_join(self) -> None:
+    def test_a_silent_engine_gets_a_load_order_once_and_no_join_order(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             for order in (StageModel(SMALL), JoinGroup(KEY, SMALL, [HostId("dead")])):
                 planned = _order("dead", order)
                 self.assertTrue(self.state.may_order(planned, trio.current_time()))
                 self.delivery.give([planned], tasks)
-                await trio.sleep(JOIN_REPORT_TIMEOUT_S + ANSWER_S)
+                await trio.sleep(JOIN_REPORT_TIMEOUT_S + SILENT_AFTER_S)
                 is_given = self.state.due_s[order_name(planned)] > float("-inf")
                 self.assertEqual(is_given, isinstance(order, StageModel))
             self.assertEqual(self.engines.orders, [("dead", StageModel(SMALL))])
 
         _run(test)
 
-    def test_a_coordinator_that_lost_its_lease_gives_no_order_any_more(self) -> None:
+    def test_a_coordinator_without_its_lease_sends_no_more_orders(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             self.delivery.give([_order("a", StageModel(SMALL))], tasks)
             tasks.cancel_all()
@@ -154,7 +154,7 @@
 
         _run(test)
 
-    def test_an_order_for_a_process_that_has_ended_is_not_given_to_the_next_one(self) -> None:
+    def test_an_order_for_a_previous_process_is_not_sent_to_the_next_one(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             self.engines.started_unix_ms = 7
             staging = PlannedOrder(HostId("a"), "a", StageModel(SMALL), 7)
@@ -167,11 +167,11 @@
             self.delivery.give([staging], tasks)
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(len(self.engines.orders), 1)
-            self.assertTrue(self.state.may_order(staging, 0.0))  # The next plan decides.
+            self.assertTrue(self.state.may_order(staging, 0.0))  # The next plan decides again.
 
         _run(test)
 
-    def test_the_next_process_is_asked_how_many_orders_it_has_taken(self) -> None:
+    def test_each_new_process_is_asked_for_its_order_sequence(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             for started_unix_ms in (7, 9):
                 self.engines.started_unix_ms = started_unix_ms
@@ -184,7 +184,7 @@
 
 
 class TestQuestions(unittest.TestCase):
-    """Questions to members that do not answer."""
+    """Queries to members that do not answer."""
 
     def test_all_members_are_asked_at_once_and_a_dead_one_is_suspected(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
@@ -198,16 +198,19 @@
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(set(engines.asked), {"a", "dead", "b"})
             self.assertEqual(state.suspects, set())
-            await trio.sleep(ANSWER_S * 2)
+            await trio.sleep(SILENT_AFTER_S * 2)
             self.assertEqual(state.suspects, {"dead"})
 
         _run(test)
 
-    def test_a_member_that_is_silent_to_this_host_alone_is_not_suspected(self) -> None:
-        """A peer's word that the group moves counts only if that is later than the question."""
+    def test_a_member_that_is_silent_only_to_this_host_is_not_suspected(self) -> None:
+        """Covers a peer that reports an event of the group.
+
+        The report clears the member only if the event is later than the query.
+        """
 
         async def test(tasks: BackgroundTasks) -> None:
-            for word_s, suspects in ((READ_LATE_S, {"dead"}), (READ_LATE_S + 0.1, set())):
+            for report_after_s, suspects in ((READ_LATE_S, {"dead"}), (READ_LATE_S + 0.1, set())):
                 engines, state, stalls = Engines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 for name in ("dead", "b"):
@@ -216,15 +219,15 @@
                 groups = StalledGroups(EndpointDirectory(), stalls, engines, state)
                 groups.look([group], tasks)
                 await trio.testing.wait_all_tasks_blocked()
-                await trio.sleep(word_s)
+                await trio.sleep(report_after_s)
                 stalls.move_by_peer(HostId("dead"), 0.05, trio.current_time())
-                await trio.sleep(ANSWER_S)
+                await trio.sleep(SILENT_AFTER_S)
                 self.assertEqual(state.suspects, suspects)
 
         _run(test)
 
     def test_members_that_are_all_slow_are_not_suspected(self) -> None:
-        """Guards against groups given up, streams and all, while all engines are slow."""
+        """Guards against dissolving groups and losing their streams while all engines are slow."""
 
         async def test(tasks: BackgroundTasks) -> None:
             for members, suspects in (
@@ -245,8 +248,8 @@
 
         _run(test)
 
-    def test_a_suspect_that_answers_slowly_is_none_any_more(self) -> None:
-        """Guards against engines that serve nobody although they live, while all are slow."""
+    def test_a_suspect_that_answers_slowly_is_cleared(self) -> None:
+        """Guards against running engines that stay unused because they answered slowly once."""
 
         async def test(tasks: BackgroundTasks) -> None:
             engines, state, directory = Engines(), PlanState(), EndpointDirectory()
@@ -255,7 +258,7 @@
                 state.suspects.add(HostId(name))
             groups = StalledGroups(directory, StallDetector(), engines, state)
             groups.look([], tasks)
-            await trio.sleep(SLOW_S + 0.1)
+            await trio.sleep(SLOW_ANSWER_S + 0.1)
             self.assertEqual(state.suspects, {"dead"})
             await trio.sleep(PROBE_AFTER_STALL_S)
             groups.look([], tasks)
@@ -264,8 +267,8 @@
 
         _run(test)
 
-    def test_a_member_that_a_late_host_did_not_hear_is_asked_again(self) -> None:
-        """Guards against a host that takes its own standstill for the silence of others."""
+    def test_a_member_is_asked_again_if_the_event_loop_was_blocked(self) -> None:
+        """Guards against a host that attributes the delay of its own event loop to members."""
 
         async def test(tasks: BackgroundTasks) -> None:
             for late_s, asked in ((0.0, 1), (2.0, 2)):
@@ -284,7 +287,7 @@
 
         _run(test)
 
-    def test_a_member_that_started_again_does_not_answer_for_its_group(self) -> None:
+    def test_a_member_that_restarted_does_not_answer_for_its_group(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             engines, state, stalls = Engines(), PlanState(), StallDetector()
             engines.started_unix_ms = 9
--- a/yewloom/tests/test_stalls.py
+++ b/yewloom/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""Tests of the signs that a group stands still."""
+"""Tests of the detection of stalled groups."""
 
 import unittest
 
@@ -15,9 +15,9 @@
 
 
 class TestStallDetector(unittest.TestCase):
-    """Silence of all streams of a group, and who hears of it."""
+    """When a group counts as stalled, and what is reported to peers."""
 
-    def test_one_stream_that_moves_speaks_for_the_group(self) -> None:
+    def test_events_of_one_stream_show_that_the_group_works(self) -> None:
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.on_begin(LEADER, 0.0)
@@ -31,7 +31,7 @@
         self.assertFalse(stalls.is_stalled(LEADER, QUIET_S + 0.01))
         self.assertTrue(stalls.is_stalled(LEADER, FIRST_EVENT_TIMEOUT_S))
 
-    def test_a_new_stream_after_all_ended_begins_afresh(self) -> None:
+    def test_a_new_stream_after_all_ended_starts_a_new_period(self) -> None:
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.on_event(LEADER, 0.1)
@@ -40,7 +40,7 @@
         stalls.on_begin(LEADER, 50.0)
         self.assertFalse(stalls.is_stalled(LEADER, 50.0 + QUIET_S))
 
-    def test_a_full_engine_is_no_news_for_others(self) -> None:
+    def test_streams_queued_at_a_full_engine_are_not_reported(self) -> None:
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.report(LEADER, 2.0)
@@ -49,15 +49,15 @@
         stalls.report(LEADER, 4.0)
         self.assertEqual(stalls.reported(4.0), [LEADER])
 
-    def test_reports_of_peers_are_not_told_on_and_run_out(self) -> None:
+    def test_reports_of_peers_are_not_passed_on_and_expire(self) -> None:
         stalls = StallDetector()
         stalls.report_by_peer(LEADER, 0.0)
         self.assertEqual(stalls.reported(0.1), [])
         self.assertEqual(stalls.suspected(0.1), {LEADER})
         self.assertEqual(stalls.suspected(REPORT_S), set())
 
-    def test_a_peer_who_saw_a_group_stop_speaks_for_streams_without_an_event(self) -> None:
-        """A head's group loses a member while requests of several hosts wait at it."""
+    def test_a_peers_report_shortens_the_wait_for_a_first_event(self) -> None:
+        """Covers a group that loses a member while requests of several hosts wait at its leader."""
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.report_by_peer(LEADER, 0.1)
@@ -65,35 +65,35 @@
         self.assertTrue(stalls.is_stalled(LEADER, PEER_REPORTED_QUIET_S))
         self.assertLessEqual(stalls.next_check_s(LEADER, 0.1), PEER_REPORTED_QUIET_S)
 
-    def test_a_peer_that_can_not_reach_a_head_says_nothing_of_its_streams_elsewhere(self) -> None:
+    def test_a_peer_that_can_not_reach_a_leader_does_not_make_its_streams_stalled(self) -> None:
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.report_unreachable_by_peer(LEADER, 0.1)
         self.assertFalse(stalls.is_stalled(LEADER, 0.5))
         self.assertEqual(stalls.suspected(0.5), {LEADER})
 
-    def test_a_group_that_moves_on_is_not_left_for_a_peers_word(self) -> None:
+    def test_a_group_that_delivers_events_is_not_stalled_by_a_peers_report(self) -> None:
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.report_by_peer(LEADER, 0.3)
         stalls.on_event(LEADER, 0.35)
         self.assertFalse(stalls.is_stalled(LEADER, 0.35 + PEER_REPORTED_QUIET_S - 0.01))
 
-    def test_only_the_first_of_several_reports_is_news(self) -> None:
-        news: list[None] = []
-        stalls = StallDetector(lambda: news.append(None))
+    def test_only_the_first_of_several_reports_is_passed_on_at_once(self) -> None:
+        calls: list[None] = []
+        stalls = StallDetector(lambda: calls.append(None))
         for now_s in (0.0, 0.1, REPORT_S - 0.01):
             stalls.report(LEADER, now_s)
-        self.assertEqual(len(news), 1)
+        self.assertEqual(len(calls), 1)
         stalls.report_unreachable(LEADER, 0.0)
-        self.assertEqual(len(news), 2)
+        self.assertEqual(len(calls), 2)
 
 
 class TestRestart(unittest.TestCase):
-    """A head that started again is suspected of nothing."""
+    """Events and reports from before a delay or a restart are not taken for new ones."""
 
-    def test_an_event_that_was_read_late_proves_no_later_movement(self) -> None:
-        """Guards against old words that a host which stood still takes for new ones."""
+    def test_an_event_that_was_read_late_counts_for_its_earliest_arrival(self) -> None:
+        """Guards against a host that takes old events for new ones after its loop was blocked."""
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.on_event(LEADER, 5.0, late_s=3.0)
@@ -103,7 +103,7 @@
         stalls.report_unreachable_by_peer(LEADER, 5.0)
         self.assertEqual(stalls.moving(5.0), {})
 
-    def test_reports_of_the_earlier_process_count_no_more(self) -> None:
+    def test_reports_of_the_previous_process_are_dropped(self) -> None:
         stalls = StallDetector()
         for report in (
             stalls.report,
