--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -153,8 +153,8 @@
     Mutation(
         "one group: a peer's word counts for no later movement than it shows",
         "stalls",
-        "moved_s = now_s - age_s - READ_LATE_S",
-        "moved_s = now_s",
+        "arrived_s = now_s - age_s - READ_LATE_S",
+        "arrived_s = now_s",
         "test_peer_reports",
     ),
     Mutation(
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -22,7 +22,7 @@
     OutgoingRequest,
     open_exchange,
 )
-from yewloom.endpoint_choice import EndpointChoice
+from yewloom.endpoint_choice import EndpointChooser
 from yewloom.endpoint_limits import EndpointLimits
 from yewloom.event_stream import EventSplitter, EventStreamError
 from yewloom.fingerprints import fingerprint_text
@@ -64,7 +64,7 @@
     marks: AnswerMarks
 
 
-class EndpointAttempts:
+class EndpointAttemptRunner:
     """Sends requests to endpoints, each over its own connection."""
 
     def __init__(
@@ -74,7 +74,7 @@
         stalls: StallDetector,
         metrics: ForwardMetrics,
         reachability: Reachability,
-        choice: EndpointChoice,
+        chooser: EndpointChooser,
         lateness: LoopLateness,
         crashes: CrashRecord,
         crash_checks: CrashChecks,
@@ -86,7 +86,7 @@
         self._codec = codec
         self._lateness = lateness
         self._reachability = reachability
-        self._choice = choice
+        self._chooser = chooser
         self._selector = selector
         self._stalls = stalls
         self._metrics = metrics
@@ -120,7 +120,7 @@
     async def _run_attempt(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
         """Return whether the caller gets this response, and the outcome of the attempt."""
         try:
-            return await self._exchange_unless_late(request, endpoint)
+            return await self._exchange_with_reconnect(request, endpoint)
         except ExchangeError as error:
             outcome = self._record_failure(request, endpoint, error)
             if error.failure in _POSSIBLE_CRASH:
@@ -132,7 +132,7 @@
         except EventStreamError as error:
             return False, f"unreadable: {error}"
 
-    async def _exchange_unless_late(
+    async def _exchange_with_reconnect(
         self, request: ForwardRequest, endpoint: Endpoint
     ) -> tuple[bool, str]:
         """Run the exchange; connect once more if this host's event loop was delayed meanwhile.
@@ -232,7 +232,7 @@
             return False, f"not run: status {head.status}"
         self._check_request_id(request, response.marks)
         body = await exchange.whole_body()
-        if head.status >= SERVER_ERROR and self._choice.reserve_another(request):
+        if head.status >= SERVER_ERROR and self._chooser.reserve_another(request):
             return False, f"failed: status {head.status}"
         request.record.set_state(endpoint.id, AttemptState.ANSWERED)
         if request.reply.is_started:
@@ -296,5 +296,5 @@
             is_stalled = self._stalls.is_stalled(endpoint.id, trio.current_time())
             if is_stalled and not was_late and self._lateness.late_s():
                 was_late = True
-            elif is_stalled and self._choice.reserve_another(request):
+            elif is_stalled and self._chooser.reserve_another(request):
                 raise _Stalled
--- a/yewloom/endpoint_calls.py
+++ b/yewloom/endpoint_calls.py
@@ -25,10 +25,10 @@
 READ_BYTES = 65536
 """Most bytes to read from a connection at once."""
 
-MAX_ANSWER_HEAD_BYTES = 65536
+MAX_RESPONSE_HEAD_BYTES = 65536
 """Longest status line and headers, together, that are accepted from an endpoint."""
 
-MAX_WHOLE_ANSWER_BYTES = 16 << 20
+MAX_BUFFERED_RESPONSE_BYTES = 16 << 20
 """Longest response body that is buffered; responses of plain services have a few kilobytes."""
 
 
@@ -36,8 +36,9 @@
     """How an exchange with an endpoint failed.
 
     ``REFUSED``: the endpoint's host rejected the connection because nothing listens on the port.
-    ``BROKEN``: the connection ended without a complete response.
-    ``TRUNCATED``: the connection ended before the response that its framing announced.
+    ``NOT_CONNECTED``: connecting failed in another way, or timed out.
+    ``BROKEN``: the connection was reset, or closed before the response; or a stream is incomplete.
+    ``TRUNCATED``: the connection was closed before the end of the response.
     ``UNREADABLE``: the response violates the protocol, is too long or belongs to another request.
     """
 
@@ -88,7 +89,7 @@
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
         self._connection = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_HEAD_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES
         )
 
     async def send(self, request: OutgoingRequest) -> None:
@@ -133,7 +134,7 @@
         body = bytearray()
         while (chunk := await self.read_chunk()) is not None:
             body += chunk
-            if len(body) > MAX_WHOLE_ANSWER_BYTES:
+            if len(body) > MAX_BUFFERED_RESPONSE_BYTES:
                 raise ExchangeError(ExchangeFailure.UNREADABLE, True, "the answer is too long")
         return bytes(body)
 
--- a/yewloom/endpoint_choice.py
+++ b/yewloom/endpoint_choice.py
@@ -17,7 +17,7 @@
 from yewloom.selection import Selector
 
 
-class EndpointChoice:
+class EndpointChooser:
     """Chooses the next endpoint of a request, if there is one.
 
     ``durations`` holds the durations of answered requests, by which it is decided whether a request
--- a/yewloom/forward_parts.py
+++ b/yewloom/forward_parts.py
@@ -6,8 +6,8 @@
 from yewloom.configuration import ConfigurationBook
 from yewloom.crash_parts import CrashParts
 from yewloom.directory import EndpointDirectory
-from yewloom.endpoint_attempts import EndpointAttempts
-from yewloom.endpoint_choice import EndpointChoice
+from yewloom.endpoint_attempts import EndpointAttemptRunner
+from yewloom.endpoint_choice import EndpointChooser
 from yewloom.endpoint_limits import EndpointLimits
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forwarding import Forwarder
@@ -48,29 +48,29 @@
     """Return a forwarder built from these components."""
     bounds, quarantine = parts.bounds, parts.crashes.quarantine
     retries = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, parts.retry_extra)
-    choice = EndpointChoice(parts.selector, retries, parts.stop, quarantine, parts.limits)
+    chooser = EndpointChooser(parts.selector, retries, parts.stop, quarantine, parts.limits)
     return Forwarder(
         parts.book,
         parts.codec,
         parts.selector,
         retries,
-        _build_attempts(parts, choice),
+        _build_attempt_runner(parts, chooser),
         parts.metrics,
         _build_key_trust(parts),
         lambda: parts.directory.is_known,
-        choice,
+        chooser,
         quarantine,
     )
 
 
-def _build_attempts(parts: ForwardParts, choice: EndpointChoice) -> EndpointAttempts:
-    return EndpointAttempts(
+def _build_attempt_runner(parts: ForwardParts, chooser: EndpointChooser) -> EndpointAttemptRunner:
+    return EndpointAttemptRunner(
         parts.codec,
         parts.selector,
         parts.stalls,
         parts.metrics,
         parts.reachability,
-        choice,
+        chooser,
         parts.lateness,
         parts.crashes.record,
         parts.crashes.checks,
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -16,7 +16,7 @@
 from yewloom.configuration import ConfigurationBook
 from yewloom.directory import Endpoint
 from yewloom.endpoint_calls import Header
-from yewloom.endpoint_choice import EndpointChoice
+from yewloom.endpoint_choice import EndpointChooser
 from yewloom.fingerprints import fingerprint_text
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forward_request import ForwardRequest, Refusal
@@ -45,7 +45,7 @@
 """Reason for refusing a request because this host is stopping."""
 
 
-class Attempts(Protocol):
+class AttemptRunner(Protocol):
     """Sends a request to one endpoint."""
 
     async def run(self, request: ForwardRequest, endpoint: Endpoint) -> bool:
@@ -65,11 +65,11 @@
         codec: HeaderCodec,
         selector: Selector,
         retries: RetryBudget,
-        attempts: Attempts,
+        attempts: AttemptRunner,
         metrics: ForwardMetrics,
         key_trust: KeyTrust,
         is_ready: Callable[[], bool],
-        choice: EndpointChoice,
+        chooser: EndpointChooser,
         quarantine: Quarantine,
     ) -> None:
         self._book = book
@@ -77,7 +77,7 @@
         self._retries = retries
         self._attempts = attempts
         self._metrics = metrics
-        self._choice = choice
+        self._chooser = chooser
         self._timers: dict[trio.CancelScope, None] = {}  # In the order in which they started.
         self._admission = RequestAdmission(book, codec, selector, key_trust, is_ready, quarantine)
 
@@ -97,9 +97,9 @@
             # A caller that closes right after it received the complete response has been served.
             is_served = request is not None and request.record.is_answered and reply.is_whole
             outcome = ANSWERED if is_served else "caller gone"
-            self._record_end(source, marks, request, reply, outcome)
+            self._record_outcome(source, marks, request, reply, outcome)
             raise
-        self._record_end(source, marks, request, reply, outcome)
+        self._record_outcome(source, marks, request, reply, outcome)
 
     async def refuse(self, source: CallerRequest, reply: Reply) -> None:
         """Refuse a request that arrived after the host stopped accepting requests."""
@@ -109,7 +109,7 @@
         except Refusal as refusal:
             outcome = f"{STOPPING}; {refusal.reason}"
         await self._send_refusal(reply, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
-        self._record_end(source, marks, None, reply, outcome)
+        self._record_outcome(source, marks, None, reply, outcome)
 
     def end_open(self, at_most: int = sys.maxsize) -> bool:
         """End open requests, oldest first, so that each gets its final response.
@@ -137,11 +137,11 @@
     async def _try_endpoints(self, request: ForwardRequest) -> None:
         """Send a request to one endpoint after another until one answers or none is left."""
         try:
-            while endpoint := self._choice.take_next(request):
+            while endpoint := self._chooser.take_next(request):
                 if await self._attempt(request, endpoint):
                     return
         finally:
-            self._choice.release_reserved(request)
+            self._chooser.release_reserved(request)
 
     @contextmanager
     def _time_limit(self, request: ForwardRequest) -> Iterator[None]:
@@ -179,9 +179,9 @@
 
     def _refusal(self, request: ForwardRequest) -> Refusal:
         """Return why a request that has not run is refused, and when it may be retried."""
-        if not self._choice.has_time_before_stop(request):
+        if not self._chooser.has_time_before_stop(request):
             return Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S)
-        limit_wait_s = self._choice.limit_wait_s(request)
+        limit_wait_s = self._chooser.limit_wait_s(request)
         if limit_wait_s > 0:
             return Refusal(503, LIMITED, math.ceil(limit_wait_s * 100) / 100)
         return Refusal(503, "no endpoint free", RETRY_AFTER_S)
@@ -192,7 +192,7 @@
             headers.append((b"retry-after", f"{refusal.retry_after_s:g}".encode()))
         await reply.send_whole(refusal.status, headers, b"")
 
-    def _record_end(
+    def _record_outcome(
         self,
         source: CallerRequest,
         marks: RequestMarks | None,
@@ -204,7 +204,7 @@
         now_s = trio.current_time()
         took_ms = round((now_s - source.arrived_s) * 1000)
         if request is not None and outcome == ANSWERED:
-            self._choice.durations.note(request.route.name, now_s - source.read_s)
+            self._chooser.durations.note(request.route.name, now_s - source.read_s)
         kind = request.route.kind.value if request is not None else "none"
         self._metrics.on_request(kind, reply.status, outcome, took_ms / 1000)
         logger.info(
--- a/yewloom/reachability.py
+++ b/yewloom/reachability.py
@@ -107,10 +107,10 @@
             if is_probed_alone and now_s >= unreachable.probe_due_s:
                 unreachable.probe_due_s = now_s + PROBE_INTERVAL_S
                 due[unreachable.endpoint.id] = unreachable.endpoint
-        for data_centre, cut in self._cut_off.items():
-            if now_s >= cut.probe_due_s:
-                cut.probe_due_s = now_s + CUT_OFF_PROBE_INTERVAL_S
-                due |= {e.id: e for e in self._next_probes(data_centre, cut)}
+        for data_centre, cut_off in self._cut_off.items():
+            if now_s >= cut_off.probe_due_s:
+                cut_off.probe_due_s = now_s + CUT_OFF_PROBE_INTERVAL_S
+                due |= {e.id: e for e in self._next_probes(data_centre, cut_off)}
         return list(due.values())
 
     def _looks_cut_off(self, data_centre: DataCentreId, now_s: float) -> bool:
@@ -122,17 +122,19 @@
         ]
         return len(failed) >= CUT_OFF_THRESHOLD
 
-    def _next_probes(self, data_centre: DataCentreId, cut: _CutOffDataCentre) -> Iterable[Endpoint]:
+    def _next_probes(
+        self, data_centre: DataCentreId, cut_off: _CutOffDataCentre
+    ) -> Iterable[Endpoint]:
         """Return the next endpoints to probe in a data centre, each in turn.
 
         Endpoints that are not known to be unreachable come first.
         """
         listed = [e for e in self._directory.by_id.values() if e.data_centre == data_centre]
-        listed.sort(key=lambda e: (e.id in cut.probed, e.id in self._unreachable, e.id))
+        listed.sort(key=lambda e: (e.id in cut_off.probed, e.id in self._unreachable, e.id))
         chosen = listed[:CUT_OFF_PROBE_COUNT]
-        cut.probed |= {endpoint.id for endpoint in chosen}
-        if len(cut.probed) >= len(listed):
-            cut.probed.clear()
+        cut_off.probed |= {endpoint.id for endpoint in chosen}
+        if len(cut_off.probed) >= len(listed):
+            cut_off.probed.clear()
         return chosen
 
     def _drop_unlisted(self) -> None:
--- a/yewloom/selection.py
+++ b/yewloom/selection.py
@@ -15,8 +15,9 @@
 from yewloom.values import value_class
 
 REMOTE_PENALTY = 0.25
-"""Added for an endpoint in another data centre, in units of load (1.0 = all slots taken). Traffic
-between data centres costs money and adds a few milliseconds."""
+"""Added to the score of an endpoint in another data centre. The endpoint with the lowest score is
+selected; its base is the load, 1.0 if all slots are taken. Traffic between data centres costs money
+and adds a few milliseconds."""
 
 INCOMPLETE_PENALTY = 0.5
 """Added for a group with a member that is not listed. The member may be lost, or it may only be cut
--- a/yewloom/stalls.py
+++ b/yewloom/stalls.py
@@ -40,7 +40,7 @@
 """
 
 READ_LATE_S = 0.1
-"""Longest delay until a peer's message is read, if the event loop was not blocked: network latency
+"""Longest delay until a peer's message is read if the event loop was not delayed: network latency
 and other work on a slow host."""
 
 
@@ -49,12 +49,12 @@
     """Activity of a group's streams.
 
     ``last_read_s`` is when their newest event was read, or the first stream was opened if there was
-    no event. ``moved_s`` is the earliest time at which that event may have arrived.
+    no event. ``arrived_s`` is the earliest time at which that event can have arrived.
     """
 
     streams: int = 0
     last_read_s: float = 0.0
-    moved_s: float = 0.0
+    arrived_s: float = 0.0
     has_events: bool = False
 
     @property
@@ -101,13 +101,13 @@
         self._activity: defaultdict[HostId, _StreamActivity] = defaultdict(_StreamActivity)
         self._stalled, self._unreachable = _RecentReports(), _RecentReports()
         self._stalled_by_peers, self._unreachable_by_peers = _RecentReports(), _RecentReports()
-        self._moved_by_peers_s: dict[HostId, float] = {}
+        self._arrived_by_peers_s: dict[HostId, float] = {}
 
     def on_begin(self, leader: HostId, now_s: float) -> None:
         """Record that a stream was opened."""
         activity = self._activity[leader]
         if not activity.streams:
-            activity.last_read_s, activity.moved_s, activity.has_events = now_s, now_s, False
+            activity.last_read_s, activity.arrived_s, activity.has_events = now_s, now_s, False
         activity.streams += 1
 
     def on_event(self, leader: HostId, now_s: float, late_s: float = 0.0) -> None:
@@ -117,7 +117,7 @@
         event counts only for the earliest time at which it may have arrived.
         """
         activity = self._activity[leader]
-        activity.last_read_s, activity.moved_s, activity.has_events = now_s, now_s - late_s, True
+        activity.last_read_s, activity.arrived_s, activity.has_events = now_s, now_s - late_s, True
 
     def on_end(self, leader: HostId) -> None:
         """Record that a stream has ended."""
@@ -153,28 +153,30 @@
 
     def _dispute_report(self, leader: HostId, now_s: float) -> None:
         """Notify peers soon if a group that one of them suspects still delivers events here."""
-        if self._has_moved(leader, now_s - MOVING_S):
+        if self._has_event_since(leader, now_s - MOVING_S):
             self._on_report()
 
     def move_by_peer(self, leader: HostId, age_s: float, now_s: float) -> None:
         """Record that another entry host got an event of a group, ``age_s`` before its message."""
-        moved_s = now_s - age_s - READ_LATE_S
-        self._moved_by_peers_s[leader] = max(moved_s, self._moved_by_peers_s.get(leader, moved_s))
+        arrived_s = now_s - age_s - READ_LATE_S
+        self._arrived_by_peers_s[leader] = max(
+            arrived_s, self._arrived_by_peers_s.get(leader, arrived_s)
+        )
 
     def moving(self, now_s: float) -> dict[HostId, float]:
         """Return the suspected leaders with a recent event on this host, and the event's age."""
         suspected = self.suspected(now_s)
-        moving = [leader for leader in suspected if self._has_moved(leader, now_s - MOVING_S)]
-        return {leader: now_s - self._activity[leader].moved_s for leader in moving}
+        moving = [leader for leader in suspected if self._has_event_since(leader, now_s - MOVING_S)]
+        return {leader: now_s - self._activity[leader].arrived_s for leader in moving}
 
     def moved_since(self, leader: HostId, since_s: float) -> bool:
         """Return whether this host or a peer got an event of a group after a given time."""
-        by_peers_s = self._moved_by_peers_s.get(leader, float("-inf"))
-        return by_peers_s > since_s or self._has_moved(leader, since_s)
+        by_peers_s = self._arrived_by_peers_s.get(leader, float("-inf"))
+        return by_peers_s > since_s or self._has_event_since(leader, since_s)
 
-    def _has_moved(self, leader: HostId, since_s: float) -> bool:
+    def _has_event_since(self, leader: HostId, since_s: float) -> bool:
         activity = self._activity.get(leader)
-        return activity is not None and activity.has_events and activity.moved_s > since_s
+        return activity is not None and activity.has_events and activity.arrived_s > since_s
 
     def forget(self, leader: HostId) -> None:
         """Drop the reports of a leader that has restarted; its streams end by themselves."""
@@ -185,7 +187,7 @@
             self._unreachable_by_peers,
         ):
             reports.drop(leader)
-        self._moved_by_peers_s.pop(leader, None)
+        self._arrived_by_peers_s.pop(leader, None)
 
     def reported(self, now_s: float) -> list[HostId]:
         """Return the leaders whose groups this host itself reported recently as stalled."""
--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -184,7 +184,7 @@
                 retry_extra=lambda: self.retries_left,
             )
         )
-        self.choice = self.forwarder._choice
+        self.chooser = self.forwarder._chooser
         handlers = Handlers(self.forwarder.handle, self.forwarder.refuse)
         self.server = CallerServer(handlers, lambda: LIMITS)
         self.configuration = configuration or make_configuration(*ROUTES)
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -387,7 +387,7 @@
 
         def begin_stop(fixture: Fixture) -> None:
             for _ in range(LEAST):
-                fixture.choice.durations.note(STREAM_ROUTE.name, 2.0)
+                fixture.chooser.durations.note(STREAM_ROUTE.name, 2.0)
             ends_s = trio.current_time() + 1.9
             fixture.stop.begin(ends_s - GRACE_S + STOP_MARGIN_S)
 
@@ -436,8 +436,8 @@
         endpoint = make_plain("p", "127.0.0.1:1")
         fixture.selector.begin(endpoint.id)
         ended = mock.Mock(reserved=endpoint)
-        fixture.choice.release_reserved(ended)
-        fixture.choice.release_reserved(ended)
+        fixture.chooser.release_reserved(ended)
+        fixture.chooser.release_reserved(ended)
         self.assertEqual((fixture.selector.running(), ended.reserved), ({}, None))
 
     async def _expect_two_events(self, fixture: Fixture) -> None:
--- a/yewloom/tests/test_stalls.py
+++ b/yewloom/tests/test_stalls.py
@@ -93,7 +93,7 @@
     """Events and reports from before a delay or a restart are not taken for new ones."""
 
     def test_an_event_that_was_read_late_counts_for_its_earliest_arrival(self) -> None:
-        """Guards against a host that takes old events for new ones after its loop was blocked."""
+        """Guards against a host that takes old events for new ones after its loop was delayed."""
         stalls = StallDetector()
         stalls.on_begin(LEADER, 0.0)
         stalls.on_event(LEADER, 5.0, late_s=3.0)
