--- a/yewloom/reachability.py
+++ b/yewloom/reachability.py
@@ -56,11 +56,11 @@
     """Tracks which endpoints this host can connect to."""
 
     def __init__(
-        self, directory: EndpointDirectory, on_lost: Callable[[], None] = lambda: None
+        self, directory: EndpointDirectory, on_unreachable: Callable[[], None] = lambda: None
     ) -> None:
-        """Create a tracker; ``on_lost`` is called whenever an endpoint is found unreachable."""
+        """Create a tracker; ``on_unreachable`` is called when an endpoint is found unreachable."""
         self._directory = directory
-        self._on_lost = on_lost
+        self._on_unreachable = on_unreachable
         self._unreachable: dict[HostId, _UnreachableEndpoint] = {}
         self._cut_off: dict[DataCentreId, _CutOffDataCentre] = {}
         self._connected_s: defaultdict[DataCentreId, float] = defaultdict(lambda: float("-inf"))
@@ -81,7 +81,7 @@
         data_centre = endpoint.data_centre
         if data_centre not in self._cut_off and self._looks_cut_off(data_centre, now_s):
             self._cut_off[data_centre] = _CutOffDataCentre(now_s)
-        self._on_lost()
+        self._on_unreachable()
 
     def forget(self, endpoint: HostId) -> None:
         """Forget that an endpoint was unreachable, because it has restarted."""
--- a/yewloom/tests/test_slow_engines.py
+++ b/yewloom/tests/test_slow_engines.py
@@ -47,8 +47,8 @@
 KEY = GroupKey(GroupId("g"), 1)
 
 
-class Engines:
-    """Fake engines; the one named ``dead`` never answers."""
+class FakeEngines:
+    """Engines that record what they are sent; the one named ``dead`` never answers."""
 
     def __init__(self) -> None:
         self.orders: list[tuple[HostId, EngineOrder]] = []
@@ -95,7 +95,7 @@
     """Orders to engines that do not answer."""
 
     def setUp(self) -> None:
-        self.engines, self.state = Engines(), PlanState()
+        self.engines, self.state = FakeEngines(), PlanState()
         self.delivery = OrderDelivery(self.engines, self.state, ForwardMetrics())
 
     def test_a_dead_engine_does_not_delay_orders_to_others(self) -> None:
@@ -188,7 +188,7 @@
 
     def test_all_members_are_asked_at_once_and_a_dead_one_is_suspected(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
-            engines, state, stalls = Engines(), PlanState(), StallDetector()
+            engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
             group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
             for name in ("a", "dead", "b"):
                 group.members.append(GroupMember(host_id=name, address=name))
@@ -211,7 +211,7 @@
 
         async def test(tasks: BackgroundTasks) -> None:
             for report_after_s, suspects in ((READ_LATE_S, {"dead"}), (READ_LATE_S + 0.1, set())):
-                engines, state, stalls = Engines(), PlanState(), StallDetector()
+                engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 for name in ("dead", "b"):
                     group.members.append(GroupMember(host_id=name, address=name))
@@ -235,7 +235,7 @@
                 (("slow", "a"), {"slow-0"}),
                 (("dead", "dead"), {"dead-0", "dead-1"}),
             ):
-                engines, state, stalls = Engines(), PlanState(), StallDetector()
+                engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 for number, address in enumerate(members):
                     group.members.add(host_id=f"{address}-{number}", address=address)
@@ -252,7 +252,7 @@
         """Guards against running engines that stay unused because they answered slowly once."""
 
         async def test(tasks: BackgroundTasks) -> None:
-            engines, state, directory = Engines(), PlanState(), EndpointDirectory()
+            engines, state, directory = FakeEngines(), PlanState(), EndpointDirectory()
             for name in ("slow", "dead"):
                 directory.put(replace(make_engine(name), address=name))
                 state.suspects.add(HostId(name))
@@ -272,7 +272,7 @@
 
         async def test(tasks: BackgroundTasks) -> None:
             for late_s, asked in ((0.0, 1), (2.0, 2)):
-                engines, state, stalls = Engines(), PlanState(), StallDetector()
+                engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 group.members.add(host_id="dead", address="dead")
                 stalls.report(HostId("dead"), trio.current_time())
@@ -289,7 +289,7 @@
 
     def test_a_member_that_restarted_does_not_answer_for_its_group(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
-            engines, state, stalls = Engines(), PlanState(), StallDetector()
+            engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
             engines.started_unix_ms = 9
             group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
             for name, started_unix_ms in (("a", 9), ("b", 7)):
