--- a/yewloom/tests/test_event_paces.py
+++ b/yewloom/tests/test_event_paces.py
@@ -1,4 +1,7 @@
-"""Tests of the detection of slow groups; in the scenario, a few engines become slow under load."""
+"""Tests of the detection of slow groups.
+
+The scenario is a few engines that become slow under steady load.
+"""
 
 import unittest
 
--- a/yewloom/tests/test_event_stream.py
+++ b/yewloom/tests/test_event_stream.py
@@ -17,14 +17,14 @@
 
     @given(st.integers(1, 12), st.lists(st.integers(1, 30)))
     def test_any_chunking_of_the_bytes_gives_the_same_events(
-        self, count: int, cuts: list[int]
+        self, count: int, chunk_sizes: list[int]
     ) -> None:
         data = b"".join(_event(number) for number in range(1, count + 1))
         splitter = EventSplitter()
         events: list[StreamEvent] = []
-        for cut in cuts:
-            events += splitter.feed(data[:cut])
-            data = data[cut:]
+        for chunk_size in chunk_sizes:
+            events += splitter.feed(data[:chunk_size])
+            data = data[chunk_size:]
         events += splitter.feed(data)
         self.assertEqual([event.event_id for event in events], list(range(1, count + 1)))
         self.assertEqual(b"".join(e.data for e in events)[:4], b"id: ")
--- a/yewloom/tests/test_reachability.py
+++ b/yewloom/tests/test_reachability.py
@@ -30,8 +30,8 @@
     put_group,
 )
 
-HALLS = (HALL, DataCentreId("hall-b"), DataCentreId("hall-c"))
-CUT_OFF = HALLS[2]
+DATA_CENTRES = (HALL, DataCentreId("hall-b"), DataCentreId("hall-c"))
+CUT_OFF = DATA_CENTRES[2]
 LEADERS_PER_DATA_CENTRE = 6
 CUT_DURATION_S = 5.0
 REQUESTS_PER_S = 13
@@ -47,10 +47,12 @@
         self.directory = EndpointDirectory()
         self.reachability = Reachability(self.directory)
         self.selector = make_selector(self.directory, reachability=self.reachability)
-        for hall in HALLS:
+        for data_centre in DATA_CENTRES:
             for number in range(LEADERS_PER_DATA_CENTRE):
-                names = [f"{hall}-{number}-{rank}" for rank in (0, 1)]
-                put_group(self.directory, f"{hall}-{number}", SMALL, names, data_centre=hall)
+                names = [f"{data_centre}-{number}-{rank}" for rank in (0, 1)]
+                put_group(
+                    self.directory, f"{data_centre}-{number}", SMALL, names, data_centre=data_centre
+                )
 
     def choose(self, now_s: float, tried: Container[HostId] = ()) -> Endpoint:
         """Return the endpoint that is selected for a request."""
@@ -58,14 +60,14 @@
         assert chosen is not None
         return chosen
 
-    def leader(self, hall: DataCentreId, number: int) -> Endpoint:
+    def leader(self, data_centre: DataCentreId, number: int) -> Endpoint:
         """Return a leader."""
-        return self.directory.by_id[HostId(f"{hall}-{number}-0")]
+        return self.directory.by_id[HostId(f"{data_centre}-{number}-0")]
 
-    def fail_to_connect(self, hall: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
+    def fail_to_connect(self, data_centre: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
         """Record failures to connect to some leaders."""
         for number in numbers:
-            self.reachability.on_failure(self.leader(hall, number), now_s)
+            self.reachability.on_failure(self.leader(data_centre, number), now_s)
 
 
 class TestCutOffDataCentre(unittest.TestCase):
@@ -127,8 +129,8 @@
         self.assertEqual(self.host.reachability.take_due_probes(10.0), [])
 
     def test_a_host_that_reaches_no_endpoint_still_selects_one(self) -> None:
-        for hall in HALLS:
-            self.host.fail_to_connect(hall, *range(LEADERS_PER_DATA_CENTRE))
+        for data_centre in DATA_CENTRES:
+            self.host.fail_to_connect(data_centre, *range(LEADERS_PER_DATA_CENTRE))
         self.host.choose(0.0)
 
     def test_endpoints_that_are_no_longer_listed_are_not_probed(self) -> None:
