--- a/yewloom/forward_parts.py
+++ b/yewloom/forward_parts.py
@@ -1,4 +1,4 @@
-"""The parts by which an entry host forwards requests, wired together."""
+"""Build the forwarder of an entry host from its components."""
 
 from collections.abc import Callable
 
@@ -6,8 +6,8 @@
 from yewloom.configuration import ConfigurationBook
 from yewloom.crash_parts import CrashParts
 from yewloom.directory import EndpointDirectory
-from yewloom.endpoint_attempts import EndpointAttempts
-from yewloom.endpoint_choice import EndpointChoice
+from yewloom.endpoint_attempts import EndpointAttemptRunner
+from yewloom.endpoint_choice import EndpointChooser
 from yewloom.endpoint_limits import EndpointLimits
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forwarding import Forwarder
@@ -15,7 +15,7 @@
 from yewloom.loop_lateness import LoopLateness
 from yewloom.planned_stop import PlannedStop
 from yewloom.reachability import Reachability
-from yewloom.retry_window import RetryWindow
+from yewloom.retry_window import RetryBudget
 from yewloom.schema.entry_pb2 import ServingBounds
 from yewloom.selection import Selector
 from yewloom.stalls import StallDetector
@@ -24,7 +24,10 @@
 
 @value_class
 class ForwardParts:
-    """What forwarding needs; ``retry_extra`` returns this host's part of the bound's extra."""
+    """The components that forwarding needs.
+
+    ``retry_extra`` returns this host's share of the retries that are allowed on top of the ratio.
+    """
 
     bounds: ServingBounds
     codec: HeaderCodec
@@ -42,32 +45,32 @@
 
 
 def build_forwarder(parts: ForwardParts) -> Forwarder:
-    """Return a forwarder of these parts."""
+    """Return a forwarder built from these components."""
     bounds, quarantine = parts.bounds, parts.crashes.quarantine
-    retries = RetryWindow(bounds.retry_ratio, bounds.retry_window_s, parts.retry_extra)
-    choice = EndpointChoice(parts.selector, retries, parts.stop, quarantine, parts.limits)
+    retries = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, parts.retry_extra)
+    chooser = EndpointChooser(parts.selector, retries, parts.stop, quarantine, parts.limits)
     return Forwarder(
         parts.book,
         parts.codec,
         parts.selector,
         retries,
-        _build_attempts(parts, choice),
+        _build_attempt_runner(parts, chooser),
         parts.metrics,
         _build_key_trust(parts),
         lambda: parts.directory.is_known,
-        choice,
+        chooser,
         quarantine,
     )
 
 
-def _build_attempts(parts: ForwardParts, choice: EndpointChoice) -> EndpointAttempts:
-    return EndpointAttempts(
+def _build_attempt_runner(parts: ForwardParts, chooser: EndpointChooser) -> EndpointAttemptRunner:
+    return EndpointAttemptRunner(
         parts.codec,
         parts.selector,
         parts.stalls,
         parts.metrics,
         parts.reachability,
-        choice,
+        chooser,
         parts.lateness,
         parts.crashes.record,
         parts.crashes.checks,
--- a/yewloom/tests/test_reachability.py
+++ b/yewloom/tests/test_reachability.py
@@ -1,7 +1,8 @@
-"""Tests of where requests go while a data centre is cut off, and while single endpoints crash.
+"""Tests of endpoint selection while a data centre is cut off, and while single endpoints crash.
 
-The pattern is a cut of one of three data centres for 5 s, of which clients on the other side go on
-sending 13 requests a second to each of their hosts, a third of them meant for the lost endpoints.
+The scenario is a network partition that cuts off one of three data centres for 5 s. Callers on the
+other side continue to send 13 requests per second to each of their hosts, a third of which would go
+to the unreachable endpoints.
 """
 
 import unittest
@@ -13,13 +14,13 @@
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.ids import DataCentreId, HostId
 from yewloom.reachability import (
-    CUT_PROBE_PAUSE_S,
-    ENDPOINTS_OF_A_CUT,
-    FAILURE_COUNTS_S,
-    PROBE_PAUSE_S,
+    CUT_OFF_PROBE_INTERVAL_S,
+    CUT_OFF_THRESHOLD,
+    FAILURE_WINDOW_S,
+    PROBE_INTERVAL_S,
     Reachability,
 )
-from yewloom.selection import Wanted
+from yewloom.selection import EndpointRequirements
 from yewloom.tests.entry_support import (
     ENGINES,
     HALL,
@@ -29,109 +30,111 @@
     put_group,
 )
 
-HALLS = (HALL, DataCentreId("hall-b"), DataCentreId("hall-c"))
-CUT_OFF = HALLS[2]
-HEADS_OF_A_HALL = 6
-CUT_S = 5.0
+DATA_CENTRES = (HALL, DataCentreId("hall-b"), DataCentreId("hall-c"))
+CUT_OFF = DATA_CENTRES[2]
+LEADERS_PER_DATA_CENTRE = 6
+CUT_DURATION_S = 5.0
 REQUESTS_PER_S = 13
-CONNECT_LIMIT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 CONFIGURATION = make_configuration()
-WANTED = Wanted(ENGINES, SMALL)
+REQUIREMENTS = EndpointRequirements(ENGINES, SMALL)
 
 
-class Host:
-    """A host that chooses endpoints of three data centres, and learns from its connections."""
+class EntryHostModel:
+    """An entry host that selects endpoints in three data centres and tracks its connections."""
 
     def __init__(self) -> None:
         self.directory = EndpointDirectory()
         self.reachability = Reachability(self.directory)
         self.selector = make_selector(self.directory, reachability=self.reachability)
-        for hall in HALLS:
-            for number in range(HEADS_OF_A_HALL):
-                names = [f"{hall}-{number}-{rank}" for rank in (0, 1)]
-                put_group(self.directory, f"{hall}-{number}", SMALL, names, data_centre=hall)
+        for data_centre in DATA_CENTRES:
+            for number in range(LEADERS_PER_DATA_CENTRE):
+                names = [f"{data_centre}-{number}-{rank}" for rank in (0, 1)]
+                put_group(
+                    self.directory, f"{data_centre}-{number}", SMALL, names, data_centre=data_centre
+                )
 
     def choose(self, now_s: float, tried: Container[HostId] = ()) -> Endpoint:
-        """Return the endpoint that a request gets."""
-        chosen = self.selector.choose(WANTED, CONFIGURATION, tried, now_s)
+        """Return the endpoint that is selected for a request."""
+        chosen = self.selector.choose(REQUIREMENTS, CONFIGURATION, tried, now_s)
         assert chosen is not None
         return chosen
 
-    def head(self, hall: DataCentreId, number: int) -> Endpoint:
+    def leader(self, data_centre: DataCentreId, number: int) -> Endpoint:
         """Return a leader."""
-        return self.directory.by_id[HostId(f"{hall}-{number}-0")]
+        return self.directory.by_id[HostId(f"{data_centre}-{number}-0")]
 
-    def lose(self, hall: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
-        """Fail to connect to some leaders."""
+    def fail_to_connect(self, data_centre: DataCentreId, *numbers: int, now_s: float = 0.0) -> None:
+        """Record failures to connect to some leaders."""
         for number in numbers:
-            self.reachability.on_failure(self.head(hall, number), now_s)
+            self.reachability.on_failure(self.leader(data_centre, number), now_s)
 
 
-class TestCut(unittest.TestCase):
+class TestCutOffDataCentre(unittest.TestCase):
     """A data centre that is cut off."""
 
     def setUp(self) -> None:
-        self.host = Host()
+        self.host = EntryHostModel()
 
-    def test_through_a_cut_two_requests_wait_for_a_connection(self) -> None:
-        waited = 0
+    def test_only_few_requests_wait_for_a_connection_during_a_partition(self) -> None:
+        delayed = 0
         pending: list[tuple[float, Endpoint]] = []
-        for number in range(int(CUT_S * REQUESTS_PER_S)):
+        for number in range(int(CUT_DURATION_S * REQUESTS_PER_S)):
             now_s = number / REQUESTS_PER_S
             while pending and pending[0][0] <= now_s:
                 failed_s, endpoint = pending.pop(0)
                 self.host.reachability.on_failure(endpoint, failed_s)
             for endpoint in self.host.reachability.take_due_probes(now_s):
-                self.assertEqual(endpoint.data_centre, CUT_OFF)  # It fails as the requests do.
+                self.assertEqual(endpoint.data_centre, CUT_OFF)  # Probes fail, as the requests do.
             endpoint = self.host.choose(now_s)
             self.host.selector.begin(endpoint.id)
             if endpoint.data_centre == CUT_OFF:
-                waited += 1
+                delayed += 1
                 self.host.selector.end(endpoint.id)
-                pending.append((now_s + CONNECT_LIMIT_S, endpoint))
-        self.assertGreater(waited, 0)
-        self.assertLessEqual(waited, REQUESTS_PER_S * CONNECT_LIMIT_S + ENDPOINTS_OF_A_CUT)
+                pending.append((now_s + CONNECT_TIMEOUT_S, endpoint))
+        self.assertGreater(delayed, 0)
+        self.assertLessEqual(delayed, REQUESTS_PER_S * CONNECT_TIMEOUT_S + CUT_OFF_THRESHOLD)
 
-    def test_one_lost_endpoint_leaves_the_others_in_use(self) -> None:
-        self.host.lose(CUT_OFF, 0)
+    def test_one_unreachable_endpoint_leaves_the_others_in_use(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
-        self.assertTrue(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 0)))
-        self.assertFalse(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 1)))
+        self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
+        self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 1)))
 
-    def test_two_that_fail_long_after_each_other_are_no_cut(self) -> None:
-        self.host.lose(CUT_OFF, 0)
-        self.host.lose(CUT_OFF, 1, now_s=FAILURE_COUNTS_S + 0.1)
+    def test_two_failures_long_after_each_other_do_not_cut_off_a_data_centre(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0)
+        self.host.fail_to_connect(CUT_OFF, 1, now_s=FAILURE_WINDOW_S + 0.1)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
 
-    def test_a_domain_that_goes_dark_is_no_cut_once_another_endpoint_answers_a_probe(self) -> None:
-        self.host.lose(CUT_OFF, 0, 1)
-        self.assertTrue(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 5)))
+    def test_a_data_centre_is_not_cut_off_once_another_endpoint_answers_a_probe(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0, 1)
+        self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
         probed = self.host.reachability.take_due_probes(0.0)
-        lost = {self.host.head(CUT_OFF, number).id for number in (0, 1)}
+        lost = {self.host.leader(CUT_OFF, number).id for number in (0, 1)}
         self.assertTrue(lost.isdisjoint(endpoint.id for endpoint in probed))
         self.host.reachability.on_connected(probed[0], 0.01)
-        self.assertFalse(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 5)))
-        self.assertTrue(self.host.reachability.is_avoided(self.host.head(CUT_OFF, 0)))
+        self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
+        self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
 
-    def test_the_end_of_a_cut_is_seen_by_the_next_round_of_probes(self) -> None:
-        self.host.lose(CUT_OFF, 0, 1)
+    def test_the_end_of_a_partition_is_detected_by_the_next_round_of_probes(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, 0, 1)
         self.host.reachability.take_due_probes(0.0)
-        self.assertEqual(self.host.reachability.take_due_probes(CUT_PROBE_PAUSE_S / 2), [])
-        for endpoint in self.host.reachability.take_due_probes(CUT_PROBE_PAUSE_S):
-            self.host.reachability.on_connected(endpoint, CUT_PROBE_PAUSE_S)
+        self.assertEqual(self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S / 2), [])
+        for endpoint in self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S):
+            self.host.reachability.on_connected(endpoint, CUT_OFF_PROBE_INTERVAL_S)
         self.assertFalse(self.host.reachability.is_cut_off(CUT_OFF))
-        due = self.host.reachability.take_due_probes(CUT_PROBE_PAUSE_S + PROBE_PAUSE_S)
+        due = self.host.reachability.take_due_probes(CUT_OFF_PROBE_INTERVAL_S + PROBE_INTERVAL_S)
         for endpoint in due:
             self.host.reachability.on_connected(endpoint, 1.0)
         self.assertEqual(self.host.reachability.take_due_probes(10.0), [])
 
-    def test_a_host_that_reaches_nobody_still_sends_to_someone(self) -> None:
-        for hall in HALLS:
-            self.host.lose(hall, *range(HEADS_OF_A_HALL))
+    def test_a_host_that_reaches_no_endpoint_still_selects_one(self) -> None:
+        for data_centre in DATA_CENTRES:
+            self.host.fail_to_connect(data_centre, *range(LEADERS_PER_DATA_CENTRE))
         self.host.choose(0.0)
 
-    def test_what_is_no_longer_listed_is_forgotten(self) -> None:
-        self.host.lose(CUT_OFF, *range(HEADS_OF_A_HALL))
+    def test_endpoints_that_are_no_longer_listed_are_not_probed(self) -> None:
+        self.host.fail_to_connect(CUT_OFF, *range(LEADERS_PER_DATA_CENTRE))
         for endpoint in list(self.host.directory.by_id.values()):
             if endpoint.data_centre == CUT_OFF:
                 self.host.directory.remove(endpoint.id)
@@ -141,16 +144,16 @@
     def test_once_every_probe_is_answered_nothing_is_avoided(
         self, events: list[tuple[int, bool, float]]
     ) -> None:
-        host, now_s = Host(), 0.0
+        host, now_s = EntryHostModel(), 0.0
         for number, is_reached, pause_s in events:
             now_s += pause_s
             if is_reached:
-                host.reachability.on_connected(host.head(CUT_OFF, number), now_s)
+                host.reachability.on_connected(host.leader(CUT_OFF, number), now_s)
             else:
-                host.lose(CUT_OFF, number, now_s=now_s)
+                host.fail_to_connect(CUT_OFF, number, now_s=now_s)
         for _ in range(2):
-            now_s += PROBE_PAUSE_S
+            now_s += PROBE_INTERVAL_S
             for endpoint in host.reachability.take_due_probes(now_s):
                 host.reachability.on_connected(endpoint, now_s)
-        heads = (host.head(CUT_OFF, number) for number in range(HEADS_OF_A_HALL))
-        self.assertFalse(any(host.reachability.is_avoided(head) for head in heads))
+        leaders = (host.leader(CUT_OFF, number) for number in range(LEADERS_PER_DATA_CENTRE))
+        self.assertFalse(any(host.reachability.is_avoided(leader) for leader in leaders))
