--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -20,9 +20,9 @@
     Mutation(
         "lease: a conflict ends the holding",
         "leases",
-        '''        """Take in that someone else wrote: nothing is held until the record is read."""
+        '''        """Process a write conflict: the lease counts as lost until it is re-read."""
         self._held_until_s = float("-inf")''',
-        '''        """Take in that someone else wrote: nothing is held until the record is read."""
+        '''        """Process a write conflict: the lease counts as lost until it is re-read."""
         self._held_until_s += self._timing.duration_s''',
         "test_leases",
     ),
@@ -219,7 +219,7 @@
     Mutation(
         "lease: the last holder renews at once after an outage",
         "leases",
-        "self._next_step_s = now_s  # It renews at once, as it may hold the lease no longer.",
+        "self._next_step_s = now_s  # Renew immediately, as the lease may have expired.",
         "pass",
         "test_leases",
     ),
--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -20,7 +20,7 @@
     Mutation(
         "coordinator: orders that wait end with the lease",
         "background",
-        "await trio.lowlevel.checkpoint()  # One that was cancelled does not begin.",
+        "await trio.lowlevel.checkpoint()  # Do not begin a cancelled task.",
         "pass",
         "test_slow_engines",
     ),
--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -27,7 +27,7 @@
     Mutation(
         "gate: closed after a failed call",
         "fleet",
-        "self._suspected_s[group_id] = now_s",
+        "self._call_failed_s[group_id] = now_s",
         "pass",
         "test_placement",
     ),
@@ -62,7 +62,7 @@
     Mutation(
         "loss: the coordinator's own probes count",
         "coordinators",
-        "        self._sum_up_closed()\n",
+        "        self._aggregate_closed_groups()\n",
         "",
         "test_coordinators",
     ),
@@ -97,7 +97,7 @@
     Mutation(
         "placement: a blind coordinator gives nothing up",
         "placement",
-        "if not _anyone_seen(fleet, now_s, self.timing.freshness_s):",
+        "if not _has_fresh_observation(fleet, now_s, self.timing.freshness_s):",
         "if False:",
         "test_placement",
     ),
--- a/yewloom/background.py
+++ b/yewloom/background.py
@@ -1,6 +1,7 @@
-"""Tasks that a loop starts and goes on without.
+"""Background tasks that a loop starts without waiting for them.
 
-The coordinator gives its orders this way, so that a dead engine's answer holds up no other order.
+The coordinator sends its orders this way, so that an engine that does not answer delays no order to
+another engine.
 """
 
 from collections.abc import Awaitable, Callable, Hashable
@@ -9,14 +10,14 @@
 
 
 class BackgroundTasks:
-    """Runs at most one task for each key beside a loop; a nursery of the loop's holds them."""
+    """Runs at most one background task per key in the loop's nursery."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
         self._running: dict[Hashable, trio.CancelScope] = {}
 
     def start(self, key: Hashable, task: Callable[[], Awaitable[None]]) -> bool:
-        """Start a task unless one runs for its key; tell whether it was started."""
+        """Start a task unless one is running for its key; return whether it was started."""
         if key in self._running:
             return False
         self._running[key] = trio.CancelScope()
@@ -24,14 +25,14 @@
         return True
 
     def cancel_all(self) -> None:
-        """Cancel the tasks that run."""
+        """Cancel all running tasks."""
         for scope in self._running.values():
             scope.cancel()
 
     async def _run(self, key: Hashable, task: Callable[[], Awaitable[None]]) -> None:
         try:
             with self._running[key]:
-                await trio.lowlevel.checkpoint()  # One that was cancelled does not begin.
+                await trio.lowlevel.checkpoint()  # Do not begin a cancelled task.
                 await task()
         finally:
             del self._running[key]
--- a/yewloom/coordinator_records.py
+++ b/yewloom/coordinator_records.py
@@ -1,4 +1,4 @@
-"""The two records of a data centre's coordinator: its lease, and the placement of its groups."""
+"""Platform records of a data centre's coordinator: its lease and the placement of its groups."""
 
 import uuid
 
@@ -24,11 +24,11 @@
 logger = structlog.get_logger(__name__)
 
 WRITE_TIMEOUT_S = 2.0
-"""Longest time for which a write of unknown effect is sent again before the record is read."""
+"""Longest time to retry a write whose outcome is unknown before the record is read again."""
 
 
 class LeaseRecord:
-    """Keeps the coordinator's lease: reads, takes and renews its record."""
+    """Reads, acquires and renews the record of the coordinator's lease."""
 
     def __init__(
         self, settings: EntrySettings, platform: Platform, stale_platform: Platform
@@ -44,11 +44,11 @@
         return self._keeper.term
 
     def holds(self) -> bool:
-        """Tell whether this host holds the lease now."""
+        """Return whether this host holds the lease now."""
         return self._keeper.holds(trio.current_time())
 
-    async def keep(self) -> None:
-        """Take the step that is due, if any."""
+    async def run_due_action(self) -> None:
+        """Read or write the lease record if that is due."""
         now_s = trio.current_time()
         match self._keeper.next_action(now_s, AttemptId(uuid.uuid4().hex)):
             case ReadLease():
@@ -59,7 +59,7 @@
                 return
 
     async def release(self) -> None:
-        """Give the lease up before a planned stop, if this host holds it."""
+        """Release the lease before a planned stop, if this host holds it."""
         released = self._keeper.release(AttemptId(uuid.uuid4().hex), trio.current_time())
         if released is not None:
             await self._write(released.lease, released.expected_version)
@@ -67,17 +67,17 @@
     async def _read(self) -> None:
         match await self._stale_platform.get(self._key):
             case Ok(stored):
-                self._take(stored)
+                self._apply_read(stored)
             case Err(error):
-                logger.info("lease not read", reason=str(error))
+                logger.info("failed to read lease record", reason=str(error))
                 self._keeper.on_failed(trio.current_time())
 
-    def _take(self, stored: StoredObject | None) -> None:
+    def _apply_read(self, stored: StoredObject | None) -> None:
         now_s = trio.current_time()
         try:
             lease = parse_record(stored, Lease()) if stored is not None else None
         except RecordError as error:
-            logger.error("record unreadable", reason=str(error))
+            logger.error("cannot decode lease record", reason=str(error))
             lease = Lease()
         self._keeper.on_read(lease, stored.version if stored is not None else 0, now_s)
 
@@ -95,10 +95,10 @@
             case Ok(stored):
                 self._keeper.on_written(lease, stored.version, sent_s, trio.current_time())
             case Err(error):
-                logger.info("lease not written", reason=str(error))
-                self._note_failure(error)
+                logger.info("failed to write lease record", reason=str(error))
+                self._on_write_failed(error)
 
-    def _note_failure(self, error: WriteError) -> None:
+    def _on_write_failed(self, error: WriteError) -> None:
         now_s = trio.current_time()
         match error:
             case WriteConflict():
@@ -110,7 +110,7 @@
 
 
 class PlacementRecord:
-    """The placement as last read or written; ``current`` is None until it is read anew."""
+    """The placement record as last read or written; ``current`` is None until it is read again."""
 
     def __init__(self, data_centre: DataCentreId, platform: Platform) -> None:
         self._data_centre = data_centre
@@ -120,31 +120,31 @@
         self.current: Placement | None = None
 
     def forget(self) -> None:
-        """Drop what is known, as another host may have written since."""
+        """Discard the cached record, as another host may have written a newer one."""
         self.current = None
 
     async def read(self) -> bool:
-        """Read the record; tell whether it is known then."""
+        """Read the record; return whether that succeeded."""
         match await self._platform.get(self._key):
             case Ok(stored):
-                return self._take(stored)
+                return self._apply_read(stored)
             case Err(error):
-                logger.info("placement not read", reason=str(error))
+                logger.info("failed to read placement record", reason=str(error))
         return False
 
-    def _take(self, stored: StoredObject | None) -> bool:
+    def _apply_read(self, stored: StoredObject | None) -> bool:
         if stored is None:
             self.current, self._version = Placement(data_centre=self._data_centre), 0
             return True
         try:
             self.current, self._version = parse_record(stored, Placement()), stored.version
         except RecordError as error:
-            logger.error("record unreadable", reason=str(error))
+            logger.error("cannot decode placement record", reason=str(error))
             return False
         return True
 
     async def write(self, record: Placement) -> bool:
-        """Write the next record in place of the current one; tell whether it stands."""
+        """Replace the current record; return whether the write took effect."""
         attempt = uuid.uuid4().hex
         record.attempt_id = attempt
         written = await write_settled(
@@ -160,6 +160,6 @@
                 self.current, self._version = record, stored.version
                 return True
             case Err(error):
-                logger.info("placement not written", reason=str(error))
+                logger.info("failed to write placement record", reason=str(error))
                 self.forget()
         return False
--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -1,8 +1,9 @@
-"""The coordinator of a data centre: holds the lease, writes the placement, gives orders.
+"""The coordinator of a data centre: holds the lease, writes the placement and sends orders.
 
-Every entry host runs this; it acts only while it holds the lease. All that it does is safe when
-two do it at once: the placement changes by conditional update, and orders carry fences or, for
-engines that check none, go out only within the lease less its margin.
+Every entry host runs a coordinator, which acts only while it holds the lease. Its actions are safe
+even if two coordinators act at once: the placement is changed by conditional update, and orders
+carry fences. Orders to engines that do not check fences are sent only until the lease duration
+less its margin has elapsed.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,7 +33,7 @@
 
 
 class Coordinator:
-    """Coordinates the groups of one data centre while its lease holds."""
+    """Coordinates the groups of one data centre while this host holds the lease."""
 
     def __init__(
         self,
@@ -50,59 +51,59 @@
         self._writer = EntryHostId(f"{node.id}/{node.membership.me.incarnation}")
         self._lease = LeaseKeeper(self._writer, lease_timing(node.settings.lease))
         self._planner = Planner(self._writer, _placement_timing(node))
-        self._listed: dict[HostId, Host] | None = None
+        self._listed_hosts: dict[HostId, Host] | None = None
         self._version = 0
-        self._is_current = False
+        self._is_placement_current = False
         self._was_holding = False
-        self._hosts_due_s = float("-inf")
+        self._next_hosts_read_s = float("-inf")
         self._balancer = ShareBalancer(node, platform, new_attempt)
-        # Asked when it is read: a process that was paused lost the lease before its tasks run.
+        # Evaluated at scrape time: after a pause, the lease has lapsed before any task runs again.
         node.metrics.is_coordinator.set_function(lambda: self.is_holding)
 
     @property
     def is_holding(self) -> bool:
-        """Tell whether this entry host may coordinate now."""
+        """Return whether this entry host holds the lease now."""
         return self._lease.holds(trio.current_time())
 
     async def run(self) -> None:
-        """Keep the lease and coordinate until cancelled."""
+        """Maintain the lease and coordinate until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._keep_lease)
             nursery.start_soon(self._coordinate)
 
     def release(self) -> None:
-        """Stop coordinating, before a planned stop; the record is left to lapse."""
+        """Stop coordinating before a planned stop; the lease record is left to expire."""
         self._lease.release(self._new_attempt(), trio.current_time())
 
     async def _keep_lease(self) -> None:
         step_s = self._node.settings.lease.renew_interval_ms / 4000
         while True:
             if self._has_duty():
-                await self._run_step(self._step_lease)
-            self._tell_change()
+                await self._run_step(self._run_lease_action)
+            self._on_holding_changed()
             await trio.sleep(step_s)
 
     async def _run_step(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Run one step; a record that can't be decoded must not end the daemon."""
+        """Run one step; a record that cannot be decoded must not terminate the daemon."""
         try:
             await step()
         except RecordError as error:
-            logger.error("object unreadable", reason=str(error))
+            logger.error("cannot decode platform record", reason=str(error))
 
     def _has_duty(self) -> bool:
-        """Tell whether to keep an eye on the lease; a holder goes on until its lease ends."""
+        """Return whether to act on the lease; a holder continues until its lease expires."""
         now_s, membership = trio.current_time(), self._node.membership
         is_chosen = membership.has_platform_duty(COORDINATE_DUTY, COORDINATE_COUNT, now_s)
         return not self._node.work.is_leaving and (is_chosen or self.is_holding)
 
-    async def _step_lease(self) -> None:
+    async def _run_lease_action(self) -> None:
         key = f"{LEASE_PREFIX}{self._node.data_centre}"
         sent_s = trio.current_time()
         match self._lease.next_action(sent_s, self._new_attempt()):
             case ReadLease():
                 match await self._platform.get(key):
                     case Ok(stored):
-                        self._take_in_lease(stored)
+                        self._apply_read_lease(stored)
             case WriteLease(record, version):
                 await self._write_lease(key, record, version, sent_s)
 
@@ -121,77 +122,80 @@
             case Err(WriteConflict()):
                 self._lease.on_conflict()
 
-    def _take_in_lease(self, stored: StoredObject | None) -> None:
+    def _apply_read_lease(self, stored: StoredObject | None) -> None:
         record = _parse_lease(stored) if stored is not None else None
         version = stored.version if stored is not None else 0
         self._lease.on_read(record, version, trio.current_time())
 
-    def _tell_change(self) -> None:
+    def _on_holding_changed(self) -> None:
         holds = self.is_holding
         if holds != self._was_holding:
             self._was_holding = holds
-            self._is_current = False
+            self._is_placement_current = False
             logger.info("lease changed", is_holding=holds, term=self._lease.term)
 
     async def _coordinate(self) -> None:
         interval_s = self._node.settings.groups.probe_interval_ms / 1000
         while True:
             if self.is_holding:
-                await self._run_step(self._round)
+                await self._run_step(self._coordinate_once)
             await trio.sleep(interval_s)
 
-    async def _round(self) -> None:
-        """Look at the fleet, change the placement where needed, and give due orders."""
-        if not self._is_current and not await self._read_placement():
+    async def _coordinate_once(self) -> None:
+        """Observe the fleet, update the placement if needed, and send the orders that are due."""
+        if not self._is_placement_current and not await self._read_placement():
             return
         await self._read_hosts()
-        await self._observer.probe_members(self._unobserved())
-        self._sum_up_closed()
+        await self._observer.probe_members(self._members_to_probe())
+        self._aggregate_closed_groups()
         plan = self._plan()
         if plan.placement is not None and self.is_holding:
             await self._write_placement(plan)
         if self.is_holding:
-            await self._give_orders()
+            await self._send_orders()
         if self.is_holding:
-            await self._balancer.run_if_due((self._listed or {}).values())
+            await self._balancer.run_if_due((self._listed_hosts or {}).values())
 
     async def _read_placement(self) -> bool:
-        """Read the record itself: what exchange brought may be behind it."""
+        """Read the record from the platform, as the copy received from peers may be outdated."""
         match await self._platform.get(self._key):
             case Ok(stored):
                 self._version = stored.version if stored is not None else 0
                 if stored is not None:
                     take_in_object(self._node, stored)
-                self._is_current = True
+                self._is_placement_current = True
                 return True
             case Err(error):
-                logger.warning("placement not read", reason=str(error))
+                logger.warning("failed to read placement record", reason=str(error))
         return False
 
     async def _read_hosts(self) -> None:
         now_s = trio.current_time()
-        if now_s < self._hosts_due_s:
+        if now_s < self._next_hosts_read_s:
             return
-        self._hosts_due_s = now_s + self._node.settings.platform.hosts_interval_ms / 1000
+        self._next_hosts_read_s = now_s + self._node.settings.platform.hosts_interval_ms / 1000
         match await self._platform.hosts(self._node.data_centre):
             case Ok(hosts):
-                self._listed = {HostId(host.id): host for host in hosts}
+                self._listed_hosts = {HostId(host.id): host for host in hosts}
             case Err(error):
-                logger.warning("host list not read", reason=str(error))
+                logger.warning("failed to read host list", reason=str(error))
 
-    def _unobserved(self) -> list[GroupMember]:
-        """Return the engines in no group, and the members of groups that do not serve."""
+    def _members_to_probe(self) -> list[GroupMember]:
+        """Return the engines that are in no group, and the members of groups that are not open."""
         placement, now_s = self._placement, trio.current_time()
         members = [
             m for g in placement.groups if not self._node.fleet.is_open(g, now_s) for m in g.members
         ]
         taken = {member.host_id for group in placement.groups for member in group.members}
-        listed = (self._listed or {}).values()
+        listed = (self._listed_hosts or {}).values()
         free = [h for h in listed if not (h.service or h.is_entry_host or h.id in taken)]
         return members + [GroupMember(host_id=host.id, address=host.address) for host in free]
 
-    def _sum_up_closed(self) -> None:
-        """Sum up the groups that do not serve, as the observers of one may be gone or cut off."""
+    def _aggregate_closed_groups(self) -> None:
+        """Aggregate own probes of groups that are not open.
+
+        The observers of such a group may have stopped or be partitioned.
+        """
         now_s = trio.current_time()
         for group in self._placement.groups:
             if group.members and not self._node.fleet.is_open(group, now_s):
@@ -199,7 +203,7 @@
 
     def _plan(self) -> Plan:
         state = FleetState(
-            listed=self._listed,
+            listed=self._listed_hosts,
             hosts=self._node.fleet.hosts,
             groups=self._node.fleet.group_observations,
             policies=self._node.table.policies(),
@@ -223,8 +227,8 @@
                 exchange.apply_placements(self._node, [placement])
                 self._log_plan(plan)
             case Err(error):
-                self._is_current = False
-                logger.warning("placement not written", reason=str(error))
+                self._is_placement_current = False
+                logger.warning("failed to write placement record", reason=str(error))
 
     def _log_plan(self, plan: Plan) -> None:
         for decision in plan.decisions:
@@ -237,20 +241,20 @@
                 reason=decision.reason,
             )
 
-    async def _give_orders(self) -> None:
+    async def _send_orders(self) -> None:
         due = due_orders(
             self._placement,
             self._node.fleet.group_observations,
             self._node.fleet.hosts,
-            self._listed or {},
+            self._listed_hosts or {},
             self._node.settings.groups.max_loading,
         )
         async with trio.open_nursery() as nursery:
             for entry in due:
-                nursery.start_soon(self._give_order, entry)
+                nursery.start_soon(self._send_order, entry)
 
-    async def _give_order(self, entry: DueOrder) -> None:
-        """Send one order; to an engine that checks no fence only while the lease holds."""
+    async def _send_order(self, entry: DueOrder) -> None:
+        """Send one order; an engine that does not check fences gets it only under the lease."""
         if not entry.checks_fences and not self.is_holding:
             return
         timeout_s = self._node.settings.lease.margin_ms / 1000
--- a/yewloom/drafts.py
+++ b/yewloom/drafts.py
@@ -1,4 +1,4 @@
-"""Drafts of a data centre's next placement: single changes, and the rules that always hold."""
+"""Drafts of a data centre's next placement: its single changes and its invariants."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -12,7 +12,7 @@
 
 
 class PlacementChange(Enum):
-    """Kind of a placement decision."""
+    """Kind of change to a placement."""
 
     FORM = "form"
     DRAIN = "drain"
@@ -24,7 +24,7 @@
 
 @value_class
 class PlacementDecision:
-    """One decision with its reason, for the log."""
+    """A change to a placement with its reason, for the log."""
 
     change: PlacementChange
     group_id: GroupId
@@ -35,27 +35,30 @@
 
 @value_class
 class Plan:
-    """A proposed placement and the decisions in it; ``placement`` is None if nothing changes."""
+    """A proposed placement and its decisions; ``placement`` is None if nothing changes."""
 
     placement: Placement | None
     decisions: tuple[PlacementDecision, ...] = ()
 
 
 class PlacementError(Exception):
-    """A placement record breaks a rule that must always hold."""
+    """A placement record violates an invariant."""
 
 
 def check_placement(placement: Placement) -> None:
-    """Raise PlacementError if a host is in two groups or a generation is too high."""
+    """Raise PlacementError if a host is in two groups, an id repeats, or a generation is too high.
+
+    No group's generation may exceed that of the record.
+    """
     hosts = Counter(member.host_id for group in placement.groups for member in group.members)
-    doubled = [host for host, count in hosts.items() if count > 1]
-    if doubled:
-        raise PlacementError(f"hosts in two groups: {', '.join(sorted(doubled))}")
+    duplicates = [host for host, count in hosts.items() if count > 1]
+    if duplicates:
+        raise PlacementError(f"hosts in more than one group: {', '.join(sorted(duplicates))}")
     ids = Counter(group.id for group in placement.groups)
     if any(count > 1 for count in ids.values()):
-        raise PlacementError("two groups have the same id")
+        raise PlacementError("duplicate group id")
     if any(group.generation > placement.generation for group in placement.groups):
-        raise PlacementError("a group's generation is above the record's")
+        raise PlacementError("a group's generation exceeds the record's generation")
 
 
 class Draft:
@@ -69,17 +72,17 @@
         self._next.writer = writer
         self._next.attempt_id = attempt
         self._decisions: list[PlacementDecision] = []
-        self._formed = 0
+        self._formed_count = 0
 
     @property
     def groups(self) -> Sequence[Group]:
-        """All groups, with those that wait for a replacement."""
+        """All groups, including placeholders of lost groups that await a replacement."""
         return self._next.groups
 
     def formed_groups(
         self, intent: GroupIntent | None = None, policy: PolicyName | None = None
     ) -> list[Group]:
-        """Return the groups that have members, of one intent and policy if given."""
+        """Return the groups that have members, filtered by intent and policy if given."""
         return [
             group
             for group in self._next.groups
@@ -88,8 +91,8 @@
             and (policy is None or group.policy == policy)
         ]
 
-    def waiting_groups(self, policy: PolicyName | None = None) -> list[Group]:
-        """Return the lost groups that wait for a replacement."""
+    def groups_to_replace(self, policy: PolicyName | None = None) -> list[Group]:
+        """Return the placeholders of lost groups that await a replacement."""
         return [
             group
             for group in self._next.groups
@@ -97,18 +100,18 @@
             and (policy is None or group.policy == policy)
         ]
 
-    def taken_hosts(self) -> set[HostId]:
-        """Return the hosts that are in a group."""
+    def assigned_hosts(self) -> set[HostId]:
+        """Return the hosts that are members of a group."""
         return {HostId(m.host_id) for group in self._next.groups for m in group.members}
 
     def form(self, policy_name: PolicyName, policy: PolicyRow, hosts: Sequence[Host]) -> None:
-        """Form a group; it takes the place of a lost one of its policy, if there is one."""
-        waiting = self.waiting_groups(policy_name)
+        """Form a group; it replaces a lost group of the same policy, if there is one."""
+        waiting = self.groups_to_replace(policy_name)
         if waiting:
             self._next.groups.remove(waiting[0])
-        self._formed += 1
+        self._formed_count += 1
         generation = self._next.generation
-        group_id = f"{policy_name}-{self._next.data_centre}-{generation}-{self._formed}"
+        group_id = f"{policy_name}-{self._next.data_centre}-{generation}-{self._formed_count}"
         members = [GroupMember(host_id=host.id, address=host.address) for host in hosts]
         group = Group(
             id=group_id,
@@ -121,30 +124,30 @@
         )
         self._next.groups.append(group)
         reason = "replaces a lost group" if waiting else "free hosts"
-        self._decide(PlacementChange.FORM, group, reason)
+        self._record_decision(PlacementChange.FORM, group, reason)
 
     def drain(self, group: Group, reason: str, replace: bool) -> None:
-        """Stop new work for a group; its replacement may form at once."""
+        """Stop routing new work to a group; its replacement may be formed immediately."""
         group.intent = GroupIntent.DRAINING.value
-        self._decide(PlacementChange.DRAIN, group, reason)
+        self._record_decision(PlacementChange.DRAIN, group, reason)
         if replace:
-            self._wait_for_replacement(group)
+            self._add_replacement(group)
 
     def lose(self, group: Group, reason: str) -> None:
-        """Give a group up; one that was not yet being replaced waits for a replacement."""
-        self._decide(PlacementChange.LOSE, group, reason)
+        """Remove a lost group; one that was active awaits a replacement."""
+        self._record_decision(PlacementChange.LOSE, group, reason)
         if group.intent == GroupIntent.ACTIVE.value:
-            self._wait_for_replacement(group)
+            self._add_replacement(group)
         self._next.groups.remove(group)
 
     def dissolve(self, group: Group, reason: str) -> None:
         """Remove a drained group."""
-        self._decide(PlacementChange.DISSOLVE, group, reason)
+        self._record_decision(PlacementChange.DISSOLVE, group, reason)
         self._next.groups.remove(group)
 
     def forget(self, group: Group) -> None:
-        """Drop a lost group whose policy is gone."""
-        self._decide(PlacementChange.FORGET, group, "its policy is gone")
+        """Remove the placeholder of a lost group whose policy was deleted."""
+        self._record_decision(PlacementChange.FORGET, group, "its policy was deleted")
         self._next.groups.remove(group)
 
     def list_services(self, services: Iterable[ServiceEndpoint]) -> None:
@@ -164,13 +167,13 @@
         )
 
     def finish(self) -> Plan:
-        """Check the draft and return it as a plan."""
+        """Validate the draft and return it as a plan."""
         if not self._decisions:
             return Plan(None)
         check_placement(self._next)
         return Plan(self._next, tuple(self._decisions))
 
-    def _wait_for_replacement(self, group: Group) -> None:
+    def _add_replacement(self, group: Group) -> None:
         self._next.groups.append(
             Group(
                 id=f"{group.id}-lost",
@@ -181,7 +184,7 @@
             )
         )
 
-    def _decide(self, change: PlacementChange, group: Group, reason: str) -> None:
+    def _record_decision(self, change: PlacementChange, group: Group, reason: str) -> None:
         hosts = tuple(HostId(member.host_id) for member in group.members)
         self._decisions.append(
             PlacementDecision(change, GroupId(group.id), group.generation, reason, hosts)
--- a/yewloom/fleet.py
+++ b/yewloom/fleet.py
@@ -1,7 +1,8 @@
-"""What one entry host knows of the whole fleet: placements, endpoints and groups.
+"""One entry host's view of the whole fleet: placements, endpoints and groups.
 
-Joins own probes with what peers report. Times are seconds of the own monotonic clock; a peer's
-report of an age is counted from before the peer was asked, so its age is never understated.
+Merges this host's own probes with reports from peers. Times are seconds of the local monotonic
+clock. The age in a peer's report is counted from before the peer was queried, so it is never
+understated.
 """
 
 from collections.abc import Iterable, Iterator
@@ -20,7 +21,7 @@
 
 
 class Fleet:
-    """Placements of all data centres and the newest observations of their endpoints."""
+    """Placements of all data centres and the latest observations of their endpoints."""
 
     def __init__(self, freshness_s: float, give_up_s: float) -> None:
         self._freshness_s = freshness_s
@@ -29,23 +30,23 @@
         self._hosts: dict[HostId, HostObservation] = {}
         self._groups: dict[GroupId, GroupObservation] = {}
         self._services: dict[HostId, HostObservation] = {}
-        self._suspected_s: dict[GroupId, float] = {}
-        self._placed: dict[GroupId, tuple[DataCentreId, Group]] = {}
+        self._call_failed_s: dict[GroupId, float] = {}
+        self._placed_groups: dict[GroupId, tuple[DataCentreId, Group]] = {}
 
     @property
     def hosts(self) -> dict[HostId, HostObservation]:
-        """Observations from own probes of model engines."""
+        """Observations of model engines from this host's own probes."""
         return self._hosts
 
     @property
     def group_observations(self) -> dict[GroupId, GroupObservation]:
-        """The newest observation of each group."""
+        """The latest observation of each group."""
         return self._groups
 
     def apply_placement(self, placement: Placement) -> bool:
-        """Take in a placement if it is newer; tell whether it was.
+        """Apply a placement if it is newer; return whether it was.
 
-        Raises PlacementError if it breaks a rule that must always hold.
+        Raises PlacementError if the placement violates an invariant.
         """
         data_centre = DataCentreId(placement.data_centre)
         current = self._placements.get(data_centre)
@@ -57,18 +58,18 @@
         return True
 
     def placement(self, data_centre: DataCentreId) -> Placement:
-        """Return the placement of a data centre; an empty one if none is known."""
+        """Return the placement of a data centre, or an empty one if none is known."""
         return self._placements.get(data_centre, Placement(data_centre=data_centre))
 
     def placement_versions(self) -> list[PlacementVersion]:
-        """Return the generation known for each data centre."""
+        """Return the known placement generation of each data centre."""
         return [
             PlacementVersion(data_centre=name, generation=placement.generation)
             for name, placement in self._placements.items()
         ]
 
     def newer_placements(self, known: Iterable[PlacementVersion]) -> list[Placement]:
-        """Return the placements that someone with the ``known`` generations lacks."""
+        """Return the placements that are newer than the ``known`` generations."""
         generations = {entry.data_centre: entry.generation for entry in known}
         return [
             placement
@@ -77,28 +78,28 @@
         ]
 
     def groups(self) -> Iterator[tuple[DataCentreId, Group]]:
-        """Yield all groups that have members, with their data centre."""
-        yield from self._placed.values()
+        """Yield all groups that have members, each with its data centre."""
+        yield from self._placed_groups.values()
 
     def group_ids(self) -> set[GroupId]:
         """Return the ids of all groups that have members."""
-        return set(self._placed)
+        return set(self._placed_groups)
 
     def group(self, group_id: GroupId) -> Group | None:
-        """Return a group by its id."""
-        placed = self._placed.get(group_id)
+        """Return a group by its id, or None if it is not placed or has no members."""
+        placed = self._placed_groups.get(group_id)
         return placed[1] if placed is not None else None
 
     def is_open(self, group: Group, now_s: float) -> bool:
-        """Tell whether a group may take new work."""
+        """Return whether a group accepts new work."""
         observation = self._groups.get(GroupId(group.id))
         if not is_open(group, observation, now_s, self._freshness_s):
             return False
-        suspected_s = self._suspected_s.get(GroupId(group.id))
+        suspected_s = self._call_failed_s.get(GroupId(group.id))
         return suspected_s is None or self._groups[GroupId(group.id)].observed_s > suspected_s
 
     def open_groups(self, now_s: float) -> list[tuple[DataCentreId, Group, GroupObservation]]:
-        """Return the groups that may take new work, with their observations."""
+        """Return the groups that accept new work, with their observations."""
         return [
             (data_centre, group, self._groups[GroupId(group.id)])
             for data_centre, group in self.groups()
@@ -108,7 +109,7 @@
     def open_services(
         self, service: str, now_s: float
     ) -> list[tuple[DataCentreId, ServiceEndpoint]]:
-        """Return the endpoints of a plain service that may take new work."""
+        """Return the endpoints of a plain service that accept new work."""
         return [
             (data_centre, endpoint)
             for data_centre, placement in self._placements.items()
@@ -117,49 +118,49 @@
         ]
 
     def on_host_answered(self, host_id: HostId, report: HostReport, asked_s: float) -> None:
-        """Take in a model engine's answer to an own probe."""
+        """Record a model engine's answer to a probe by this host."""
         known = self._hosts.get(host_id, HostObservation())
         if asked_s >= known.asked_s:
             self._hosts[host_id] = known.answered(report, asked_s)
 
     def on_host_failed(self, host_id: HostId, asked_s: float) -> None:
-        """Take in that an own probe of a model engine failed."""
+        """Record that a probe of a model engine by this host failed."""
         known = self._hosts.get(host_id, HostObservation())
         self._hosts[host_id] = known.failed(asked_s, self._give_up_s)
 
     def on_service_answered(self, host_id: HostId, report: HostReport, asked_s: float) -> None:
-        """Take in a plain service's answer to an own probe."""
+        """Record a plain service's answer to a probe by this host."""
         known = self._services.get(host_id, HostObservation())
         if asked_s >= known.asked_s:
             self._services[host_id] = known.answered(report, asked_s)
 
     def on_service_failed(self, host_id: HostId, asked_s: float) -> None:
-        """Take in that an own probe of a plain service failed."""
+        """Record that a probe of a plain service by this host failed."""
         known = self._services.get(host_id, HostObservation())
         self._services[host_id] = known.failed(asked_s, self._give_up_s)
 
     def sum_up(self, group: Group, now_s: float) -> None:
-        """Sum up own probes of a group that this entry host observes."""
+        """Aggregate this host's own probes of a group's members into an observation."""
         self._merge(observe_group(group, self._hosts, now_s, self._give_up_s), now_s)
 
     def on_call_failed(self, group_id: GroupId, now_s: float) -> None:
-        """Close a group after a failed call, until all members are seen again after it."""
-        self._suspected_s[group_id] = now_s
+        """Close a group after a failed call until all members have answered a later probe."""
+        self._call_failed_s[group_id] = now_s
 
     def merge_groups(self, reports: Iterable[GroupReport], asked_s: float) -> None:
-        """Take in a peer's group reports; ``asked_s`` is from before it was asked."""
+        """Merge a peer's group reports; ``asked_s`` is the time before the peer was queried."""
         for report in reports:
-            if report.group_id in self._placed:
+            if report.group_id in self._placed_groups:
                 self._merge(_observation_from(report, asked_s), asked_s)
 
     def merge_services(self, reports: Iterable[ServiceReport], asked_s: float) -> None:
-        """Take in a peer's reports of plain services."""
+        """Merge a peer's reports of plain services."""
         for report in reports:
             seen = HostReport(host_id=report.host_id, leaving=report.leaving)
             self.on_service_answered(HostId(report.host_id), seen, asked_s - report.age_ms / 1000)
 
     def group_reports(self, now_s: float) -> list[GroupReport]:
-        """Return the reports that peers are told, with ages instead of times."""
+        """Return the group reports for peers, with ages instead of times."""
         return [
             _report_from(observation, now_s)
             for observation in self._groups.values()
@@ -167,10 +168,10 @@
         ]
 
     def service_reports(self, now_s: float) -> list[ServiceReport]:
-        """Return the reports of plain services that peers are told."""
+        """Return the reports of plain services for peers."""
         return [
             ServiceReport(
-                host_id=host_id, age_ms=_age_ms(known.asked_s, now_s), leaving=_leaving(known)
+                host_id=host_id, age_ms=_age_ms(known.asked_s, now_s), leaving=_is_leaving(known)
             )
             for host_id, known in self._services.items()
             if known.report is not None
@@ -178,7 +179,7 @@
 
     def _is_service_open(self, endpoint: ServiceEndpoint, now_s: float) -> bool:
         known = self._services.get(HostId(endpoint.host_id))
-        if endpoint.leaving or known is None or _leaving(known):
+        if endpoint.leaving or known is None or _is_leaving(known):
             return False
         return known.is_fresh(now_s, self._freshness_s)
 
@@ -189,24 +190,24 @@
         self._groups[observation.group_id] = observation
 
     def _index_groups(self) -> None:
-        """Index the groups of all placements anew, and forget those that are gone."""
-        self._placed = {
+        """Rebuild the index of all placements' groups, and drop the state of removed groups."""
+        self._placed_groups = {
             GroupId(group.id): (data_centre, group)
             for data_centre, placement in self._placements.items()
             for group in placement.groups
             if group.members
         }
-        for known in (self._groups, self._suspected_s):
-            for group_id in known.keys() - self._placed.keys():
+        for known in (self._groups, self._call_failed_s):
+            for group_id in known.keys() - self._placed_groups.keys():
                 del known[group_id]
 
 
-def _leaving(known: HostObservation) -> bool:
+def _is_leaving(known: HostObservation) -> bool:
     return known.report is not None and known.report.leaving
 
 
 def _age_ms(observed_s: float, now_s: float) -> int:
-    """Return an age rounded up, so that it is never understated."""
+    """Return an age in milliseconds, rounded up so that it is never understated."""
     return int((now_s - observed_s) * 1000) + 1
 
 
--- a/yewloom/formation.py
+++ b/yewloom/formation.py
@@ -1,4 +1,4 @@
-"""Formation of groups: which policy comes next, and which free hosts it gets."""
+"""Formation of groups: selects the next policy and assigns free hosts to it."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
@@ -20,14 +20,14 @@
     hosts: Mapping[HostId, HostObservation],
     free: list[Host],
 ) -> None:
-    """Form groups from free hosts, the policy that is furthest behind first."""
-    stuck: set[PolicyName] = set()
-    while len(stuck) < len(policies):
-        name = _next_policy(draft, policies, stuck)
+    """Form groups from free hosts, starting with the policy that is furthest below its target."""
+    blocked: set[PolicyName] = set()
+    while len(blocked) < len(policies):
+        name = _next_policy(draft, policies, blocked)
         policy = policies[name]
-        chosen = _choose_for(draft, name, policy, free, hosts)
+        chosen = _choose_for_policy(draft, name, policy, free, hosts)
         if not chosen:
-            stuck.add(name)
+            blocked.add(name)
             continue
         draft.form(name, policy, chosen)
         taken = {host.id for host in chosen}
@@ -35,18 +35,18 @@
 
 
 def _next_policy(
-    draft: Draft, policies: Mapping[PolicyName, PolicyRow], stuck: set[PolicyName]
+    draft: Draft, policies: Mapping[PolicyName, PolicyRow], blocked: set[PolicyName]
 ) -> PolicyName:
-    """Return the policy below its least number of groups, or lowest for its weight."""
+    """Return a policy below its minimum of groups, else the one with the fewest for its weight."""
 
     def urgency(name: PolicyName) -> tuple[bool, float, str]:
         count = len(draft.formed_groups(GroupIntent.ACTIVE, name))
         return count >= policies[name].min_groups, count / policies[name].weight, name
 
-    return min((name for name in policies if name not in stuck), key=urgency)
+    return min((name for name in policies if name not in blocked), key=urgency)
 
 
-def _choose_for(
+def _choose_for_policy(
     draft: Draft,
     name: PolicyName,
     policy: PolicyRow,
@@ -58,7 +58,7 @@
         return []
     cached = _hosts_with_weights(policy, hosts)
     preferred = sorted(free, key=lambda host: (HostId(host.id) not in cached, host.id))
-    needed = bool(draft.waiting_groups(name)) or active < policy.min_groups
+    needed = bool(draft.groups_to_replace(name)) or active < policy.min_groups
     kind = policy.WhichOneof("placement")
     placement: Message = getattr(policy, kind) if kind else StrandedPlacement()
     return choose_members(placement, preferred, policy.group_size, needed)
@@ -75,17 +75,17 @@
 
 @singledispatch
 def choose_members(placement: Message, free: Sequence[Host], size: int, needed: bool) -> list[Host]:
-    """Choose the hosts of the next group, or none.
+    """Choose the hosts of the next group; return an empty list if none can be formed.
 
-    ``free`` is in order of preference; ``needed`` says that the group replaces a lost one or
-    that the policy is below its least number of groups.
+    ``free`` is in order of preference; ``needed`` means that the group replaces a lost one or
+    that the policy is below its minimum number of groups.
     """
-    raise TypeError(f"no placement for {type(placement).__name__}")
+    raise TypeError(f"unsupported placement strategy: {type(placement).__name__}")
 
 
 @choose_members.register
 def _(placement: DowntimePlacement, free: Sequence[Host], size: int, needed: bool) -> list[Host]:
-    """Form within one fabric domain; leave spares there unless the group is needed."""
+    """Use one fabric domain; leave spare hosts in it unless the group is needed."""
     spare = 0 if needed else placement.spare_hosts
     domains = [hosts for hosts in _by_domain(free) if len(hosts) >= size + spare]
     return max(domains, key=len)[:size] if domains else []
@@ -93,15 +93,15 @@
 
 @choose_members.register
 def _(placement: StrandedPlacement, free: Sequence[Host], size: int, needed: bool) -> list[Host]:
-    """Fill the domains with the least left over first, then join leftovers if allowed."""
+    """Use the smallest domain that suffices, else hosts of several domains if allowed."""
     domains = _by_domain(free)
-    whole = [hosts for hosts in domains if len(hosts) >= size]
-    if whole:
-        return min(whole, key=len)[:size]
+    large_enough = [hosts for hosts in domains if len(hosts) >= size]
+    if large_enough:
+        return min(large_enough, key=len)[:size]
     if not placement.cross_domain or len(free) < size:
         return []
-    joined = [host for hosts in sorted(domains, key=len, reverse=True) for host in hosts]
-    return joined[:size]
+    combined = [host for hosts in sorted(domains, key=len, reverse=True) for host in hosts]
+    return combined[:size]
 
 
 def _by_domain(free: Sequence[Host]) -> list[list[Host]]:
--- a/yewloom/groups.py
+++ b/yewloom/groups.py
@@ -1,7 +1,7 @@
-"""Groups of hosts that hold one replica: what was observed of them, and when they may serve.
+"""Groups of hosts that form one replica: observations of them, and when they may serve.
 
-The placement record is the intent; the members' own reports are the truth. A group takes new work
-only while every member was seen within the freshness bound and reports this group in this
+The placement record holds the intent; the members' own reports are authoritative. A group accepts
+new work only while every member answered within the freshness bound and reports this group in this
 generation. Times are seconds of the caller's monotonic clock.
 """
 
@@ -16,17 +16,18 @@
 NEVER_S = float("-inf")
 
 PROBED_SHARE = 0.5
-"""Part of the bound for giving up within which failed probes were sent: a prober that stood still
-itself finds all its probes failed, which were sent within one probe's limit."""
+"""Share of ``give_up_s`` that the failed probes of a member must span before it counts as missing.
+After a pause of the prober itself, all outstanding probes fail at once, but they were sent within
+the timeout of one probe."""
 
 
 @value_class
 class HostObservation:
-    """What one entry host knows of an endpoint from its own probes.
+    """One entry host's observation of an endpoint from its own probes.
 
     ``asked_s`` is the time before the last answered probe was sent, so the age of the report is
-    never understated. ``failing_since_s`` is the first of the failed probes since then, and
-    ``failed_s`` the last; a pause in probing begins the count anew.
+    never understated. ``failing_since_s`` is the time of the first failed probe since then and
+    ``failed_s`` that of the last; a pause in probing restarts this interval.
     """
 
     report: HostReport | None = None
@@ -46,7 +47,7 @@
         return replace(self, failing_since_s=since, failed_s=max(asked_s, self.failed_s))
 
     def is_fresh(self, now_s: float, freshness_s: float) -> bool:
-        """Tell whether the endpoint was seen within the freshness bound."""
+        """Return whether the endpoint answered within the freshness bound."""
         return now_s - self.asked_s <= freshness_s
 
 
@@ -54,10 +55,10 @@
 class GroupObservation:
     """One observer's view of all members of a group in one generation.
 
-    ``observed_s`` is the time of the member seen longest ago. ``missing`` members have failed
-    their probes for longer than the bound for giving up; ``mismatched`` ones answer, but report
-    another group or generation, or none. ``was_ready`` says that all members were ready once in
-    this generation, so that a mismatch now means a restart.
+    ``observed_s`` is the time of the least recently seen member. ``missing`` members have failed
+    their probes for ``give_up_s`` or longer; ``mismatched`` members answer but report another
+    group or generation, or none. ``was_ready`` means that all members were ready at some time in
+    this generation, so a mismatch now indicates a restart.
     """
 
     group_id: GroupId
@@ -77,26 +78,28 @@
 def observe_group(
     group: Group, hosts: Mapping[HostId, HostObservation], now_s: float, give_up_s: float
 ) -> GroupObservation:
-    """Sum up the observations of a group's members."""
+    """Aggregate the observations of a group's members."""
     seen = {
         HostId(m.host_id): hosts.get(HostId(m.host_id), HostObservation()) for m in group.members
     }
     reports = {host: known.report for host, known in seen.items() if known.report is not None}
-    placed = {host: report for host, report in reports.items() if _is_placed(group, report)}
+    placed = {host: report for host, report in reports.items() if _matches_group(group, report)}
     leader = reports.get(HostId(group.members[0].host_id)) if group.members else None
-    ready = len(placed) == len(seen) > 0 and all(_in(r, EngineState.READY) for r in placed.values())
+    ready = len(placed) == len(seen) > 0 and all(
+        _has_state(r, EngineState.READY) for r in placed.values()
+    )
     return GroupObservation(
         group_id=GroupId(group.id),
         generation=group.generation,
         observed_s=min((known.asked_s for known in seen.values()), default=NEVER_S),
         ready=ready,
         was_ready=ready,
-        failed=any(_in(report, EngineState.FAILED) for report in placed.values()),
+        failed=any(_has_state(report, EngineState.FAILED) for report in placed.values()),
         leaving=any(report.leaving for report in reports.values()),
         running=leader.running if leader is not None else 0,
         waiting=leader.waiting if leader is not None else 0,
         capacity=leader.capacity if leader is not None else 0,
-        missing=tuple(h for h, known in seen.items() if _given_up(known, now_s, give_up_s)),
+        missing=tuple(h for h, known in seen.items() if _is_missing(known, now_s, give_up_s)),
         mismatched=tuple(host for host in reports if host not in placed),
     )
 
@@ -104,11 +107,12 @@
 def merge_observations(
     first: GroupObservation, second: GroupObservation, now_s: float, give_up_s: float
 ) -> GroupObservation:
-    """Return the better of two views of one group: higher generation, then the later one.
+    """Merge two observations of one group, preferring the higher generation, then the later one.
 
-    What either saw once in the same generation stays: a failure, a leaving member, readiness. So
-    does a missing member once nobody has seen the whole group within the bound for giving up: a
-    member that is silent ends the sightings, and then the later one is no newer view.
+    Within a generation, a failure, a leaving member and readiness are kept if either observation
+    has them. A missing member is kept as well once nobody has seen the whole group for
+    ``give_up_s``: an unresponsive member stops ``observed_s`` from advancing, so the observation
+    with the later ``observed_s`` is then not the more recent one.
     """
     if first.generation != second.generation:
         return first if first.generation > second.generation else second
@@ -128,7 +132,7 @@
 def is_open(
     group: Group, observation: GroupObservation | None, now_s: float, freshness_s: float
 ) -> bool:
-    """Tell whether a group may take new work."""
+    """Return whether a group accepts new work."""
     return (
         observation is not None
         and group.intent == GroupIntent.ACTIVE.value
@@ -143,7 +147,7 @@
 def group_state(
     group: Group, observation: GroupObservation | None, now_s: float, freshness_s: float
 ) -> GroupState:
-    """Derive the state of a group for operators."""
+    """Return the state of a group as shown to operators."""
     if group.intent == GroupIntent.REPLACING.value:
         return GroupState.LOST
     if group.intent == GroupIntent.DRAINING.value:
@@ -157,16 +161,16 @@
     return GroupState.DRAINING if observation.leaving else GroupState.LOADING
 
 
-def _is_placed(group: Group, report: HostReport) -> bool:
+def _matches_group(group: Group, report: HostReport) -> bool:
     return report.group_id == group.id and report.generation == group.generation
 
 
-def _in(report: HostReport, state: EngineState) -> bool:
+def _has_state(report: HostReport, state: EngineState) -> bool:
     return report.state == state.value
 
 
-def _given_up(known: HostObservation, now_s: float, give_up_s: float) -> bool:
-    """Tell whether probes failed for so long, and were sent for at least half of that time."""
+def _is_missing(known: HostObservation, now_s: float, give_up_s: float) -> bool:
+    """Return whether probes failed for ``give_up_s`` and were sent over at least half of it."""
     since_s = known.failing_since_s
     if since_s is None or now_s - since_s < give_up_s:
         return False
--- a/yewloom/leases.py
+++ b/yewloom/leases.py
@@ -1,11 +1,11 @@
-"""The lease of a data centre's coordinator, kept in one platform record.
+"""The lease of a data centre's coordinator, stored in one platform record.
 
-Safety does not rest on the lease: placement is exclusive by conditional update and orders carry
-fences. The lease limits doubled work, and bounds orders to endpoints that check no fence.
+Safety does not depend on the lease: placement is exclusive by conditional update, and orders carry
+fences. The lease limits duplicate work and restricts orders to endpoints that do not check fences.
 
-All times are seconds of the caller's monotonic clock. The holder counts its time from before the
-write was sent; others count from when they first read the record. So the holder always stops
-first, whatever the delays and pauses.
+All times are seconds of the caller's monotonic clock. The holder measures the lease from before its
+write was sent; other hosts measure it from when they first read the record. The holder therefore
+always stops first, regardless of delays and pauses.
 """
 
 from yewloom.ids import AttemptId, EntryHostId
@@ -13,14 +13,14 @@
 from yewloom.schema.settings_pb2 import LeaseSettings
 from yewloom.values import value_class
 
-RETRY_S = 0.3
-"""Pause of the last holder before it calls a store again that did not answer, so that groups are
-repaired soon after an outage."""
+HOLDER_RETRY_S = 0.3
+"""Pause before the last holder retries after the store did not answer. It is short so that groups
+are repaired soon after an outage."""
 
 
 @value_class
 class LeaseTiming:
-    """Durations of the lease in seconds."""
+    """Durations of the lease."""
 
     duration_s: float
     renew_interval_s: float
@@ -28,7 +28,7 @@
 
 
 def lease_timing(settings: LeaseSettings) -> LeaseTiming:
-    """Return the durations that the settings state in milliseconds."""
+    """Convert the durations in the settings from milliseconds to seconds."""
     return LeaseTiming(
         settings.duration_ms / 1000, settings.renew_interval_ms / 1000, settings.margin_ms / 1000
     )
@@ -41,7 +41,7 @@
 
 @value_class
 class WriteLease:
-    """Action: write the record if its version is still the expected one (0: absent)."""
+    """Action: write the record if its version is still the expected one (0 for no record)."""
 
     lease: Lease
     expected_version: int
@@ -51,7 +51,7 @@
 
 
 class LeaseKeeper:
-    """Decides when to read, take or renew the lease, and whether it is held."""
+    """Decides when to read, acquire or renew the lease, and whether it is held."""
 
     def __init__(self, holder: EntryHostId, timing: LeaseTiming) -> None:
         self._holder = holder
@@ -69,33 +69,33 @@
         return self._record.term if self._record is not None else 0
 
     def holds(self, now_s: float) -> bool:
-        """Tell whether the lease is held, less the margin for drift and pauses."""
+        """Return whether the lease is held, after deducting the margin for drift and pauses."""
         return now_s < self._held_until_s - self._timing.margin_s
 
     def next_action(self, now_s: float, attempt: AttemptId) -> LeaseAction | None:
-        """Return the step that is due, if any; ``attempt`` names a write."""
+        """Return the action that is due, if any; ``attempt`` identifies a write."""
         if now_s < self._next_step_s:
             return None
         self._next_step_s = now_s + self._timing.renew_interval_s
         if self._first_read_s is None:
             return ReadLease()
         if self._may_write(now_s):
-            return WriteLease(self._proposal(attempt), self._version)
+            return WriteLease(self._new_lease(attempt), self._version)
         return ReadLease()
 
     def on_read(self, record: Lease | None, version: int, now_s: float) -> None:
-        """Take in the record as read; ``version`` is 0 if there is none."""
+        """Process the record as read; ``version`` is 0 if there is none."""
         if self._first_read_s is None or version != self._version:
             self._first_read_s = now_s
         self._record = record
         self._version = version
-        if not self._was_mine:
+        if not self._is_own_record:
             self._held_until_s = float("-inf")
         elif self._is_interrupted:
-            self._next_step_s = now_s  # It renews at once, as it may hold the lease no longer.
+            self._next_step_s = now_s  # Renew immediately, as the lease may have expired.
 
     def on_written(self, record: Lease, version: int, sent_s: float, now_s: float) -> None:
-        """Take in a write that took effect; ``sent_s`` is from before its first sending."""
+        """Process a successful write; ``sent_s`` is the time before it was first sent."""
         self._record = record
         self._version = version
         self._first_read_s = now_s
@@ -103,39 +103,40 @@
         self._is_interrupted = False
 
     @property
-    def _was_mine(self) -> bool:
+    def _is_own_record(self) -> bool:
         return self._record is not None and self._record.holder == self._holder
 
     def on_conflict(self) -> None:
-        """Take in that someone else wrote: nothing is held until the record is read."""
+        """Process a write conflict: the lease counts as lost until it is re-read."""
         self._held_until_s = float("-inf")
         self._first_read_s = None
         self._next_step_s = float("-inf")
         self._is_interrupted = False
 
     def on_failed(self, now_s: float) -> None:
-        """Take in that the store did not answer, or did nothing.
+        """Process a call that the store did not answer, or that had no effect.
 
-        A lease that is held stays held until it lapses. Who held it last asks again soon, so that
-        the work goes on as soon as the store is back; the others keep their pace.
+        A held lease stays held until it expires. The last holder retries soon, so that coordination
+        resumes as soon as the store is available; other hosts keep their interval.
         """
-        if self._was_mine:
+        if self._is_own_record:
             self._is_interrupted = True
-            self._next_step_s = now_s + RETRY_S
+            self._next_step_s = now_s + HOLDER_RETRY_S
 
     def on_unsettled(self, now_s: float) -> None:
-        """Take in that a write may have had an effect: the record is read before the next one."""
+        """Process a write of unknown outcome: the record is read before the next write."""
         self._first_read_s = None
         self.on_failed(now_s)
 
     def release(self, attempt: AttemptId, now_s: float) -> WriteLease | None:
-        """Stop holding the lease, before a planned stop.
+        """Stop holding the lease before a planned stop.
 
-        Return the write after which others need not wait until it lapses; None if it is not held.
+        Return the write after which other hosts need not wait for the lease to expire, or None if
+        the lease is not held.
         """
-        was_held = self.holds(now_s)
+        is_held = self.holds(now_s)
         self._held_until_s = float("-inf")
-        if not was_held:
+        if not is_held:
             return None
         lease = Lease(holder=self._holder, term=self.term, duration_ms=0, attempt_id=attempt)
         return WriteLease(lease, self._version)
@@ -147,10 +148,10 @@
         lapsed_s = self._record.duration_ms / 1000 + self._timing.margin_s
         return now_s >= self._first_read_s + lapsed_s
 
-    def _proposal(self, attempt: AttemptId) -> Lease:
+    def _new_lease(self, attempt: AttemptId) -> Lease:
         return Lease(
             holder=self._holder,
-            term=self.term if self._was_mine else self.term + 1,
+            term=self.term if self._is_own_record else self.term + 1,
             duration_ms=round(self._timing.duration_s * 1000),
             attempt_id=attempt,
         )
--- a/yewloom/observers.py
+++ b/yewloom/observers.py
@@ -1,8 +1,8 @@
 """Probing of endpoints, divided among the entry hosts of a data centre.
 
 Each group and each plain service endpoint is probed by a few entry hosts, chosen by rendezvous
-hashing; the others learn by exchange. So the probes that an endpoint gets do not grow with the
-number of entry hosts.
+hashing; the other hosts receive the results from their peers. The number of probes per endpoint
+therefore does not grow with the number of entry hosts.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,14 +17,14 @@
 
 
 class Observer:
-    """Probes the endpoints that this entry host has the duty to."""
+    """Probes the endpoints that are assigned to this entry host."""
 
     def __init__(self, node: Node, endpoints: Endpoints) -> None:
         self._node = node
         self._endpoints = endpoints
 
     async def run(self, after_round: Callable[[], None]) -> None:
-        """Probe in rounds until cancelled; ``after_round`` is called after each."""
+        """Probe in rounds until cancelled, and call ``after_round`` after each."""
         interval_s = self._node.settings.groups.probe_interval_ms / 1000
         while True:
             async with trio.open_nursery() as nursery:
@@ -33,7 +33,7 @@
                 after_round()
 
     async def probe_round(self) -> None:
-        """Probe each endpoint once and sum up the groups."""
+        """Probe each assigned endpoint once, and aggregate the results by group."""
         groups, services = self._own_groups(), self._own_services()
         async with trio.open_nursery() as nursery:
             for group in groups:
@@ -42,10 +42,10 @@
                 nursery.start_soon(self._probe_service, endpoint)
         for group in groups:
             self._node.fleet.sum_up(group, trio.current_time())
-            self._take_cache_events(group)
+            self._apply_cache_events(group)
 
     async def probe_members(self, members: Iterable[GroupMember]) -> None:
-        """Probe model engines once, all at the same time."""
+        """Probe model engines once, concurrently."""
         async with trio.open_nursery() as nursery:
             for member in members:
                 nursery.start_soon(self._probe_member, member)
@@ -80,14 +80,14 @@
             case Err():
                 self._node.fleet.on_service_failed(host_id, asked_s)
 
-    def _take_cache_events(self, group: Group) -> None:
+    def _apply_cache_events(self, group: Group) -> None:
         known = self._node.fleet.hosts.get(HostId(group.members[0].host_id))
         report = known.report if known is not None else None
-        if report is not None and _speaks_for(group, report):
+        if report is not None and _matches_group(group, report):
             self._node.prefixes.apply(
                 GroupId(group.id), group.generation, report.cache_events, report.cache_sequence
             )
 
 
-def _speaks_for(group: Group, report: HostReport) -> bool:
+def _matches_group(group: Group, report: HostReport) -> bool:
     return report.group_id == group.id and report.generation == group.generation
--- a/yewloom/orders.py
+++ b/yewloom/orders.py
@@ -1,8 +1,9 @@
-"""Orders to model engines: which ones are due, within the weight store's and the lease's bounds.
+"""Orders to model engines: which ones are due, within the weight store's load limit.
 
-An order carries the group's generation as its fence. An engine that checks fences refuses one
-below the highest that it accepted. Orders to engines that check none are due only while the lease
-holds, less its margin; the caller asks again directly before the send.
+An order carries the group's generation as its fence. An engine that checks fences refuses an order
+whose fence is below the highest it accepted. An order to an engine that does not check fences may
+be sent only until the lease duration less its margin has elapsed; the caller checks this
+immediately before sending.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,7 +17,7 @@
 
 @value_class
 class DueOrder:
-    """An order and the host that it goes to."""
+    """An order and the host to send it to."""
 
     host_id: HostId
     address: str
@@ -33,12 +34,15 @@
 ) -> list[DueOrder]:
     """Return the orders for members that do not report their group yet.
 
-    At most ``max_loading`` groups read from the weight store at once. Groups with more members
-    that have the weights cached come first: they return serving capacity soonest.
+    At most ``max_loading`` groups read from the weight store at once. Groups that have begun to
+    load come first, then those with more members that have the weights cached, as they are ready to
+    serve soonest.
     """
     active = [g for g in placement.groups if g.intent == GroupIntent.ACTIVE.value and g.members]
     loading = [g for g in active if _is_loading(g, observations.get(GroupId(g.id)))]
-    loading.sort(key=lambda group: (-_started(group, hosts), -_cached(group, hosts), group.id))
+    loading.sort(
+        key=lambda group: (-_accepted_count(group, hosts), -_cached_count(group, hosts), group.id)
+    )
     due: list[DueOrder] = []
     for group in loading[:max_loading]:
         due += _orders_for(group, hosts, listed)
@@ -51,12 +55,12 @@
     return not observation.ready
 
 
-def _started(group: Group, hosts: Mapping[HostId, HostObservation]) -> int:
-    """Count the members that already accepted the order, so that a begun load is finished."""
-    return sum(_accepted(group, hosts.get(HostId(member.host_id))) for member in group.members)
+def _accepted_count(group: Group, hosts: Mapping[HostId, HostObservation]) -> int:
+    """Count the members that have accepted the order, so that loads in progress finish first."""
+    return sum(_has_accepted(group, hosts.get(HostId(member.host_id))) for member in group.members)
 
 
-def _cached(group: Group, hosts: Mapping[HostId, HostObservation]) -> int:
+def _cached_count(group: Group, hosts: Mapping[HostId, HostObservation]) -> int:
     wanted = f"{group.model}@{group.model_version}"
     reports = (hosts.get(HostId(member.host_id)) for member in group.members)
     return sum(known is not None and _cached_model(known) == wanted for known in reports)
@@ -66,7 +70,7 @@
     return known.report.cached_model if known.report is not None else ""
 
 
-def _accepted(group: Group, known: HostObservation | None) -> bool:
+def _has_accepted(group: Group, known: HostObservation | None) -> bool:
     if known is None or known.report is None:
         return False
     report = known.report
@@ -79,7 +83,7 @@
     addresses = [member.address for member in group.members]
     for rank, member in enumerate(group.members):
         host_id = HostId(member.host_id)
-        if _accepted(group, hosts.get(host_id)):
+        if _has_accepted(group, hosts.get(host_id)):
             continue
         order = Order(
             fence=group.generation,
--- a/yewloom/placement.py
+++ b/yewloom/placement.py
@@ -1,8 +1,8 @@
 """Placement: which hosts form which groups in one data centre.
 
-The whole placement of a data centre is one platform record, changed by conditional update, so a
-host can't be in two groups whoever writes. Every write raises the record's generation, and a
-group's generation is that of the write that formed it.
+The placement of a data centre is a single platform record that is changed by conditional update, so
+a host cannot be in two groups, whichever host writes. Every write increments the record's
+generation, and a group's generation is that of the write that formed it.
 """
 
 from collections.abc import Mapping
@@ -20,7 +20,7 @@
 
 @value_class
 class PlacementTiming:
-    """Durations of the group life cycle in seconds."""
+    """Durations of the group life cycle."""
 
     freshness_s: float
     load_timeout_s: float
@@ -29,10 +29,10 @@
 
 @value_class
 class FleetState:
-    """What a placement is planned from: the platform's host list, observations and policies.
+    """Input of the planner: the platform's host list, observations and policies.
 
-    ``listed`` is None as long as the list has not been read; ``groups`` and ``hosts`` hold what
-    was observed; times in them are seconds of the planner's clock.
+    ``listed`` is None until the host list has been read. ``groups`` and ``hosts`` hold
+    observations, whose times are seconds of the planner's clock.
     """
 
     listed: Mapping[HostId, Host] | None
@@ -45,9 +45,9 @@
 class Planner:
     """Plans the next placement.
 
-    Keeps only when it first saw a group loading or idle, and a host free. A host that checks no
-    fence can't refuse work for its earlier group, so it stays free until every entry host's view
-    of that group has run out.
+    Its only state is when each group was first seen loading or idle, and each host free. A host
+    that does not check fences cannot refuse work for its previous group, so it is not used again
+    until every entry host's view of that group has expired.
     """
 
     writer: EntryHostId
@@ -58,7 +58,7 @@
 
     def plan(self, current: Placement, fleet: FleetState, now_s: float, attempt: AttemptId) -> Plan:
         """Return the placement that should follow the current one."""
-        if not _anyone_seen(fleet, now_s, self.timing.freshness_s):
+        if not _has_fresh_observation(fleet, now_s, self.timing.freshness_s):
             return Plan(None)
         draft = Draft(current, self.writer, attempt)
         self._retire_groups(draft, fleet, now_s)
@@ -67,14 +67,14 @@
             free = self._free_hosts(draft, fleet, now_s)
             form_groups(draft, fleet.policies, fleet.hosts, free)
             _list_services(draft, fleet)
-        self._forget_times(draft)
+        self._drop_stale_times(draft)
         return draft.finish()
 
     def _retire_groups(self, draft: Draft, fleet: FleetState, now_s: float) -> None:
-        """Dissolve lost groups and drained ones, and drain those with a leaving member."""
+        """Remove lost and drained groups, and drain groups that have a leaving member."""
         for group in draft.formed_groups():
-            observation = _matching(group, fleet)
-            lost_reason = self._lost_reason(group, observation, now_s)
+            observation = _current_observation(group, fleet)
+            lost_reason = self._reason_lost(group, observation, now_s)
             if lost_reason:
                 draft.lose(group, lost_reason)
             elif group.intent == GroupIntent.DRAINING.value:
@@ -83,19 +83,19 @@
             elif _has_leaving_member(group, observation, fleet):
                 draft.drain(group, "a member is leaving", replace=True)
 
-    def _lost_reason(self, group: Group, observation: GroupObservation | None, now_s: float) -> str:
+    def _reason_lost(self, group: Group, observation: GroupObservation | None, now_s: float) -> str:
         group_id = GroupId(group.id)
         if observation is not None and observation.missing:
-            return f"member {observation.missing[0]} is gone"
+            return f"member {observation.missing[0]} is missing"
         if observation is not None and observation.failed:
-            return "the replica failed"
+            return "a member reported a failure"
         if observation is not None and observation.was_ready and observation.mismatched:
             return f"member {observation.mismatched[0]} was restarted"
         if observation is not None and observation.ready:
             self._loading_since_s.pop(group_id, None)
             return ""
         since_s = self._loading_since_s.setdefault(group_id, now_s)
-        return "loading took too long" if now_s - since_s > self.timing.load_timeout_s else ""
+        return "loading timed out" if now_s - since_s > self.timing.load_timeout_s else ""
 
     def _is_drained(self, group: Group, observation: GroupObservation | None, now_s: float) -> bool:
         group_id = GroupId(group.id)
@@ -107,48 +107,54 @@
         return now_s - self._idle_since_s.setdefault(group_id, now_s) >= self.timing.settle_s
 
     def _drain_superseded(self, draft: Draft, fleet: FleetState) -> None:
-        """Drain groups whose policy is gone or wants another version, one a policy at a time."""
+        """Drain groups that no longer match their policy.
+
+        For a changed model, version or group size, one group per policy is drained at a time.
+        """
         draining = {g.policy for g in draft.groups if g.intent == GroupIntent.DRAINING.value}
         for group in draft.formed_groups(GroupIntent.ACTIVE):
             policy = fleet.policies.get(PolicyName(group.policy))
             if policy is None:
-                draft.drain(group, "its policy is gone", replace=False)
+                draft.drain(group, "its policy was deleted", replace=False)
             elif _is_superseded(group, policy) and group.policy not in draining:
                 draining.add(group.policy)
-                draft.drain(group, "its policy wants another version", replace=True)
+                draft.drain(group, "its policy specifies another version or size", replace=True)
         for name, policy in fleet.policies.items():
             active = draft.formed_groups(GroupIntent.ACTIVE, name)
             for group in active[policy.max_groups :]:
-                draft.drain(group, "its policy wants fewer groups", replace=False)
-        for group in draft.waiting_groups():
+                draft.drain(group, "its policy allows fewer groups", replace=False)
+        for group in draft.groups_to_replace():
             if PolicyName(group.policy) not in fleet.policies:
                 draft.forget(group)
 
     def _free_hosts(self, draft: Draft, fleet: FleetState, now_s: float) -> list[Host]:
-        """Return the hosts that a group can be formed from, in order of id."""
+        """Return the hosts from which groups can be formed, in order of id."""
         free = _free_hosts(draft, fleet, now_s, self.timing.freshness_s)
         known = self._free_since_s
         self._free_since_s = {HostId(h.id): known.get(HostId(h.id), now_s) for h in free}
-        return [host for host in free if self._may_be_used(host, now_s)]
+        return [host for host in free if self._is_usable(host, now_s)]
 
-    def _may_be_used(self, host: Host, now_s: float) -> bool:
+    def _is_usable(self, host: Host, now_s: float) -> bool:
         waited_s = now_s - self._free_since_s[HostId(host.id)]
         return host.checks_fences or waited_s > self.timing.freshness_s
 
-    def _forget_times(self, draft: Draft) -> None:
+    def _drop_stale_times(self, draft: Draft) -> None:
         present = {GroupId(group.id) for group in draft.groups}
         for times in (self._loading_since_s, self._idle_since_s):
             for group_id in times.keys() - present:
                 del times[group_id]
 
 
-def _anyone_seen(fleet: FleetState, now_s: float, freshness_s: float) -> bool:
-    """Tell whether any endpoint is in sight; a blind coordinator must not give hosts up."""
+def _has_fresh_observation(fleet: FleetState, now_s: float, freshness_s: float) -> bool:
+    """Return whether any endpoint was seen recently.
+
+    A coordinator that sees none may be partitioned itself and must not abandon any group.
+    """
     hosts = any(known.is_fresh(now_s, freshness_s) for known in fleet.hosts.values())
     return hosts or any(now_s - g.observed_s <= freshness_s for g in fleet.groups.values())
 
 
-def _matching(group: Group, fleet: FleetState) -> GroupObservation | None:
+def _current_observation(group: Group, fleet: FleetState) -> GroupObservation | None:
     observation = fleet.groups.get(GroupId(group.id))
     if observation is None or observation.generation != group.generation:
         return None
@@ -184,8 +190,8 @@
 
 
 def _free_hosts(draft: Draft, fleet: FleetState, now_s: float, freshness_s: float) -> list[Host]:
-    """Return listed, live engines that were seen lately and are in no group, in order of id."""
-    taken = draft.taken_hosts()
+    """Return listed, live engines that were seen recently and are in no group, in order of id."""
+    taken = draft.assigned_hosts()
     free = []
     for host_id, host in sorted((fleet.listed or {}).items()):
         known = fleet.hosts.get(host_id)
--- a/yewloom/process_starts.py
+++ b/yewloom/process_starts.py
@@ -1,9 +1,9 @@
-"""Telling the processes apart that run one after the other under one endpoint's id."""
+"""Distinguishes successive processes that run under the same endpoint id."""
 
 
 def is_same_process(one_unix_ms: int, other_unix_ms: int) -> bool:
-    """Tell whether two starts may be of one process; 0 is a start that is not known.
+    """Return whether two start times may belong to one process; 0 means unknown.
 
-    Which of two came first can't be told: clocks are set back.
+    The times do not tell which process started first, as clocks may be set back.
     """
     return not one_unix_ms or not other_unix_ms or one_unix_ms == other_unix_ms
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -69,7 +69,7 @@
 
     @property
     def is_holding(self) -> bool:
-        """Tell whether this host coordinates now."""
+        """Return whether this host coordinates now."""
         return self._is_holding
 
     async def run(self) -> None:
@@ -86,7 +86,7 @@
             self._set_holding(False, tasks)
             await self._lease.release()
         elif self._is_holding or self._may_lead():
-            await self._lease.keep()
+            await self._lease.run_due_action()
             # The host may have begun to stop while the store answered.
             self._set_holding(self._lease.holds() and not self.is_leaving, tasks)
             if self._is_holding:
--- a/yewloom/share_balancer.py
+++ b/yewloom/share_balancer.py
@@ -1,4 +1,4 @@
-"""Writes the record of shares for a data centre, as part of its coordinator."""
+"""Writes the record of a data centre's limit shares, as part of its coordinator."""
 
 from collections.abc import Callable, Iterable
 
@@ -19,7 +19,7 @@
 
 
 class ShareBalancer:
-    """Divides the data centre's parts of all limits among its entry hosts."""
+    """Divides the data centre's portion of each limit among its entry hosts."""
 
     def __init__(
         self, node: Node, platform: Platform, new_attempt: Callable[[], AttemptId]
@@ -30,7 +30,7 @@
         self._next_s = float("-inf")
 
     async def run_if_due(self, listed: Iterable[Host]) -> None:
-        """Bring the record up to date, if the pause since the last time is over."""
+        """Update the record if the rebalance interval has elapsed."""
         now_s = trio.current_time()
         if now_s < self._next_s:
             return
@@ -41,57 +41,57 @@
                 self._node.shares.apply(current)
                 await self._write(current, stored.version if stored is not None else 0, listed)
             case Err(error):
-                logger.warning("shares not read", reason=str(error))
+                logger.warning("failed to read shares record", reason=str(error))
 
     async def _write(self, current: Shares, version: int, listed: Iterable[Host]) -> None:
         node = self._node
-        alive = {node.instance_of(m) for m in self._living() if not m.leaving}
-        following = plan_shares(
+        alive = {node.instance_of(m) for m in self._alive_members() if not m.leaving}
+        next_shares = plan_shares(
             current,
-            self._parts(),
+            self._local_limits(),
             alive,
-            self._gone(current, listed),
-            self._obeyed(),
+            self._departed_holders(current, listed),
+            self._obeyed_generations(),
             self._new_attempt(),
         )
-        if following is None:
+        if next_shares is None:
             return
-        attempt = following.attempt_id
+        attempt = next_shares.attempt_id
         written = await write_settled(
             self._platform,
             self._key,
-            following,
+            next_shares,
             version,
             lambda stored: parse_shares(stored).attempt_id == attempt,
             node.settings.platform.timeout_ms / 1000,
         )
         match written:
             case Ok():
-                node.shares.apply(following)
-                holders = [holder.instance for holder in following.holders]
-                logger.info("shares granted", generation=following.generation, holders=holders)
+                node.shares.apply(next_shares)
+                holders = [holder.instance for holder in next_shares.holders]
+                logger.info("shares granted", generation=next_shares.generation, holders=holders)
                 self._next_s = float("-inf")
             case Err(error):
-                logger.warning("shares not written", reason=str(error))
+                logger.warning("failed to write shares record", reason=str(error))
 
-    def _living(self) -> list[Member]:
+    def _alive_members(self) -> list[Member]:
         return self._node.membership.alive_in(self._node.data_centre, trio.current_time())
 
-    def _parts(self) -> dict[CustomerId, int]:
+    def _local_limits(self) -> dict[CustomerId, int]:
         places = self._node.settings.limits.data_centres.split()
         return {
             name: part_of(row.max_in_flight, self._node.data_centre, places)
             for name, row in self._node.table.customers().items()
         }
 
-    def _obeyed(self) -> dict[str, int]:
+    def _obeyed_generations(self) -> dict[str, int]:
         own = self._node.share_state(trio.current_time())
         return {**self._node.obeyed_shares, own.instance: own.obeyed_generation}
 
-    def _gone(self, current: Shares, listed: Iterable[Host]) -> set[str]:
-        """Return holders that the platform lists no more, or that a later process replaced."""
+    def _departed_holders(self, current: Shares, listed: Iterable[Host]) -> set[str]:
+        """Return holders that the platform no longer lists or that a later process replaced."""
         names = {host.id for host in listed if host.is_entry_host}
-        latest = {member.id: member.incarnation for member in self._living()}
+        latest = {member.id: member.incarnation for member in self._alive_members()}
         gone = set()
         for holder in current.holders:
             name, _, incarnation = holder.instance.rpartition("/")
