--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -58,13 +58,13 @@
     Removal(
         "the large model's weights on hosts of small groups",
         "replica_supply",
-        "self._stage_reserves(groups, now_s)",
+        "self._load_spare_weights(groups, now_s)",
         "pass",
     ),
     Removal(
         "groups given up for one of another model",
         "replica_supply",
-        "chosen = self._exchanges.best(free, groups, need)",
+        "chosen = self._exchanges.find_best(free, groups, need)",
         "chosen = None",
     ),
     Removal(
--- a/tools/mutations_lateness.py
+++ b/tools/mutations_lateness.py
@@ -153,7 +153,7 @@
     Mutation(
         "late: a group whose members are all silent is asked again",
         "stalled_groups",
-        "if look is not None and look.is_all_silent:",
+        "if group_probe is not None and group_probe.is_unanswered:",
         "if False:",
         "test_slow_engines",
     ),
--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -6,8 +6,8 @@
     Mutation(
         "order counts: a leave that is done counts, whatever its answer calls it",
         "order_counts",
-        "leaves = isinstance(order, LeaveGroup) and known.group == order.key",
-        "leaves = False",
+        "is_departure = isinstance(order, LeaveGroup) and known.group == order.key",
+        "is_departure = False",
         "test_refused_orders",
     ),
     Mutation(
@@ -97,7 +97,7 @@
     Mutation(
         "replicas: free hosts wait for others for the model in greater need",
         "replica_supply",
-        "kept |= self._reserves.kept_for(model, free, leaving)",
+        "reserved |= self._reserves.reserved_for(model, free, leaving)",
         "pass",
         "test_small_model_shortage",
     ),
--- a/yewloom/free_hosts.py
+++ b/yewloom/free_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of engines that belong to no group."""
+"""Engine hosts that belong to no group."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class FreeHosts:
-    """Finds the free hosts of one data centre; ``orders`` gathers what is to be ordered."""
+    """Finds the free hosts of one data centre; ``orders`` collects the orders to send."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self.orders: list[PlannedOrder] = []
 
     def by_domain(self, groups: Iterable[Group], now_s: float) -> dict[str, list[Endpoint]]:
-        """Return the hosts that belong to no group, by fabric domain."""
+        """Return the responsive hosts that belong to no group, by fabric domain."""
         taken = {member.host_id for group in groups for member in group.members}
         free: defaultdict[str, list[Endpoint]] = defaultdict(list)
         for endpoint in sorted(self._directory.of_service(self._service), key=lambda e: e.id):
@@ -37,30 +37,31 @@
                 continue
             if endpoint.id in taken or endpoint.id in self._state.suspects:
                 continue
-            if not self._is_held(endpoint, now_s):
+            if not self._is_still_in_group(endpoint, now_s):
                 free[endpoint.fabric_domain].append(endpoint)
         return free
 
-    def _is_held(self, endpoint: Endpoint, now_s: float) -> bool:
-        """Tell whether a host still belongs to a group that is in no record.
+    def _is_still_in_group(self, endpoint: Endpoint, now_s: float) -> bool:
+        """Return whether a host still belongs to a group that is missing from the record.
 
-        Such a group comes back with hosts that were cut off; they are told to leave it, its leader
-        first. A leader that can't be asked may still serve, so its hosts tell for themselves.
+        Such a group appears when partitioned hosts reconnect. They are ordered to leave it, the
+        leader first. A leader that does not answer may still serve, so each of its hosts must
+        confirm its own departure.
         """
         member = endpoint.membership
-        if member is None or member.key in self._state.ended:
+        if member is None or member.key in self._state.ended_groups:
             return False
         if self._state.has_left(endpoint.id, member.key):
             return False
-        head = self._directory.members(member.key).get(0)
-        if head is None or self._state.is_silent(head.id):
+        leader = self._directory.members(member.key).get(0)
+        if leader is None or self._state.is_silent(leader.id):
             self._order_to_leave(endpoint, member.key, now_s)
             return True
-        if self._state.has_left(head.id, member.key):
+        if self._state.has_left(leader.id, member.key):
             return False
-        if head.membership is None or head.membership.state not in _SERVING:
+        if leader.membership is None or leader.membership.state not in _SERVING:
             return False
-        self._order_to_leave(head, member.key, now_s)
+        self._order_to_leave(leader, member.key, now_s)
         return True
 
     def _order_to_leave(self, endpoint: Endpoint, key: GroupKey, now_s: float) -> None:
--- a/yewloom/group_exchanges.py
+++ b/yewloom/group_exchanges.py
@@ -1,4 +1,4 @@
-"""Giving up groups of a model that has replicas to spare for one group of another model."""
+"""Exchange of groups of a model with surplus replicas for one group of another model."""
 
 from collections.abc import Mapping, Sequence
 
@@ -13,36 +13,36 @@
 
 @value_class
 class GroupExchange:
-    """Groups of one model that would be given up for one group of another."""
+    """Groups that would be dissolved so that their hosts form one group of another model."""
 
     domain: str
     model: ReplicaModel
-    given: Sequence[Group]
+    released: Sequence[Group]
     hosts: Sequence[Endpoint]
 
     def hosts_to_load(self) -> list[Endpoint]:
-        """Return the hosts that lack the weights."""
+        """Return the hosts that do not have the model's weights."""
         return [host for host in self.hosts if not host.is_prepared_for(self.model.name)]
 
 
 class GroupExchanges:
-    """Finds exchanges that are worth their loads."""
+    """Finds exchanges that are worth the weight loads they need."""
 
     def __init__(self, directory: EndpointDirectory) -> None:
         self._directory = directory
 
-    def best(
+    def find_best(
         self, free: Mapping[str, Sequence[Endpoint]], groups: Sequence[Group], need: ModelNeed
     ) -> GroupExchange | None:
-        """Return the exchange that needs the fewest loads; None if none is worth it."""
-        wanted = need.order()[0]
-        found = [
+        """Return the exchange with the fewest weight loads, or None if none is worthwhile."""
+        wanted = need.models_by_need()[0]
+        candidates = [
             exchange
             for domain, endpoints in free.items()
             if len(endpoints) < wanted.group_size
             and (exchange := self._in_domain(domain, endpoints, groups, wanted, need))
         ]
-        return min(found, key=lambda exchange: len(exchange.hosts_to_load()), default=None)
+        return min(candidates, key=lambda exchange: len(exchange.hosts_to_load()), default=None)
 
     def _in_domain(
         self,
@@ -52,9 +52,9 @@
         wanted: ReplicaModel,
         need: ModelNeed,
     ) -> GroupExchange | None:
-        """Return the exchange that completes the free hosts of one domain."""
+        """Return the exchange that adds enough hosts to the free hosts of one domain."""
         hosts = list(free)
-        given: list[Group] = []
+        released: list[Group] = []
         by_weights = sorted(groups, key=lambda group: self._hosts_to_load(group, wanted))
         for group in by_weights:
             members = members_of(group, self._directory)
@@ -62,13 +62,13 @@
             is_active = group.intent == GroupIntent.ACTIVE.value
             if len(hosts) >= wanted.group_size or not is_here or not is_active:
                 continue
-            if need.may_exchange(ModelName(group.model), wanted.name, len(given) + 1):
-                given.append(group)
+            if need.may_exchange(ModelName(group.model), wanted.name, len(released) + 1):
+                released.append(group)
                 hosts += members
-        if len(hosts) < wanted.group_size or not given:
+        if len(hosts) < wanted.group_size or not released:
             return None
         hosts.sort(key=lambda host: not host.is_prepared_for(wanted.name))
-        return GroupExchange(domain, wanted, given, hosts[: wanted.group_size])
+        return GroupExchange(domain, wanted, released, hosts[: wanted.group_size])
 
     def _hosts_to_load(self, group: Group, wanted: ReplicaModel) -> int:
         return sum(
@@ -77,6 +77,6 @@
 
 
 def members_of(group: Group, directory: EndpointDirectory) -> list[Endpoint]:
-    """Return the members of a recorded group that are listed."""
+    """Return the members of a recorded group that are in the endpoint directory."""
     ids = [HostId(member.host_id) for member in group.members]
     return [directory.by_id[i] for i in ids if i in directory.by_id]
--- a/yewloom/model_reserves.py
+++ b/yewloom/model_reserves.py
@@ -1,9 +1,10 @@
-"""Free hosts that are kept for the model that lacks replicas most.
+"""Reservation of free hosts for the model with the greatest shortage of replicas.
 
-When many hosts are lost at once, all groups of a domain break, and their other hosts come free one
-after the other, within some seconds. A group of another model formed of the first of them takes
-hosts that hold the weights which the model in need waits for; then too few are left for it, and a
-load takes longer than all of that. The pattern is a rack that fails: of three groups none is left.
+When many hosts are lost at once, for example with a rack that holds three groups, all groups of a
+domain break and their surviving hosts become free one by one within a few seconds. A group of
+another model formed from the first of them would use hosts that hold the weights of the model in
+shortage. Too few such hosts would then remain, and loading the weights again takes longer than
+waiting.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,43 +17,43 @@
 from yewloom.schema.records_pb2 import Group
 from yewloom.states import GroupIntent
 
-KEPT_FOR_S = 3.0
-"""Longest time for which hosts are kept for those of a group that was given up: its members are
-free once they have left it, which takes a second or two."""
+RESERVE_TIMEOUT_S = 3.0
+"""Longest time for which free hosts are reserved until the members of an abandoned group join
+them. The members are free once they have left that group, which takes a second or two."""
 
 
 class ModelReserves:
-    """Tells which free hosts of a domain wait for others that hold the same weights."""
+    """Finds free hosts that should wait for others of their domain with the same weights."""
 
     def __init__(self, directory: EndpointDirectory, state: PlanState) -> None:
         self._directory = directory
         self._state = state
 
     def leaving(self, groups: Iterable[Group], now_s: float) -> list[Endpoint]:
-        """Return the hosts of groups that were given up a short while ago, but for lost ones."""
-        found: list[Endpoint] = []
+        """Return the responsive hosts of groups that were abandoned recently."""
+        members: list[Endpoint] = []
         for group in groups:
             if group.intent != GroupIntent.REPLACING.value:
                 continue
-            since_s = self._state.given_up_s.setdefault(key_of(group), now_s)
-            if now_s - since_s <= KEPT_FOR_S:
-                found += members_of(group, self._directory)
-        return [e for e in found if not e.is_leaving and not self._state.is_silent(e.id)]
+            since_s = self._state.abandoned_since_s.setdefault(key_of(group), now_s)
+            if now_s - since_s <= RESERVE_TIMEOUT_S:
+                members += members_of(group, self._directory)
+        return [e for e in members if not e.is_leaving and not self._state.is_silent(e.id)]
 
-    def kept_for(
+    def reserved_for(
         self,
         model: ReplicaModel,
         free: Mapping[str, Sequence[Endpoint]],
         leaving: Sequence[Endpoint],
     ) -> set[HostId]:
-        """Return the free hosts that form a group of a model with those that are leaving."""
-        kept: set[HostId] = set()
+        """Return the free hosts that can form a group of a model with the leaving hosts."""
+        reserved: set[HostId] = set()
         for domain, endpoints in free.items():
             ready = _prepared(endpoints, model.name)
-            coming = _prepared((e for e in leaving if e.fabric_domain == domain), model.name)
-            if coming and len(ready) + len(coming) >= model.group_size:
-                kept |= {endpoint.id for endpoint in ready}
-        return kept
+            expected = _prepared((e for e in leaving if e.fabric_domain == domain), model.name)
+            if expected and len(ready) + len(expected) >= model.group_size:
+                reserved |= {endpoint.id for endpoint in ready}
+        return reserved
 
 
 def _prepared(endpoints: Iterable[Endpoint], model: ModelName) -> list[Endpoint]:
--- a/yewloom/order_counts.py
+++ b/yewloom/order_counts.py
@@ -1,8 +1,8 @@
-"""How many orders each engine has taken, as far as its own answers prove it.
+"""Number of orders that each engine has accepted, derived from its answers and reports.
 
-An order that names the count which its engine must have reached falls flat if another one came in
-between. A report tells the count as it was some hundred milliseconds ago, so right behind an answer
-it may still show what the answer ended; then the answer counts.
+An order that names the count expected of its engine has no effect if another order was accepted in
+between. A report is a few hundred milliseconds old, so directly after an answer it may still show
+the state before that answer; the answer then takes precedence.
 """
 
 from yewloom.directory import GroupKey
@@ -17,14 +17,14 @@
 )
 from yewloom.values import value_class
 
-_TAKEN = (OrderAnswer.BEGUN, OrderAnswer.HOLDS)
+_ACCEPTED = (OrderAnswer.BEGUN, OrderAnswer.HOLDS)
 
 
 @value_class
-class ProvedCount:
-    """The count of orders that an engine's process has taken, and its group then, if any.
+class KnownCount:
+    """The number of orders that an engine process has accepted, and its group after them, if any.
 
-    ``started_unix_ms`` is the start of the process; each counts its orders from zero.
+    ``started_unix_ms`` is the start of the process; each process counts its orders from zero.
     """
 
     started_unix_ms: int
@@ -33,58 +33,59 @@
 
 
 class OrderCounts:
-    """Keeps what was proved last of each engine."""
+    """Holds the last known order count of each engine."""
 
     def __init__(self) -> None:
-        self._proved: dict[HostId, ProvedCount] = {}
+        self._counts_by_engine: dict[HostId, KnownCount] = {}
 
     def clear(self) -> None:
-        """Drop everything, as others may have given orders since."""
-        self._proved.clear()
+        """Discard all counts, as another coordinator may have sent orders."""
+        self._counts_by_engine.clear()
 
-    def get(self, engine: HostId, started_unix_ms: int) -> ProvedCount | None:
-        """Return what is proved of a process (0: of any); None if nothing."""
-        known = self._proved.get(engine)
+    def get(self, engine: HostId, started_unix_ms: int) -> KnownCount | None:
+        """Return the known count of a process (0 for any process), or None if unknown."""
+        known = self._counts_by_engine.get(engine)
         if known is None or not is_same_process(known.started_unix_ms, started_unix_ms):
             return None
         return known
 
-    def take_report(self, engine: HostId, report: EngineReport) -> ProvedCount:
-        """Take in a report, unless an answer has proved more; return what holds now."""
+    def record_report(self, engine: HostId, report: EngineReport) -> KnownCount:
+        """Record a report unless an answer is more recent; return the current count."""
         known = self.get(engine, report.started_unix_ms)
         if known is None or report.sequence > known.sequence:
-            known = ProvedCount(report.started_unix_ms, report.sequence, report.group)
-            self._proved[engine] = known
+            known = KnownCount(report.started_unix_ms, report.sequence, report.group)
+            self._counts_by_engine[engine] = known
         return known
 
-    def take_answer(
+    def record_answer(
         self,
         engine: HostId,
         order: EngineOrder,
         expected_sequence: int | None,
         answer: OrderAnswer,
     ) -> None:
-        """Take in an answer to an order that named the count which it expected, or none.
+        """Record an answer to an order, which named the expected count or None.
 
-        What began raised the count. An order that holds changed nothing, but for a leave: that is
-        done at once, and so raised the count if it found the engine in the group that it names. An
-        order without a count may have found the engine otherwise than it was known.
+        ``BEGUN`` means that the count was incremented. ``HOLDS`` means that nothing changed, except
+        for a leave: it completes immediately, so it incremented the count if the engine was in the
+        named group. Without an expected count, the engine may have been in a state other than the
+        known one.
         """
-        known = self._proved.pop(engine, None)
+        known = self._counts_by_engine.pop(engine, None)
         if known is None:
             return
         is_proof = answer is OrderAnswer.BEGUN or expected_sequence is not None
-        if answer not in _TAKEN or not is_proof:
+        if answer not in _ACCEPTED or not is_proof:
             return
-        leaves = isinstance(order, LeaveGroup) and known.group == order.key
-        is_raised = answer is OrderAnswer.BEGUN or leaves
-        self._proved[engine] = ProvedCount(
-            known.started_unix_ms, known.sequence + is_raised, _group_after(order, known.group)
+        is_departure = isinstance(order, LeaveGroup) and known.group == order.key
+        is_incremented = answer is OrderAnswer.BEGUN or is_departure
+        self._counts_by_engine[engine] = KnownCount(
+            known.started_unix_ms, known.sequence + is_incremented, _group_after(order, known.group)
         )
 
 
 def _group_after(order: EngineOrder, group: GroupKey | None) -> GroupKey | None:
-    """Return the group that an engine belongs to once it has taken an order."""
+    """Return the group that an engine belongs to after it has accepted an order."""
     match order:
         case JoinGroup(key=key):
             return key
--- a/yewloom/order_delivery.py
+++ b/yewloom/order_delivery.py
@@ -1,6 +1,6 @@
-"""Giving the coordinator's orders to engines, and noting what their answers tell.
+"""Delivery of the coordinator's orders to engines, and evaluation of their answers.
 
-An engine is joined to a group only after its own word that it belongs to no other one.
+An engine is ordered to join a group only after it has reported that it belongs to no other group.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 from yewloom.directory import GroupKey
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.ids import HostId
-from yewloom.order_counts import OrderCounts, ProvedCount
+from yewloom.order_counts import KnownCount, OrderCounts
 from yewloom.plan_state import Departure, PlannedOrder, PlanState
 from yewloom.process_starts import is_same_process
 from yewloom.replica_orders import (
@@ -29,28 +29,28 @@
 
 logger = structlog.get_logger(__name__)
 
-_NO_ANSWER = (OrderAnswer.UNREACHABLE, OrderAnswer.UNKNOWN)
+_UNANSWERED = (OrderAnswer.UNREACHABLE, OrderAnswer.UNKNOWN)
 _HAS_LEFT = (OrderAnswer.BEGUN, OrderAnswer.HOLDS, OrderAnswer.OTHER_ENGINE)
-"""Answers after which an engine told to leave a group belongs to it no more."""
+"""Answers to an order to leave after which the engine no longer belongs to the group."""
 
 STALE_PAUSES_S = (0.1, 0.2, 0.4)
-"""Pauses between questions to an engine whose report is older than its own answer to an order."""
+"""Pauses between queries of an engine whose report is older than its last answer to an order."""
 
 JOIN_REPORT_TIMEOUT_S = 2.0
-"""Longest wait for the report of an engine that is to be joined. Without it there is no join, so a
-slow engine is waited for."""
+"""Longest wait for the report of an engine that is to join a group. Without a report the engine
+cannot join, so slow engines are given time."""
 
 
-class _NotGivenError(Exception):
-    """An order can't be given as things stand; its text tells why."""
+class _OrderNotSentError(Exception):
+    """An order cannot be sent now; the message states the reason."""
 
 
-class _SilentError(_NotGivenError):
-    """An engine says nothing of itself."""
+class _NoReportError(_OrderNotSentError):
+    """An engine did not return a report."""
 
 
 class OrderDelivery:
-    """Gives orders, each with the count of orders that its engine must have taken before."""
+    """Sends orders, each with the number of orders that its engine must have accepted before."""
 
     def __init__(
         self, engine_orders: EngineOrders, state: PlanState, metrics: ForwardMetrics
@@ -61,56 +61,57 @@
         self._counts = OrderCounts()
 
     def forget_sequences(self) -> None:
-        """Drop what is known of the engines' counts, as others may have given orders since."""
+        """Discard the known order counts, as another coordinator may have sent orders."""
         self._counts.clear()
 
     def give(self, orders: Iterable[PlannedOrder], tasks: BackgroundTasks) -> None:
-        """Give all orders at once, and wait for none of the answers.
+        """Send all orders concurrently without waiting for the answers.
 
-        An engine that is busy with an order gets no other one: the next plan gives it again.
+        An order to an engine that is still processing another one is left to the next plan.
         """
         for order in orders:
-            if not tasks.start(order.engine, partial(self._give_one, order)):
-                self._state.plan_again(order)
+            if not tasks.start(order.engine, partial(self._deliver_order, order)):
+                self._state.reschedule(order)
 
-    async def _give_one(self, planned: PlannedOrder) -> None:
+    async def _deliver_order(self, planned: PlannedOrder) -> None:
         try:
             sequence = await self._sequence_for(planned)
-        except _NotGivenError as error:
-            logger.info("order not given", engine=planned.engine, reason=str(error))
-            self._state.plan_again(planned)
+        except _OrderNotSentError as error:
+            logger.info("order not sent", engine=planned.engine, reason=str(error))
+            self._state.reschedule(planned)
             return
         answer = await self._send(planned, sequence)
         if answer is OrderAnswer.OUT_OF_DATE and isinstance(planned.order, LeaveGroup):
-            # It affects no other group, so it need not wait until the count is known.
+            # Leaving affects no other group, so it is safe to send without a count.
             await self._send(planned, None)
 
     async def _send(self, planned: PlannedOrder, sequence: int | None) -> OrderAnswer:
-        """Send an order, and note what its answer tells."""
+        """Send an order and record the outcome."""
         answer = await self._engine_orders.send(
             planned.engine, planned.address, planned.order, sequence
         )
-        self._counts.take_answer(planned.engine, planned.order, sequence, answer)
-        self._note_effect(planned, answer)
+        self._counts.record_answer(planned.engine, planned.order, sequence, answer)
+        self._record_acceptance(planned, answer)
         self._metrics.on_order(type(planned.order).__name__, answer.value)
         logger.info("order", engine=planned.engine, order=str(planned.order), answer=answer.value)
-        self._note_reach(planned.engine, answer)
+        self._record_reachability(planned.engine, answer)
         if isinstance(planned.order, LeaveGroup) and answer in _HAS_LEFT:
-            self._state.left.add(Departure(planned.engine, planned.order.key))
+            self._state.departures.add(Departure(planned.engine, planned.order.key))
         return answer
 
     async def _sequence_for(self, planned: PlannedOrder) -> int | None:
-        """Return the count of orders that the engine must have taken for an order to hold.
+        """Return the number of orders that the engine must have accepted before this one, if any.
 
-        Raises _NotGivenError if the engine does not say, or does not leave its former group, or if
-        the process has ended that the order is meant for.
+        Raises _OrderNotSentError if the engine does not report it, does not leave its previous
+        group, or is no longer the process that the order is meant for.
 
-        Orders that name a group are safe without: they affect no other group. A leave names the
-        count where that is known, since its answer then proves the next one.
+        Orders to open, close or leave a group are safe without a count, as they affect no other
+        group. An order to leave includes the count if it is known, because the answer then
+        determines the next count.
         """
         match planned.order:
             case JoinGroup(key=key):
-                return await self._sequence_outside(planned, key)
+                return await self._sequence_to_join(planned, key)
             case StageModel():
                 return await self._sequence_to_load(planned)
             case LeaveGroup(key=key):
@@ -119,71 +120,73 @@
         return None
 
     async def _sequence_to_load(self, planned: PlannedOrder) -> int | None:
-        """Return the count of an engine that is to load weights; None if it does not say.
+        """Return the count of an engine that is to load weights, or None if it does not report.
 
-        Such an order is given all the same: a load that may begin twice does less harm than one
-        that is planned again and again, and takes the place of others each time. An engine that is
-        at work on a load of an earlier coordinator is left to that.
+        The order is sent even without a count: a load that may start twice does less harm than one
+        that is planned repeatedly and uses up the rate limit of other loads each time. An engine
+        that still executes an order of an earlier coordinator is not interrupted.
         """
         known = self._counts.get(planned.engine, planned.started_unix_ms)
         if known is not None:
             return known.sequence
         try:
             report = await self._report(planned, REPORT_TIMEOUT_S)
-        except _SilentError:
+        except _NoReportError:
             return None
         if report.is_busy:
             self._state.note_busy(planned.engine, trio.current_time())
-            raise _NotGivenError("engine carries out another order")
-        return self._counts.take_report(planned.engine, report).sequence
+            raise _OrderNotSentError("engine is executing another order")
+        return self._counts.record_report(planned.engine, report).sequence
 
-    async def _sequence_outside(self, planned: PlannedOrder, key: GroupKey) -> int:
-        """Return the count of an engine that is in no other group than ``key``.
+    async def _sequence_to_join(self, planned: PlannedOrder, key: GroupKey) -> int:
+        """Return the count of an engine, after making sure that it is in no group but ``key``.
 
-        A join replaces an engine's place in its group, whoever leads that and whether or not it
-        serves. What the listing and other engines tell may be late or wrong, so the engine's own
-        word is asked for each time, and it leaves a former group by an order of its own; the count
-        shows that nothing came in between. That costs a question and at most one order more for
-        each join.
+        A join replaces the engine's current membership even if that group is serving. Listings and
+        other engines may be outdated or wrong, so the engine itself is queried each time and leaves
+        a previous group by a separate order; the count shows that no order came in between. This
+        costs one query and at most one additional order per join.
         """
-        proved = await self._proved_now(planned)
-        if proved.group is None or proved.group == key:
-            return proved.sequence
-        leave = LeaveGroup(proved.group)
-        answer = await self._send(replace(planned, order=leave), proved.sequence)
-        left = self._counts.get(planned.engine, planned.started_unix_ms)
-        if left is None or left.group is not None:
-            raise _NotGivenError(f"engine did not leave {proved.group}: {answer.value}")
-        return left.sequence
-
-    async def _proved_now(self, planned: PlannedOrder) -> ProvedCount:
-        """Ask an engine of itself until its report is no older than its answers to orders."""
+        current = await self._fresh_count(planned)
+        if current.group is None or current.group == key:
+            return current.sequence
+        leave = LeaveGroup(current.group)
+        answer = await self._send(replace(planned, order=leave), current.sequence)
+        after_leave = self._counts.get(planned.engine, planned.started_unix_ms)
+        if after_leave is None or after_leave.group is not None:
+            raise _OrderNotSentError(f"engine did not leave {current.group}: {answer.value}")
+        return after_leave.sequence
+
+    async def _fresh_count(self, planned: PlannedOrder) -> KnownCount:
+        """Query an engine until its report is at least as recent as its answers to orders."""
         for pause_s in STALE_PAUSES_S:
             report = await self._report(planned, JOIN_REPORT_TIMEOUT_S)
-            proved = self._counts.take_report(planned.engine, report)
-            if proved.group is None or not self._state.has_left(planned.engine, proved.group):
+            current = self._counts.record_report(planned.engine, report)
+            if current.group is None or not self._state.has_left(planned.engine, current.group):
                 break
             await trio.sleep(pause_s)
-        return proved
+        return current
 
     async def _report(self, planned: PlannedOrder, timeout_s: float) -> EngineReport:
-        """Return what the engine says of itself; raises _NotGivenError, _SilentError among them."""
+        """Query an engine's report; raise _OrderNotSentError if there is none that can be used.
+
+        The subclass _NoReportError means that the engine did not answer.
+        """
         report = await self._engine_orders.read_report(planned.address, timeout_s)
         if report is None:
-            raise _SilentError("engine does not answer")
+            raise _NoReportError("engine does not answer")
         if not is_same_process(planned.started_unix_ms, report.started_unix_ms):
-            raise _NotGivenError("engine started again")
+            raise _OrderNotSentError("engine process was restarted")
         return report
 
-    def _note_effect(self, planned: PlannedOrder, answer: OrderAnswer) -> None:
-        """Take in whether an engine took an order; one that was refused is planned again."""
+    def _record_acceptance(self, planned: PlannedOrder, answer: OrderAnswer) -> None:
+        """Record whether an engine accepted an order; a refused order is scheduled again."""
         if answer is OrderAnswer.OUT_OF_DATE:
             self._state.note_refused(planned, trio.current_time())
         else:
-            self._state.note_taken(planned)
+            self._state.note_accepted(planned)
 
-    def _note_reach(self, engine: HostId, answer: OrderAnswer) -> None:
-        if answer in _NO_ANSWER:
-            self._state.unanswered.add(engine)
+    def _record_reachability(self, engine: HostId, answer: OrderAnswer) -> None:
+        if answer in _UNANSWERED:
+            self._state.unresponsive.add(engine)
         else:
-            self._state.unanswered.discard(engine)
+            self._state.unresponsive.discard(engine)
--- a/yewloom/plan_state.py
+++ b/yewloom/plan_state.py
@@ -1,4 +1,4 @@
-"""What a coordinator remembers between two plans, and the orders that a plan gives."""
+"""State that a coordinator keeps between plans, and the types that make up a plan."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -11,21 +11,21 @@
 from yewloom.values import value_class
 
 ORDER_REPEAT_S = 1.5
-"""Pause before an order whose effect has not shown is given again: a listing shows an effect
-within some hundred milliseconds."""
+"""Pause before an order is sent again if listings do not show its effect. Normally a listing shows
+the effect within a few hundred milliseconds."""
 
 REFUSED_PAUSE_S = 0.2
-"""Pause before an order that was refused is given again; it doubles with each refusal, up to that
-of an order whose effect has not shown."""
+"""Pause before a refused order is sent again; it doubles with each refusal up to
+``ORDER_REPEAT_S``."""
 
 BUSY_PAUSE_S = 2.0
-"""Pause before an engine that carries out an order of somebody else is to load weights, which takes
-longer."""
+"""Pause before an engine that is executing another coordinator's order is asked to load weights;
+loading takes longer than this."""
 
 
 @value_class
 class PlannedOrder:
-    """An order to one engine, to the process of it that was started then (0: any)."""
+    """An order to the engine process that started at ``started_unix_ms`` (0 for any process)."""
 
     engine: HostId
     address: str
@@ -34,8 +34,8 @@
 
 
 @value_class
-class OrderName:
-    """An order as it is remembered: to whom, of which kind, for which group."""
+class OrderId:
+    """Identifies an order by its engine, kind and group."""
 
     engine: HostId
     kind: str
@@ -44,7 +44,7 @@
 
 @value_class
 class Departure:
-    """One engine's departure from one formation of a group."""
+    """One engine's departure from one generation of a group."""
 
     engine: HostId
     key: GroupKey
@@ -52,24 +52,24 @@
 
 @value_class
 class Staging:
-    """A model that is being loaded onto a host, and since when."""
+    """A model whose weights are being loaded onto a host, and since when."""
 
     model: ModelName
     since_s: float
 
 
 class EndEvidence(Enum):
-    """What shows that a group which was given up has ended."""
+    """Evidence that an abandoned group has ended."""
 
     LEADER_LEFT = "leader answered that it left"
     LEADER_BROKEN = "leader listed as broken"
-    LEADER_ELSEWHERE = "leader listed outside of it"
-    NOBODY_IN_IT = "leader unlisted, every other listed member answered that it left"
+    LEADER_LISTED_OUTSIDE = "leader listed outside of the group"
+    ALL_MEMBERS_LEFT = "leader unlisted, every other listed member answered that it left"
 
 
 @value_class
 class EndedGroup:
-    """A group that a plan takes as ended, and by which evidence."""
+    """A group that a plan considers ended, with the evidence."""
 
     key: GroupKey
     evidence: EndEvidence
@@ -77,7 +77,7 @@
 
 @dataclass
 class ReplicaPlan:
-    """The next record, None if nothing changes in it, the orders to give, and what has ended."""
+    """The next record (None if unchanged), the orders to send, and the groups that have ended."""
 
     record: Placement | None
     orders: list[PlannedOrder]
@@ -86,88 +86,97 @@
 
 @dataclass
 class PlanState:
-    """What is remembered between two plans; all of it may be lost at any time.
-
-    ``unsettled_since_s`` tells since when a group forms, or drains, and ``given_up_s`` since when
-    one that was given up is seen so; ``due_s`` tells when an order that was given may be given
-    again, and ``refusals`` how often it was refused; ``busy_until_s`` tells until when engines are
-    taken to carry out an order of somebody else; ``left`` are the departures that engines
-    confirmed, ``ended`` the groups that counted as ended, and ``seen_joined`` those whose leader a
-    listing showed in them; ``unanswered`` are hosts whose latest order had no answer, and
-    ``suspects`` hosts that did not answer although they are listed; ``answered_s`` tells when hosts
-    that are not listed answered; ``stood_still_s`` tells when groups were reported to; ``gathered``
-    are hosts that were free before; ``started_unix_ms`` tells the processes of engines that were
-    listed last.
+    """State kept between plans; all of it may be lost at any time.
+
+    ``transition_since_s``: since when a group has been forming or draining.
+    ``abandoned_since_s``: when an abandoned group was first seen.
+    ``due_s``: when an order may be sent again; ``refusals``: how often it was refused.
+    ``busy_until_s``: until when an engine is assumed to execute another coordinator's order.
+    ``leaving_since_s``: since when a serving group has had a leaving member.
+    ``departures``: departures from groups that engines confirmed.
+    ``ended_groups``: groups that were considered ended.
+    ``leader_seen_joined``: groups whose leader a listing has shown as their member.
+    ``unresponsive``: hosts whose latest order had no answer.
+    ``suspects``: listed hosts that did not answer a query.
+    ``unlisted_since_s``: since when a recorded member has been missing from listings.
+    ``answered_s``: when a host that is not listed last answered.
+    ``stalled_s``: when a group was last reported as stalled.
+    ``staging``: loads in progress; ``load_times_s``: when recent loads were started.
+    ``known_hosts``: hosts listed so far; ``last_new_host_s``: when the last of them appeared.
+    ``started_unix_ms``: start of the engine process that was last listed for a host.
     """
 
-    unsettled_since_s: dict[GroupKey, float] = field(default_factory=dict)
-    given_up_s: dict[GroupKey, float] = field(default_factory=dict)
-    due_s: dict[OrderName, float] = field(default_factory=dict)
-    refusals: Counter[OrderName] = field(default_factory=Counter)
+    transition_since_s: dict[GroupKey, float] = field(default_factory=dict)
+    abandoned_since_s: dict[GroupKey, float] = field(default_factory=dict)
+    due_s: dict[OrderId, float] = field(default_factory=dict)
+    refusals: Counter[OrderId] = field(default_factory=Counter)
     busy_until_s: dict[HostId, float] = field(default_factory=dict)
     leaving_since_s: dict[GroupKey, float] = field(default_factory=dict)
-    left: set[Departure] = field(default_factory=set)
-    ended: set[GroupKey] = field(default_factory=set)
-    seen_joined: set[GroupKey] = field(default_factory=set)
-    unanswered: set[HostId] = field(default_factory=set)
+    departures: set[Departure] = field(default_factory=set)
+    ended_groups: set[GroupKey] = field(default_factory=set)
+    leader_seen_joined: set[GroupKey] = field(default_factory=set)
+    unresponsive: set[HostId] = field(default_factory=set)
     staging: dict[HostId, Staging] = field(default_factory=dict)
     unlisted_since_s: dict[HostId, float] = field(default_factory=dict)
     answered_s: dict[HostId, float] = field(default_factory=dict)
-    stood_still_s: dict[GroupKey, float] = field(default_factory=dict)
+    stalled_s: dict[GroupKey, float] = field(default_factory=dict)
     suspects: set[HostId] = field(default_factory=set)
     load_times_s: list[float] = field(default_factory=list)
-    gathered: set[HostId] = field(default_factory=set)
-    gathered_s: float = 0.0
+    known_hosts: set[HostId] = field(default_factory=set)
+    last_new_host_s: float = 0.0
     started_unix_ms: dict[HostId, int] = field(default_factory=dict)
 
     def note_process(self, host: HostId, started_unix_ms: int) -> None:
-        """Take in which process of an engine is listed; a new one has nothing of an earlier one."""
+        """Record which process of an engine is listed; a new process inherits no state."""
         if self.started_unix_ms.setdefault(host, started_unix_ms) == started_unix_ms:
             return
         self.started_unix_ms[host] = started_unix_ms
         self.suspects.discard(host)
-        self.unanswered.discard(host)
+        self.unresponsive.discard(host)
         for known in (self.staging, self.busy_until_s, self.unlisted_since_s, self.answered_s):
             known.pop(host, None)
 
     def forget_evidence(self) -> None:
-        """Drop what was seen of engines and groups, which others may have changed since."""
-        for seen in (
-            self.unsettled_since_s,
-            self.given_up_s,
+        """Discard observations of engines and groups, as another coordinator may change them."""
+        for observations in (
+            self.transition_since_s,
+            self.abandoned_since_s,
             self.due_s,
             self.refusals,
             self.busy_until_s,
             self.leaving_since_s,
-            self.left,
-            self.ended,
-            self.seen_joined,
-            self.unanswered,
+            self.departures,
+            self.ended_groups,
+            self.leader_seen_joined,
+            self.unresponsive,
             self.unlisted_since_s,
             self.answered_s,
-            self.stood_still_s,
+            self.stalled_s,
             self.suspects,
         ):
-            seen.clear()
+            observations.clear()
 
     def has_left(self, host: HostId, key: GroupKey) -> bool:
-        """Tell whether an engine confirmed that it left a group."""
-        return Departure(host, key) in self.left
+        """Return whether an engine confirmed that it left a group."""
+        return Departure(host, key) in self.departures
 
     def is_silent(self, host: HostId) -> bool:
-        """Tell whether an engine gave no answer lately: a reason to ask others, and no proof."""
-        return host in self.suspects or host in self.unanswered
+        """Return whether an engine recently failed to answer.
+
+        This is a reason to query other engines, but no proof that the engine has failed.
+        """
+        return host in self.suspects or host in self.unresponsive
 
     def may_order(self, planned: PlannedOrder, now_s: float) -> bool:
-        """Tell whether an order is due, and remember it as given if it is."""
+        """Return whether an order is due, and if so record it as sent."""
         name = order_name(planned)
         if now_s < self.due_s.get(name, float("-inf")):
             return False
         self.due_s[name] = now_s + ORDER_REPEAT_S
         return True
 
-    def plan_again(self, planned: PlannedOrder, due_s: float = float("-inf")) -> None:
-        """Take in that an order had no effect, so that it may be given again from ``due_s`` on."""
+    def reschedule(self, planned: PlannedOrder, due_s: float = float("-inf")) -> None:
+        """Record that an order had no effect, so that it may be sent again from ``due_s`` on."""
         self.due_s[order_name(planned)] = due_s
         if isinstance(planned.order, StageModel):
             staging = self.staging.pop(planned.engine, None)
@@ -175,33 +184,33 @@
                 self.load_times_s.remove(staging.since_s)
 
     def note_refused(self, planned: PlannedOrder, now_s: float) -> None:
-        """Take in that an engine refused an order, which is planned again behind a pause."""
+        """Record that an engine refused an order, which becomes due again after a pause."""
         name = order_name(planned)
         pause_s = min(REFUSED_PAUSE_S * 2 ** self.refusals[name], ORDER_REPEAT_S)
         self.refusals[name] += 1
-        self.plan_again(planned, now_s + pause_s)
+        self.reschedule(planned, now_s + pause_s)
         if isinstance(planned.order, StageModel):
             self.note_busy(planned.engine, now_s)
 
-    def note_taken(self, planned: PlannedOrder) -> None:
-        """Take in that an engine took an order."""
+    def note_accepted(self, planned: PlannedOrder) -> None:
+        """Record that an engine accepted an order."""
         self.refusals.pop(order_name(planned), None)
 
     def note_busy(self, engine: HostId, now_s: float) -> None:
-        """Take in that an engine carries out another order, so that it can't load weights."""
+        """Record that an engine is executing another order and cannot load weights."""
         self.busy_until_s[engine] = now_s + BUSY_PAUSE_S
 
     def is_busy(self, engine: HostId, now_s: float) -> bool:
-        """Tell whether an engine was found at work on another order a short while ago."""
+        """Return whether an engine was recently found executing another order."""
         return now_s < self.busy_until_s.get(engine, float("-inf"))
 
 
 def key_of(group: Group) -> GroupKey:
-    """Return the name of one formation of a recorded group."""
+    """Return the key (id and generation) of a recorded group."""
     return GroupKey(GroupId(group.id), group.generation)
 
 
-def order_name(planned: PlannedOrder) -> OrderName:
-    """Return the name under which an order is remembered."""
+def order_name(planned: PlannedOrder) -> OrderId:
+    """Return the identity under which an order is recorded."""
     order = planned.order
-    return OrderName(planned.engine, type(order).__name__, getattr(order, "key", None))
+    return OrderId(planned.engine, type(order).__name__, getattr(order, "key", None))
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -1,8 +1,9 @@
-"""Runs the replicas of one data centre while this entry host holds its lease.
+"""Manages the replicas of one data centre while this entry host holds its coordinator lease.
 
-Each step plans from the listed endpoints and the recorded placement, writes the next record under
-its version, and only then gives the orders that follow. A coordinator that was paused or cut off
-reads the record anew before it plans: its own write fails if anyone else wrote.
+Each step plans from the listed endpoints and the recorded placement, writes the next record
+conditionally on its version, and only then sends the resulting orders. After a pause or a partition
+the coordinator's write fails if another host wrote in between, and it reads the record again before
+it plans.
 """
 
 from collections import Counter
@@ -32,11 +33,11 @@
 logger = structlog.get_logger(__name__)
 
 STEP_S = 0.2
-"""Pause between two plans, well under the time in which a group forms."""
+"""Pause between two plans, well below the time that a group takes to form."""
 
 
 class ReplicaCoordinator:
-    """Keeps the replicas of one data centre formed and open."""
+    """Forms and opens the replicas of one data centre, and replaces lost ones."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
 
     @property
     def is_holding(self) -> bool:
-        """Return whether this host coordinates now."""
+        """Return whether this host is the coordinator now."""
         return self._is_holding
 
     async def run(self) -> None:
@@ -81,30 +82,30 @@
                 await trio.sleep(STEP_S)
 
     async def _coordinate(self, tasks: BackgroundTasks) -> None:
-        """Take or keep the lease, and plan once while it is held."""
+        """Acquire or renew the lease, and plan once if it is held."""
         if self.is_leaving:
             self._set_holding(False, tasks)
             await self._lease.release()
         elif self._is_holding or self._may_lead():
             await self._lease.run_due_action()
-            # The host may have begun to stop while the store answered.
+            # The host may have begun to stop while the store call was in progress.
             self._set_holding(self._lease.holds() and not self.is_leaving, tasks)
             if self._is_holding:
                 await self._step(tasks)
 
     def _set_holding(self, holds: bool, tasks: BackgroundTasks) -> None:
-        """Begin or end coordinating; what another coordinator may have changed is read anew."""
+        """Start or stop coordinating, and discard what another coordinator may have changed."""
         if holds == self._is_holding:
             return
         tasks.cancel_all()
-        logger.info("coordinator changed", holds=holds, term=self._lease.term)
+        logger.info("coordinator role changed", holds=holds, term=self._lease.term)
         self._is_holding = holds
         self._placement.forget()
         self._state.forget_evidence()
         self._delivery.forget_sequences()
 
     async def _step(self, tasks: BackgroundTasks) -> None:
-        """Plan once and carry the plan out, for the first service of engines."""
+        """Plan once and execute the plan, for the first engine service."""
         configuration = self._book.current
         if configuration is None or not self._directory.is_known:
             return
@@ -144,13 +145,16 @@
         )
 
     def _count_data_centres(self, service: Service) -> None:
-        """Count the data centres that have engines; one that is out of sight goes on loading."""
+        """Update the number of data centres that have engines.
+
+        It never decreases, as a data centre that is not visible continues to load weights.
+        """
         engines = self._directory.of_service(service.name)
         listed = {self._data_centre, *(engine.data_centre for engine in engines)}
         self._data_centres = max(self._data_centres, len(listed))
 
     def _running_by_model(self) -> Counter[ModelName]:
-        """Return how many requests of each model run at the groups' leaders."""
+        """Return the number of requests of each model that are running at the groups' leaders."""
         running: Counter[ModelName] = Counter()
         for endpoint_id, count in self._selector.running_everywhere().items():
             endpoint = self._directory.by_id.get(endpoint_id)
@@ -173,9 +177,9 @@
     def _orders_to_form(
         self, planner: ReplicaPlanner, written: Placement, before: Placement
     ) -> list[PlannedOrder]:
-        """Return the orders that form the groups which a written record holds for the first time.
+        """Return the orders that form the groups that are new in a written record.
 
-        They count as given from now on.
+        The orders are recorded as sent.
         """
         known = {group.id for group in before.groups}
         now_s = trio.current_time()
@@ -189,7 +193,7 @@
 
 
 def _log_ended(plan: ReplicaPlan) -> None:
-    """Write down why groups count as ended: what their hosts' next use rests on."""
+    """Log why groups are considered ended, as their hosts may be used again for that reason."""
     for ended in plan.ended:
         logger.info(
             "group ended",
--- a/yewloom/replica_orders.py
+++ b/yewloom/replica_orders.py
@@ -1,4 +1,4 @@
-"""Orders to model engines: what the coordinator asks of them, and what their answers mean."""
+"""Orders from the coordinator to model engines, and the meaning of their answers."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -9,12 +9,12 @@
 from yewloom.values import value_class
 
 REPORT_TIMEOUT_S = 0.4
-"""Usual wait for an engine's report, which takes no place in its batch."""
+"""Default time-out for an engine's report. Reporting does not take up a slot in its batch."""
 
 
 @value_class
 class JoinGroup:
-    """Take part in a group; the first member leads."""
+    """Join a group; the first member is the leader."""
 
     key: GroupKey
     model: ModelName
@@ -23,28 +23,28 @@
 
 @value_class
 class OpenGroup:
-    """Take requests; for the leader of a group whose members are all ready."""
+    """Accept requests; sent to the leader of a group whose members are all ready."""
 
     key: GroupKey
 
 
 @value_class
 class CloseGroup:
-    """Take no more requests and finish those that run; for the leader."""
+    """Accept no more requests and finish the running ones; sent to the leader."""
 
     key: GroupKey
 
 
 @value_class
 class LeaveGroup:
-    """Belong to the group no more, at once."""
+    """Leave the group immediately."""
 
     key: GroupKey
 
 
 @value_class
 class StageModel:
-    """Load a model's weights onto the host beside everything else."""
+    """Load a model's weights onto the host in the background."""
 
     model: ModelName
 
@@ -53,12 +53,12 @@
 
 
 class OrderAnswer(Enum):
-    """What an engine made of an order.
+    """Outcome of an order.
 
-    ``BEGUN``: it changes the engine's state. ``HOLDS``: the state was as ordered already.
-    ``OUT_OF_DATE``: it does not fit the engine's state, or other orders came in between.
-    ``OTHER_ENGINE``: the address belongs to another endpoint now. ``UNREACHABLE``: nothing was
-    sent. ``UNKNOWN``: it may have been taken, or may still be carried out.
+    ``BEGUN``: the engine is changing its state. ``HOLDS``: the state was already as ordered.
+    ``OUT_OF_DATE``: the order does not match the engine's state or its order count.
+    ``OTHER_ENGINE``: the address now belongs to another endpoint. ``UNREACHABLE``: nothing was
+    sent. ``UNKNOWN``: the order may have been accepted, or may still be executed.
     """
 
     BEGUN = "begun"
@@ -71,11 +71,11 @@
 
 @value_class
 class EngineReport:
-    """What an engine says of itself.
+    """An engine's report of its own state, which is a few hundred milliseconds old.
 
-    ``sequence`` counts the orders that it has taken, ``started_unix_ms`` tells when its process
-    started (0 if it does not say), ``group`` which group it belongs to, None for none, and
-    ``is_busy`` whether it carries out an order. All of it is as some hundred milliseconds ago.
+    ``sequence`` is the number of orders that it has accepted, ``started_unix_ms`` the start of its
+    process (0 if unknown), and ``group`` the group that it belongs to, if any. ``is_busy`` means
+    that it is executing an order.
     """
 
     sequence: int
@@ -90,11 +90,14 @@
     async def send(
         self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
     ) -> OrderAnswer:
-        """Give one order; it counts only if the engine has taken ``expected_sequence`` so far."""
+        """Send one order; it takes effect only if the engine's count is ``expected_sequence``.
+
+        None sends the order unconditionally.
+        """
         ...
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Ask an engine of itself; None if it does not answer in time."""
+        """Query an engine's report; return None if it does not answer in time."""
         ...
--- a/yewloom/replica_plan.py
+++ b/yewloom/replica_plan.py
@@ -1,7 +1,7 @@
-"""Plan of a data centre's replicas: which groups to form, open, close and give up.
+"""Plan of a data centre's replicas: which groups to form, open, close and abandon.
 
-The plan is pure: it reads the endpoints as listed and the groups as recorded, and returns the
-next record and the orders to give. Orders that form a group follow only from a record that was
+Planning does no I/O: it reads the listed endpoints and the recorded groups, and returns the next
+record and the orders to send. Orders that form a group are derived only from a record that has been
 written.
 """
 
@@ -21,7 +21,7 @@
 
 
 class ReplicaPlanner:
-    """Plans for one service of engines in one data centre."""
+    """Plans the replicas of one engine service in one data centre."""
 
     def __init__(
         self,
@@ -43,16 +43,16 @@
         self._supply = ReplicaSupply(data_centre, service, profile, directory, state, bounds)
 
     def plan(self, record: Placement, now_s: float) -> ReplicaPlan:
-        """Return what should follow the record as it stands; a planner plans once."""
+        """Return the plan that follows the given record; a planner is used for one plan only."""
         for endpoint in self._directory.of_service(self._service):
             self._state.note_process(endpoint.id, endpoint.started_unix_ms)
         draft = Placement()
         draft.CopyFrom(record)
         for group in draft.groups:
             self._lifecycle.note_joined(group)
-        kept = [group for group in draft.groups if not self._lifecycle.is_over(group, now_s)]
+        kept = [group for group in draft.groups if not self._lifecycle.has_ended(group, now_s)]
         for group in kept:
-            self._lifecycle.tend(group, now_s)
+            self._lifecycle.reconcile(group, now_s)
         generation = record.generation + 1
         formed = self._supply.form(kept, self._need(kept), generation, now_s)
         groups = [*kept, *formed]
@@ -66,11 +66,11 @@
         return ReplicaPlan(result, orders, self._lifecycle.ended)
 
     def join_orders(self, group: Group) -> list[PlannedOrder]:
-        """Return the orders that form a group which the record holds."""
+        """Return the orders that form a recorded group."""
         return self._lifecycle.join_orders(group)
 
     def _need(self, groups: Sequence[Group]) -> ModelNeed:
-        """Count this data centre's replicas as recorded and those elsewhere as listed."""
+        """Return the need for replicas, counting local ones as recorded and others as listed."""
         active = GroupIntent.ACTIVE.value
         replicas = Counter(ModelName(g.model) for g in groups if g.intent == active)
         for leader in self._directory.leaders_of(self._service):
--- a/yewloom/replica_supply.py
+++ b/yewloom/replica_supply.py
@@ -1,8 +1,8 @@
-"""Hosts for new groups: which group comes next, and which weights to load ahead.
+"""Hosts for new groups: which group to form next, and which weights to load in advance.
 
-Loading takes far longer than anything else, so a group is formed only of hosts that are prepared
-for its model, and weights are loaded ahead onto free hosts, or onto hosts of a model that has
-replicas to spare while they go on serving.
+Loading weights takes far longer than any other step, so a group is formed only from hosts that are
+prepared for its model. Weights are loaded in advance onto free hosts, or onto serving hosts of a
+model with surplus replicas.
 """
 
 from collections import Counter, defaultdict
@@ -20,15 +20,15 @@
 from yewloom.states import GroupIntent
 from yewloom.weight_loads import SupplyBounds, WeightLoads
 
-GATHER_S = 0.9
-"""Time without a new host after which the first groups are formed: hosts appear within 3 s of the
-start, some hundred milliseconds apart, and loads cost nothing until the first request."""
+FIRST_FORMATION_PAUSE_S = 0.9
+"""Time without a new host after which the first groups are formed. Hosts appear within 3 s of the
+start, a few hundred milliseconds apart, and loads are not limited until the first request."""
 
 _SETTLED = (MemberState.READY, MemberState.OPEN)
 
 
 class ReplicaSupply:
-    """Plans new groups and loads in one data centre."""
+    """Plans new groups and weight loads in one data centre."""
 
     def __init__(
         self,
@@ -52,46 +52,46 @@
 
     @property
     def orders(self) -> list[PlannedOrder]:
-        """Return the orders that the plan gives so far."""
+        """Return the orders planned so far."""
         return [*self._free.orders, *self._loads.orders]
 
     def form(
-        self, kept: Sequence[Group], need: ModelNeed, generation: int, now_s: float
+        self, reserved: Sequence[Group], need: ModelNeed, generation: int, now_s: float
     ) -> list[Group]:
-        """Form groups out of free hosts, of the model that lacks replicas most first."""
+        """Form groups from free hosts, for the model with the greatest shortage first."""
         formed: list[Group] = []
-        free = self._free.by_domain(kept, now_s)
-        if self._is_gathering(now_s):
+        free = self._free.by_domain(reserved, now_s)
+        if self._is_awaiting_hosts(now_s):
             return formed
-        models = self._models_by_domain(kept)
-        leaving = [] if self._bounds.loads_are_free else self._reserves.leaving(kept, now_s)
+        models = self._models_by_domain(reserved)
+        leaving = [] if self._bounds.is_unlimited else self._reserves.leaving(reserved, now_s)
         while (choice := self._next_group(free, need, models, leaving)) is not None:
             model, chosen = choice
             name = f"{self._data_centre}-{generation}-{len(formed)}"
             formed.append(_new_group(name, model, chosen, generation))
             models[chosen[0].fabric_domain][model.name] += 1
-            need = need.with_one_more(model.name)
+            need = need.with_added_replica(model.name)
             for endpoint in chosen:
                 free[endpoint.fabric_domain].remove(endpoint)
         return formed
 
     def load_ahead(self, groups: Sequence[Group], need: ModelNeed, now_s: float) -> list[Group]:
-        """Load weights for the next groups; return the groups to close for one of them now."""
-        self._loads.forget_ended(now_s)
-        if self._bounds.loads_are_free:
-            self._stage_reserves(groups, now_s)
+        """Load weights for the next groups; return the groups to drain for an exchange now."""
+        self._loads.drop_finished(now_s)
+        if self._bounds.is_unlimited:
+            self._load_spare_weights(groups, now_s)
             return []
         free = self._free.by_domain(groups, now_s)
-        chosen = self._exchanges.best(free, groups, need)
+        chosen = self._exchanges.find_best(free, groups, need)
         for domain, endpoints in free.items():
             if chosen is None or domain != chosen.domain:
-                self._stage_domain(endpoints, need, now_s)
+                self._load_for_domain(endpoints, need, now_s)
         return self._exchange(chosen, now_s) if chosen is not None else []
 
-    def _stage_reserves(self, groups: Sequence[Group], now_s: float) -> None:
-        """Load the largest model onto the hosts of one other group in each domain.
+    def _load_spare_weights(self, groups: Sequence[Group], now_s: float) -> None:
+        """Load the largest model's weights onto the hosts of one other group in each domain.
 
-        When a host of a large group is lost, such a host takes its place without a load.
+        When a host of a large group is lost, one of these hosts can replace it without a load.
         """
         by_domain: defaultdict[str, list[Group]] = defaultdict(list)
         for group in groups:
@@ -107,24 +107,27 @@
                     self._loads.load(host, largest, now_s)
 
     def _exchange(self, chosen: GroupExchange, now_s: float) -> list[Group]:
-        """Return the groups to close now; weights are loaded onto their hosts while they serve."""
+        """Return the groups to drain now; first, weights are loaded while the hosts still serve."""
         missing = chosen.hosts_to_load()
         if not missing:
-            return list(chosen.given)
+            return list(chosen.released)
         for host in missing:
             self._loads.load(host, chosen.model, now_s)
         return []
 
-    def _is_gathering(self, now_s: float) -> bool:
-        """Tell whether hosts still appear before the first request, so that domains fill up."""
+    def _is_awaiting_hosts(self, now_s: float) -> bool:
+        """Return whether to wait for more hosts before the first request, to fill domains."""
         ids = {endpoint.id for endpoint in self._directory.of_service(self._service)}
-        if not ids <= self._state.gathered:
-            self._state.gathered |= ids
-            self._state.gathered_s = now_s
-        return self._bounds.loads_are_free and now_s - self._state.gathered_s < GATHER_S
+        if not ids <= self._state.known_hosts:
+            self._state.known_hosts |= ids
+            self._state.last_new_host_s = now_s
+        return (
+            self._bounds.is_unlimited
+            and now_s - self._state.last_new_host_s < FIRST_FORMATION_PAUSE_S
+        )
 
     def _models_by_domain(self, groups: Iterable[Group]) -> defaultdict[str, Counter[ModelName]]:
-        """Count each domain's groups by model."""
+        """Return the number of groups of each model by domain."""
         models: defaultdict[str, Counter[ModelName]] = defaultdict(Counter)
         for group in groups:
             for domain in {member.fabric_domain for member in members_of(group, self._directory)}:
@@ -138,27 +141,31 @@
         models: Mapping[str, Counter[ModelName]],
         leaving: Sequence[Endpoint],
     ) -> tuple[ReplicaModel, list[Endpoint]] | None:
-        """Return the next group's model and hosts.
+        """Return the next group's model and hosts, or None if none can be formed.
 
-        Groups of one model are spread over the domains, so that each has hosts of small groups
-        that can take the place of a lost host of a large one. Hosts that a model in greater need
-        forms a group of in a moment are left to it.
+        Groups of one model are spread over the domains, so that each domain has hosts of small
+        groups that can replace a lost host of a large one. Hosts that will soon form a group of a
+        model in greater need are reserved for it.
         """
-        kept: set[HostId] = set()
-        for model in need.order():
+        reserved: set[HostId] = set()
+        for model in need.models_by_need():
             for domain in _domains_for(model, free, models):
-                ready = [e for e in free[domain] if e.id not in kept and self._can_join(e, model)]
+                ready = [
+                    e for e in free[domain] if e.id not in reserved and self._can_join(e, model)
+                ]
                 if len(ready) >= model.group_size:
                     ready.sort(key=lambda e: (model.name not in e.models, e.id))
                     return model, ready[: model.group_size]
-            kept |= self._reserves.kept_for(model, free, leaving)
+            reserved |= self._reserves.reserved_for(model, free, leaving)
         return None
 
     def _can_join(self, endpoint: Endpoint, model: ReplicaModel) -> bool:
-        return self._bounds.loads_are_free or endpoint.is_prepared_for(model.name)
+        return self._bounds.is_unlimited or endpoint.is_prepared_for(model.name)
 
-    def _stage_domain(self, endpoints: Sequence[Endpoint], need: ModelNeed, now_s: float) -> None:
-        model = _model_to_stage(endpoints, need)
+    def _load_for_domain(
+        self, endpoints: Sequence[Endpoint], need: ModelNeed, now_s: float
+    ) -> None:
+        model = _model_to_load(endpoints, need)
         loading = [e for e in endpoints if self._loads.is_loading(e, now_s)]
         wanted = min(model.group_size, len(endpoints))
         wanted -= sum(e.is_prepared_for(model.name) or e in loading for e in endpoints)
@@ -187,7 +194,7 @@
     free: Mapping[str, list[Endpoint]],
     models: Mapping[str, Counter[ModelName]],
 ) -> list[str]:
-    """Return the domains with free hosts, those with the fewest groups of this model first."""
+    """Return the domains with free hosts, the one with the fewest groups of this model first."""
 
     def rank(domain: str) -> tuple[int, int, str]:
         here = models.get(domain, Counter())
@@ -196,13 +203,13 @@
     return sorted(free, key=rank)
 
 
-def _model_to_stage(endpoints: Sequence[Endpoint], need: ModelNeed) -> ReplicaModel:
+def _model_to_load(endpoints: Sequence[Endpoint], need: ModelNeed) -> ReplicaModel:
     """Return the model whose weights a domain's free hosts should have.
 
-    That is the one that lacks replicas most, if the hosts are enough for a group of it, or if some
-    are prepared for it already and wait for more hosts.
+    This is the model with the greatest shortage for which there are enough hosts to form a group,
+    or for which some hosts are already prepared and wait for more.
     """
-    by_need = need.order()
+    by_need = need.models_by_need()
     for model in by_need:
         is_begun = any(endpoint.is_prepared_for(model.name) for endpoint in endpoints)
         if model.group_size <= len(endpoints) or is_begun:
--- a/yewloom/stalled_groups.py
+++ b/yewloom/stalled_groups.py
@@ -1,4 +1,4 @@
-"""The look at groups that may have lost a member: which of their members answer no more."""
+"""Failure detection for groups that may have lost a member: which members no longer answer."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -21,54 +21,54 @@
 logger = structlog.get_logger(__name__)
 
 PROBE_AFTER_STALL_S = 2.0
-"""Least pause between two looks at the members of a group that stands still."""
+"""Minimum pause between two probes of a suspect or of the members of a stalled group."""
 
 SUSPECT_REPORT_TIMEOUT_S = 1.8
-"""Longest wait for the report of a suspect, and of a group's members that are all silent: a suspect
-is asked again only after that, and one that answers slowly can still serve."""
+"""Longest wait for the report of a suspect, or of members of a group that are all unresponsive. A
+suspect is probed again only after that, and an engine that answers slowly can still serve."""
 
 PROBE_UNLISTED_S = 0.8
-"""Pause between two questions to a member that the store no longer lists."""
+"""Pause between two probes of a member that the store no longer lists."""
 
 
 @value_class
-class _Question:
-    """Names the question to a member among the tasks that run, apart from its orders."""
+class _ProbeKey:
+    """Key of a member's probe among the background tasks, distinct from the key of its orders."""
 
     member: HostId
 
 
 @dataclass
-class _GroupLook:
-    """A look at the members of a group; ``heard`` tells whether any has answered."""
+class _GroupProbe:
+    """A probe of all members of a group; ``has_answer`` is set once any member has answered."""
 
-    head: HostId
+    leader: HostId
     members: int
-    heard: bool = False
+    has_answer: bool = False
 
     @property
-    def is_all_silent(self) -> bool:
-        """Tell whether several were asked and none has answered."""
-        return self.members > 1 and not self.heard
+    def is_unanswered(self) -> bool:
+        """Return whether the group has several members and none has answered."""
+        return self.members > 1 and not self.has_answer
 
 
 @value_class
-class _Asked:
-    """The process of an engine that is asked whether it still answers.
+class _MemberProbe:
+    """A probe of one engine process.
 
-    ``look`` is the one at its group, None if it is asked for itself; ``timeout_s`` is how long an
-    answer is waited for.
+    ``group_probe`` is the probe of its group, or None if only this engine is probed; ``timeout_s``
+    is the longest wait for an answer.
     """
 
     member: HostId
     address: str
     started_unix_ms: int
-    look: _GroupLook | None = None
+    group_probe: _GroupProbe | None = None
     timeout_s: float = REPORT_TIMEOUT_S
 
 
 class StalledGroups:
-    """Asks the members of groups that stand still, and those that are no longer listed."""
+    """Probes the members of stalled groups, and members that are no longer listed."""
 
     def __init__(
         self,
@@ -78,113 +78,117 @@
         state: PlanState,
         late_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Take ``late_s``, which is not zero if this host was held up just before."""
+        """Initialize; ``late_s`` returns a non-zero value if this process was just delayed."""
         self._late_s = late_s
         self._directory = directory
         self._stalls = stalls
         self._engine_orders = engine_orders
         self._state = state
-        self._looked_s: dict[HostId, float] = {}
+        self._last_probe_s: dict[HostId, float] = {}
 
     def look(self, groups: Iterable[Group], tasks: BackgroundTasks) -> None:
-        """Look at the suspects again, and at groups that stand still or lack listed members.
+        """Start probes of suspects, of stalled groups and of members that are not listed.
 
-        Nothing waits for members that may be dead: their answers, or silence, count later.
+        This does not wait for the answers; their results are used by later plans.
         """
         now_s = trio.current_time()
-        self._look_at_suspects(now_s, tasks)
+        self._probe_suspects(now_s, tasks)
         stalled = self._stalls.suspected(now_s)
         for group in groups:
             if group.intent != GroupIntent.ACTIVE.value or not group.members:
                 continue
-            head = HostId(group.members[0].host_id)
-            if head in stalled and self._may_look(head, now_s, PROBE_AFTER_STALL_S):
-                self._state.stood_still_s[key_of(group)] = now_s
-                self._look_at_members(group, tasks)
-            self._look_at_unlisted(group, now_s, tasks)
-
-    def _look_at_suspects(self, now_s: float, tasks: BackgroundTasks) -> None:
-        """Clear suspects that answer again or are no longer listed."""
+            leader = HostId(group.members[0].host_id)
+            if leader in stalled and self._is_probe_due(leader, now_s, PROBE_AFTER_STALL_S):
+                self._state.stalled_s[key_of(group)] = now_s
+                self._probe_members(group, tasks)
+            self._probe_unlisted(group, now_s, tasks)
+
+    def _probe_suspects(self, now_s: float, tasks: BackgroundTasks) -> None:
+        """Drop suspects that are no longer listed, and probe the others."""
         for suspect in list(self._state.suspects):
             endpoint = self._directory.by_id.get(suspect)
             if endpoint is None:
                 self._state.suspects.discard(suspect)
-            elif self._may_look(suspect, now_s, PROBE_AFTER_STALL_S):
-                asked = _Asked(
+            elif self._is_probe_due(suspect, now_s, PROBE_AFTER_STALL_S):
+                probe = _MemberProbe(
                     suspect,
                     endpoint.address,
                     endpoint.started_unix_ms,
                     timeout_s=SUSPECT_REPORT_TIMEOUT_S,
                 )
-                self._start_probe(asked, tasks)
+                self._start_probe(probe, tasks)
 
-    def _look_at_unlisted(self, group: Group, now_s: float, tasks: BackgroundTasks) -> None:
-        """Ask members that the store lists no more; one cut off from the store may still work."""
+    def _probe_unlisted(self, group: Group, now_s: float, tasks: BackgroundTasks) -> None:
+        """Probe members that the store no longer lists, as they may be partitioned only from it."""
         for member in group.members[1:]:
             host = HostId(member.host_id)
             if host in self._directory.by_id:
                 self._state.unlisted_since_s.pop(host, None)
-            elif self._may_look(host, now_s, PROBE_UNLISTED_S):
-                tasks.start(_Question(host), partial(self._ask_unlisted, member))
+            elif self._is_probe_due(host, now_s, PROBE_UNLISTED_S):
+                tasks.start(_ProbeKey(host), partial(self._probe_unlisted_member, member))
 
-    async def _ask_unlisted(self, member: GroupMember) -> None:
-        """Ask a member; only the process counts that is in the group, not one after it."""
+    async def _probe_unlisted_member(self, member: GroupMember) -> None:
+        """Probe a member; an answer counts only if it is from the process in the group."""
         report = await self._engine_orders.read_report(member.address)
         if report is not None and is_same_process(report.started_unix_ms, member.started_unix_ms):
             self._state.answered_s[HostId(member.host_id)] = trio.current_time()
 
-    def _may_look(self, host: HostId, now_s: float, pause_s: float) -> bool:
-        """Tell whether a look is due, and remember it as taken if it is."""
-        if now_s - self._looked_s.get(host, float("-inf")) < pause_s:
+    def _is_probe_due(self, host: HostId, now_s: float, pause_s: float) -> bool:
+        """Return whether a probe is due, and if so record it as started."""
+        if now_s - self._last_probe_s.get(host, float("-inf")) < pause_s:
             return False
-        self._looked_s[host] = now_s
+        self._last_probe_s[host] = now_s
         return True
 
-    def _look_at_members(self, group: Group, tasks: BackgroundTasks) -> None:
+    def _probe_members(self, group: Group, tasks: BackgroundTasks) -> None:
         logger.info("group stands still", group=str(key_of(group)))
-        look = _GroupLook(HostId(group.members[0].host_id), len(group.members))
+        group_probe = _GroupProbe(HostId(group.members[0].host_id), len(group.members))
         for member in group.members:
             host = HostId(member.host_id)
-            self._start_probe(_Asked(host, member.address, member.started_unix_ms, look), tasks)
+            self._start_probe(
+                _MemberProbe(host, member.address, member.started_unix_ms, group_probe), tasks
+            )
 
-    def _start_probe(self, asked: _Asked, tasks: BackgroundTasks) -> None:
-        tasks.start(_Question(asked.member), partial(self._probe, asked))
+    def _start_probe(self, probe: _MemberProbe, tasks: BackgroundTasks) -> None:
+        tasks.start(_ProbeKey(probe.member), partial(self._probe, probe))
 
-    async def _probe(self, asked: _Asked) -> None:
-        """Ask a member; one that is silent to this host alone is not suspected.
+    async def _probe(self, probe: _MemberProbe) -> None:
+        """Probe a member, and suspect it unless it is unreachable only from this host.
 
-        A group moves only as a whole, so an event that any entry host saw after the question shows
-        that all members work. Without that a leader out of reach of its coordinator alone would
-        lose its group, while callers elsewhere have their streams at it.
+        A group makes progress only as a whole, so an event that any entry host received after the
+        query was sent shows that all members work. Without this check, a leader that is unreachable
+        only from its coordinator would lose its group while it serves streams of other entry hosts.
         """
-        asked_s, look = trio.current_time(), asked.look
-        report = await self._ask(asked)
-        if report is not None and is_same_process(report.started_unix_ms, asked.started_unix_ms):
-            self._state.suspects.discard(asked.member)
+        sent_s, group_probe = trio.current_time(), probe.group_probe
+        report = await self._query_report(probe)
+        if report is not None and is_same_process(report.started_unix_ms, probe.started_unix_ms):
+            self._state.suspects.discard(probe.member)
             return
-        is_seen = look is not None and self._stalls.moved_since(look.head, asked_s)
-        if report is None and is_seen:
-            logger.info("member silent to this host alone", engine=asked.member)
+        has_progress = group_probe is not None and self._stalls.moved_since(
+            group_probe.leader, sent_s
+        )
+        if report is None and has_progress:
+            logger.info("member unreachable from this host only", engine=probe.member)
             return
-        reason = "no answer" if report is None else "started again"
-        logger.info("member silent", engine=asked.member, reason=reason)
-        self._state.suspects.add(asked.member)
+        reason = "no answer" if report is None else "process was restarted"
+        logger.info("member silent", engine=probe.member, reason=reason)
+        self._state.suspects.add(probe.member)
 
-    async def _ask(self, asked: _Asked) -> EngineReport | None:
-        """Return a member's word of itself; None if it does not give it, asked twice if need be.
+    async def _query_report(self, probe: _MemberProbe) -> EngineReport | None:
+        """Query a member's report, a second time if needed; return None if there is no answer.
 
-        If all members of a group are silent, none is there to be used elsewhere soon. All may be
-        slow, so the second answer is waited for longer.
+        If no member of a group answers, none of them could be reused soon. All may just be slow, so
+        the second query has a longer time-out.
         """
-        report = await self._engine_orders.read_report(asked.address, asked.timeout_s)
-        look = asked.look
+        report = await self._engine_orders.read_report(probe.address, probe.timeout_s)
+        group_probe = probe.group_probe
         if report is not None:
-            if look is not None:
-                look.heard = True
+            if group_probe is not None:
+                group_probe.has_answer = True
             return report
-        if look is not None and look.is_all_silent:
-            return await self._engine_orders.read_report(asked.address, SUSPECT_REPORT_TIMEOUT_S)
+        if group_probe is not None and group_probe.is_unanswered:
+            return await self._engine_orders.read_report(probe.address, SUSPECT_REPORT_TIMEOUT_S)
         if self._late_s():
-            # The answer may have come while this host was held up.
-            return await self._engine_orders.read_report(asked.address, asked.timeout_s)
+            # The answer may have arrived while this process was delayed.
+            return await self._engine_orders.read_report(probe.address, probe.timeout_s)
         return None
--- a/yewloom/tests/engine_rules.py
+++ b/yewloom/tests/engine_rules.py
@@ -31,7 +31,7 @@
 
 
 def is_whole(engine: PlayedEngine, engines: Mapping[HostId, E]) -> bool:
-    """Tell whether all members of an engine's group live and belong to it."""
+    """Return whether all members of an engine's group live and belong to it."""
     members = [engines[name] for name in engine.members]
     return all(member.is_alive and member.key == engine.key for member in members)
 
@@ -47,7 +47,7 @@
 
 
 def is_held_by_leader(engine: PlayedEngine, engines: Mapping[HostId, E]) -> bool:
-    """Tell whether an engine belongs to a group whose leader serves, so that none may take it."""
+    """Return whether an engine belongs to a group whose leader serves, so that none may take it."""
     if engine.key is None:
         return False
     head = engines[engine.members[0]]
--- a/yewloom/tests/test_model_need.py
+++ b/yewloom/tests/test_model_need.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.model_need import DEMAND_AVERAGE_S, DemandMeter, ModelNeed
+from yewloom.model_need import DEMAND_TIME_CONSTANT_S, DemandMeter, ModelNeed
 from yewloom.tests.entry_support import LARGE, SMALL, make_profile
 
 PROFILE = make_profile()
@@ -22,12 +22,12 @@
     """Replicas follow demand."""
 
     def test_the_model_with_the_fewest_replicas_for_its_demand_comes_first(self) -> None:
-        self.assertEqual(_need(2, 8).order()[0].name, LARGE)
-        self.assertEqual(_need(8, 2).order()[0].name, SMALL)
-        self.assertEqual(_need(4, 4, demand_large=3).order()[0].name, LARGE)
+        self.assertEqual(_need(2, 8).models_by_need()[0].name, LARGE)
+        self.assertEqual(_need(8, 2).models_by_need()[0].name, SMALL)
+        self.assertEqual(_need(4, 4, demand_large=3).models_by_need()[0].name, LARGE)
 
     def test_even_models_go_by_size(self) -> None:
-        self.assertEqual(_need(4, 4).order()[0].name, SMALL)
+        self.assertEqual(_need(4, 4).models_by_need()[0].name, SMALL)
 
     @given(COUNTS, COUNTS, DEMANDS, DEMANDS, st.integers(1, 3))
     def test_an_exchange_never_makes_the_giver_the_needier(
@@ -66,6 +66,6 @@
     def test_one_sample_weighs_little(self) -> None:
         meter = DemandMeter()
         meter.sample({LARGE: 50, SMALL: 50}, 0.0)
-        meter.sample({LARGE: 0, SMALL: 500}, DEMAND_AVERAGE_S / 50)
+        meter.sample({LARGE: 0, SMALL: 500}, DEMAND_TIME_CONSTANT_S / 50)
         demand = meter.demand(PROFILE)
         self.assertLess(demand[SMALL], 2 * demand[LARGE])
--- a/yewloom/tests/test_refused_orders.py
+++ b/yewloom/tests/test_refused_orders.py
@@ -73,7 +73,7 @@
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Tell whether a load is under way."""
+        """Return whether a load is under way."""
         return EngineReport(3, is_busy=self.is_loading and self._reports_it)
 
 
@@ -142,6 +142,6 @@
         self.assertEqual(pauses_s, sorted(pauses_s))
         self.assertLess(pauses_s[0], pauses_s[-1])
         self.assertLessEqual(pauses_s[-1], ORDER_REPEAT_S)
-        state.note_taken(LOAD)
+        state.note_accepted(LOAD)
         state.note_refused(LOAD, now_s)
         self.assertEqual(state.due_s[next(iter(state.due_s))] - now_s, pauses_s[0])
--- a/yewloom/tests/test_replica_machine.py
+++ b/yewloom/tests/test_replica_machine.py
@@ -19,7 +19,7 @@
 from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, Membership, MemberState
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.ids import HostId, ModelName
-from yewloom.model_need import starting_demand
+from yewloom.model_need import configured_demand
 from yewloom.order_delivery import OrderDelivery
 from yewloom.plan_state import PlannedOrder, PlanState, key_of
 from yewloom.replica_orders import (
@@ -45,7 +45,7 @@
 from yewloom.tests.entry_support import ENGINES, HALL, LARGE, SMALL, make_engine, make_profile
 from yewloom.weight_loads import SupplyBounds
 
-RATIONED = SupplyBounds(loads_are_free=False, max_loads=6)
+RATIONED = SupplyBounds(is_unlimited=False, max_loads=6)
 PROFILE = make_profile()
 
 SETTLE_ROUNDS = 40
@@ -224,7 +224,7 @@
         leader.record, leader.version = self.record, self.version
 
     def _plan_and_write(self, leader: _Leader) -> list[PlannedOrder]:
-        demand = starting_demand(PROFILE)
+        demand = configured_demand(PROFILE)
         planner = ReplicaPlanner(
             HALL, ENGINES, PROFILE, leader.directory, leader.state, RATIONED, demand
         )
--- a/yewloom/tests/test_replica_plan.py
+++ b/yewloom/tests/test_replica_plan.py
@@ -5,7 +5,7 @@
 
 from yewloom.directory import EndpointDirectory, GroupKey, Membership, MemberState
 from yewloom.ids import GroupId, HostId, ModelName
-from yewloom.model_need import starting_demand
+from yewloom.model_need import configured_demand
 from yewloom.plan_state import (
     Departure,
     EndedGroup,
@@ -24,7 +24,7 @@
     StageModel,
 )
 from yewloom.replica_plan import ReplicaPlanner
-from yewloom.replica_supply import GATHER_S
+from yewloom.replica_supply import FIRST_FORMATION_PAUSE_S
 from yewloom.schema.records_pb2 import Placement
 from yewloom.states import GroupIntent
 from yewloom.tests.entry_support import (
@@ -36,17 +36,17 @@
     make_profile,
     put_group,
 )
-from yewloom.weight_loads import STAGE_LIMIT_FACTOR, SupplyBounds, WeightLoads
+from yewloom.weight_loads import LOAD_TIMEOUT_FACTOR, SupplyBounds, WeightLoads
 
-FREE_LOADS = SupplyBounds(loads_are_free=True, max_loads=6)
-RATIONED = SupplyBounds(loads_are_free=False, max_loads=6)
+FREE_LOADS = SupplyBounds(is_unlimited=True, max_loads=6)
+RATIONED = SupplyBounds(is_unlimited=False, max_loads=6)
 PROFILE = make_profile()
 
 
 def _planner(
     directory: EndpointDirectory, state: PlanState, bounds: SupplyBounds = FREE_LOADS
 ) -> ReplicaPlanner:
-    demand = starting_demand(PROFILE)
+    demand = configured_demand(PROFILE)
     return ReplicaPlanner(HALL, ENGINES, PROFILE, directory, state, bounds, demand)
 
 
@@ -62,7 +62,7 @@
         for number in range(8):
             directory.put(make_engine(f"e{number}"))
         self.assertIsNone(_planner(directory, state).plan(Placement(), 10.0).record)
-        plan = _planner(directory, state).plan(Placement(), 10.0 + GATHER_S)
+        plan = _planner(directory, state).plan(Placement(), 10.0 + FIRST_FORMATION_PAUSE_S)
         assert plan.record is not None
         models = sorted(group.model for group in plan.record.groups)
         self.assertEqual(models, [LARGE, SMALL, SMALL])
@@ -113,7 +113,7 @@
         record = _record(directory, SMALL, ["a", "b"])
         directory.remove(HostId("b"))
         state.answered_s[HostId("b")] = 5.0
-        state.stood_still_s[GroupKey(record.groups[0].id, 1)] = 5.0  # type: ignore[arg-type]
+        state.stalled_s[GroupKey(record.groups[0].id, 1)] = 5.0  # type: ignore[arg-type]
         self.assertIsNotNone(_planner(directory, state, RATIONED).plan(record, 5.2).record)
 
     def test_a_group_whose_leader_is_unlisted_is_given_up(self) -> None:
@@ -135,7 +135,7 @@
         plan = _planner(directory, state, RATIONED).plan(plan.record, 0.2)
         self.assertEqual(len(_orders(plan.orders, LeaveGroup)), 1)
         self.assertIsNone(plan.record)
-        state.left.add(Departure(HostId("a"), key_of(record.groups[0])))
+        state.departures.add(Departure(HostId("a"), key_of(record.groups[0])))
         plan = _planner(directory, state, RATIONED).plan(_retired(record), 0.4)
         assert plan.record is not None
         [group] = plan.record.groups
@@ -152,7 +152,7 @@
         self.assertIsNone(plan.record)
         [leave] = _orders(plan.orders, LeaveGroup)
         self.assertEqual((leave.engine, leave.order), ("a", LeaveGroup(key)))
-        state.left.add(Departure(HostId("a"), key))
+        state.departures.add(Departure(HostId("a"), key))
         self.assertIsNotNone(
             _planner(directory, state, RATIONED).plan(_retired(record), 0.2).record
         )
@@ -166,7 +166,7 @@
         for now_s in (0.0, 5.0, 50.0):
             plan = _planner(directory, state, RATIONED).plan(record, now_s)
             self.assertIsNone(plan.record)
-        state.unanswered.add(HostId("a"))
+        state.unresponsive.add(HostId("a"))
         for now_s in (52.0, 56.0, 500.0):
             plan = _planner(directory, state, RATIONED).plan(record, now_s)
             self.assertIsNone(plan.record)
@@ -180,11 +180,11 @@
         key = key_of(record.groups[0])
         state.suspects.add(HostId("a"))
         for name in ("b", "c"):
-            state.left.add(Departure(HostId(name), key))
+            state.departures.add(Departure(HostId(name), key))
         plan = _planner(directory, state, RATIONED).plan(record, 0.0)
         assert plan.record is not None
         self.assertEqual([m.host_id for m in plan.record.groups[0].members], ["a", "d"])
-        state.left.add(Departure(HostId("d"), key))
+        state.departures.add(Departure(HostId("d"), key))
         plan = _planner(directory, state, RATIONED).plan(plan.record, 0.2)
         assert plan.record is not None
         self.assertEqual([m.host_id for m in plan.record.groups[0].members], ["a"])
@@ -193,7 +193,7 @@
         plan = _planner(directory, state, RATIONED).plan(plan.record, 0.4)
         assert plan.record is not None
         self.assertEqual(list(plan.record.groups), [])
-        self.assertEqual(plan.ended, [EndedGroup(key, EndEvidence.NOBODY_IN_IT)])
+        self.assertEqual(plan.ended, [EndedGroup(key, EndEvidence.ALL_MEMBERS_LEFT)])
 
     def test_a_leader_that_is_listed_as_broken_serves_no_more(self) -> None:
         directory, state = EndpointDirectory(), PlanState()
@@ -215,14 +215,14 @@
             directory, state = EndpointDirectory(), PlanState()
             key = put_group(directory, "old", SMALL, ["a", "b"])
             directory.put(make_engine("c", staged=SMALL))
-            state.unanswered.add(HostId("a"))
+            state.unresponsive.add(HostId("a"))
             if not is_listed:
                 directory.remove(HostId("a"))
             plan = _planner(directory, state, RATIONED).plan(Placement(), 0.0)
             self.assertIsNone(plan.record)
             leaves = {leave.engine: leave.order for leave in _orders(plan.orders, LeaveGroup)}
             self.assertEqual(leaves[HostId("b")], LeaveGroup(key))
-            state.left.add(Departure(HostId("b"), key))
+            state.departures.add(Departure(HostId("b"), key))
             plan = _planner(directory, state, RATIONED).plan(Placement(), 0.2)
             assert plan.record is not None
             self.assertEqual([m.host_id for m in plan.record.groups[0].members], ["b", "c"])
@@ -244,7 +244,7 @@
             assert plan.record is not None
             self.assertEqual(plan.record.groups[0].intent, GroupIntent.REPLACING.value)
             self.assertEqual(_orders(plan.orders, JoinGroup), [])
-            state.left.add(Departure(HostId("a"), key_of(record.groups[0])))
+            state.departures.add(Departure(HostId("a"), key_of(record.groups[0])))
             plan = _planner(directory, state, RATIONED).plan(plan.record, 0.4)
             assert plan.record is not None
             [group] = plan.record.groups
@@ -272,7 +272,7 @@
         directory.put(replace(make_engine("a"), started_unix_ms=7))
         _planner(directory, state, RATIONED).plan(Placement(), 0.0)
         state.suspects.add(host)
-        state.unanswered.add(host)
+        state.unresponsive.add(host)
         state.staging[host] = Staging(LARGE, 0.0)
         state.answered_s[host] = 0.0
         _planner(directory, state, RATIONED).plan(Placement(), 0.2)
@@ -280,7 +280,7 @@
         directory.put(replace(make_engine("a", staged=LARGE), started_unix_ms=9))
         _planner(directory, state, RATIONED).plan(Placement(), 0.4)
         self.assertEqual(state.suspects, set())
-        self.assertEqual((state.unanswered, state.answered_s, state.staging), (set(), {}, {}))
+        self.assertEqual((state.unresponsive, state.answered_s, state.staging), (set(), {}, {}))
 
     def test_a_leaving_leader_ends_its_group_at_once_and_another_member_later(self) -> None:
         for leaving, ends_s in (("a", 0.0), ("b", LEAVING_SERVICE_S)):
@@ -306,11 +306,11 @@
         loads = WeightLoads(PROFILE, directory, state, RATIONED)
         for name in ("done", "late", "loading"):
             directory.put(make_engine(name, staged=LARGE if name == "done" else None))
-        limit_s = STAGE_LIMIT_FACTOR * PROFILE.models[LARGE].load_s
+        limit_s = LOAD_TIMEOUT_FACTOR * PROFILE.models[LARGE].load_s
         for name in ("done", "late", "loading", "lost"):
             began_s = -0.1 if name == "late" else 0.0
             state.staging[HostId(name)] = Staging(LARGE, began_s)
-        loads.forget_ended(limit_s)
+        loads.drop_finished(limit_s)
         self.assertEqual(list(state.staging), ["loading"])
 
     def test_a_host_of_a_small_group_takes_a_lost_place_without_a_load(self) -> None:
--- a/yewloom/tests/test_small_model_shortage.py
+++ b/yewloom/tests/test_small_model_shortage.py
@@ -9,7 +9,7 @@
 
 from yewloom.directory import EndpointDirectory, GroupKey, Membership, MemberState
 from yewloom.ids import DataCentreId, GroupId, HostId, ModelName
-from yewloom.model_reserves import KEPT_FOR_S
+from yewloom.model_reserves import RESERVE_TIMEOUT_S
 from yewloom.plan_state import Departure, PlanState
 from yewloom.replica_orders import StageModel
 from yewloom.replica_plan import ReplicaPlanner
@@ -18,7 +18,7 @@
 from yewloom.tests.entry_support import ENGINES, HALL, LARGE, SMALL, make_engine, make_profile
 from yewloom.weight_loads import SupplyBounds
 
-RATIONED = SupplyBounds(loads_are_free=False, max_loads=6)
+RATIONED = SupplyBounds(is_unlimited=False, max_loads=6)
 OTHER_HALL = DataCentreId("hall-b")
 PROFILE = make_profile()
 SMALL_IS_SHORT = {SMALL: 60.0, LARGE: 30.0}
@@ -80,7 +80,7 @@
         self.key = GroupKey(GroupId("broken"), 1)
         place = Membership(self.key, 1, MemberState.READY)
         self.directory.put(make_engine("b", staged=LARGE, membership=place, model=SMALL))
-        self.state.unanswered.add(HostId("lost"))
+        self.state.unresponsive.add(HostId("lost"))
         self.record = Placement(data_centre=HALL, generation=1)
         group = self.record.groups.add(id="broken", generation=1, model=SMALL)
         group.intent = GroupIntent.REPLACING.value
@@ -98,12 +98,12 @@
 
     def test_a_host_waits_for_another_that_is_about_to_be_free(self) -> None:
         self.assertEqual(self._plan(10.0, SMALL_IS_SHORT), [])
-        self.state.left.add(Departure(HostId("b"), self.key))
+        self.state.departures.add(Departure(HostId("b"), self.key))
         self.assertEqual(self._plan(10.4, SMALL_IS_SHORT), [(SMALL, ["a", "b"])])
 
     def test_it_waits_for_a_short_while_only(self) -> None:
         self.assertEqual(self._plan(10.0, SMALL_IS_SHORT), [])
-        formed = self._plan(10.0 + KEPT_FOR_S + 0.2, SMALL_IS_SHORT)
+        formed = self._plan(10.0 + RESERVE_TIMEOUT_S + 0.2, SMALL_IS_SHORT)
         self.assertEqual(formed, [(LARGE, ["a", "c", "d", "e"])])
 
     def test_nothing_waits_for_a_host_that_gives_no_answer(self) -> None:
--- a/yewloom/weight_loads.py
+++ b/yewloom/weight_loads.py
@@ -1,4 +1,4 @@
-"""Loads of models' weights onto hosts, within the rate that the weight store bears."""
+"""Loads of models' weights onto hosts, within the rate limit of the weight store."""
 
 from yewloom.configuration import EngineProfile, ReplicaModel
 from yewloom.directory import Endpoint, EndpointDirectory
@@ -7,37 +7,40 @@
 from yewloom.values import value_class
 
 LOADS_WINDOW_S = 5.0
-"""Window over which loads from the weight store are counted, as the platform counts them."""
+"""Window over which loads from the weight store are counted; the platform uses the same."""
 
 LOADS_SHARE = 0.9
-"""Part of the weight store's rate that all data centres use together."""
+"""Share of the weight store's rate limit that all data centres use together."""
 
-STAGE_LIMIT_FACTOR = 3.0
-"""Loading that takes this many times its usual time is begun anew."""
+LOAD_TIMEOUT_FACTOR = 3.0
+"""Multiple of the usual load time after which a load is considered failed and may be restarted."""
 
 
 @value_class
 class SupplyBounds:
-    """``loads_are_free`` before the first request; else ``max_loads`` in ``window_s`` at most."""
+    """Limit on weight loads: at most ``max_loads`` per window, unless ``is_unlimited``.
 
-    loads_are_free: bool
+    Loads are unlimited before the first request.
+    """
+
+    is_unlimited: bool
     max_loads: int
     window_s: float = LOADS_WINDOW_S
 
 
-def supply_bounds(loads_are_free: bool, loads_per_s: float, data_centres: int) -> SupplyBounds:
-    """Return one data centre's part of the loads that the weight store bears.
+def supply_bounds(is_unlimited: bool, loads_per_s: float, data_centres: int) -> SupplyBounds:
+    """Return one data centre's share of the weight store's rate limit.
 
-    A part of less than one load in a window is one load in as many windows.
+    A share of less than one load per window becomes one load in a longer window.
     """
-    part = loads_per_s * LOADS_WINDOW_S * LOADS_SHARE / data_centres
-    if part >= 1:
-        return SupplyBounds(loads_are_free, int(part))
-    return SupplyBounds(loads_are_free, 1, LOADS_WINDOW_S / part)
+    share = loads_per_s * LOADS_WINDOW_S * LOADS_SHARE / data_centres
+    if share >= 1:
+        return SupplyBounds(is_unlimited, int(share))
+    return SupplyBounds(is_unlimited, 1, LOADS_WINDOW_S / share)
 
 
 class WeightLoads:
-    """Begins loads and forgets those that are over; ``orders`` gathers what is to be ordered."""
+    """Starts and tracks loads; ``orders`` collects the orders to send."""
 
     def __init__(
         self,
@@ -53,16 +56,16 @@
         self.orders: list[PlannedOrder] = []
 
     def is_loading(self, endpoint: Endpoint, now_s: float) -> bool:
-        """Tell whether weights are being loaded onto a host, by this coordinator or another one."""
+        """Return whether a host is loading weights, by order of this or another coordinator."""
         return endpoint.id in self._state.staging or self._state.is_busy(endpoint.id, now_s)
 
     def load(self, endpoint: Endpoint, model: ReplicaModel, now_s: float) -> None:
-        """Load weights onto a host, unless it is loading or too many loads began lately."""
+        """Load weights onto a host, unless it is loading or the rate limit is reached."""
         if self.is_loading(endpoint, now_s):
             return
         bounds = self._bounds
         recent = [time_s for time_s in self._state.load_times_s if now_s - time_s < bounds.window_s]
-        if len(recent) >= bounds.max_loads and not bounds.loads_are_free:
+        if len(recent) >= bounds.max_loads and not bounds.is_unlimited:
             return
         self._state.load_times_s = [*recent, now_s]
         self._state.staging[endpoint.id] = Staging(model.name, now_s)
@@ -71,12 +74,12 @@
             PlannedOrder(endpoint.id, endpoint.address, order, endpoint.started_unix_ms)
         )
 
-    def forget_ended(self, now_s: float) -> None:
-        """Forget loads that are done, that take too long, or whose host is gone."""
+    def drop_finished(self, now_s: float) -> None:
+        """Drop loads that have finished or timed out, or whose host is no longer listed."""
         for host, staging in list(self._state.staging.items()):
             model = self._profile.models.get(staging.model)
-            limit_s = STAGE_LIMIT_FACTOR * model.load_s if model is not None else 0.0
+            limit_s = LOAD_TIMEOUT_FACTOR * model.load_s if model is not None else 0.0
             endpoint = self._directory.by_id.get(host)
-            is_done = endpoint is None or staging.model in endpoint.staged
-            if is_done or now_s - staging.since_s > limit_s:
+            is_finished = endpoint is None or staging.model in endpoint.staged
+            if is_finished or now_s - staging.since_s > limit_s:
                 del self._state.staging[host]
