--- a/yewloom/model_need.py
+++ b/yewloom/model_need.py
@@ -47,10 +47,8 @@
         relative to its demand.
         """
         remaining = self.replicas.get(source, 0) - source_count
-        increased = self.replicas.get(target, 0) + 1
-        return remaining > 0 and remaining / self._demand(source) >= increased / self._demand(
-            target
-        )
+        gained = self.replicas.get(target, 0) + 1
+        return remaining > 0 and remaining / self._demand(source) >= gained / self._demand(target)
 
     def _priority(self, model: ReplicaModel) -> tuple[int, int, str]:
         supply = self.replicas.get(model.name, 0) / self._demand(model.name)
--- a/yewloom/plan_state.py
+++ b/yewloom/plan_state.py
@@ -59,7 +59,7 @@
 
 
 class EndEvidence(Enum):
-    """Evidence that an abandoned group has ended."""
+    """Evidence that a draining or abandoned group has ended."""
 
     LEADER_LEFT = "leader answered that it left"
     LEADER_BROKEN = "leader listed as broken"
@@ -137,7 +137,7 @@
             known.pop(host, None)
 
     def forget_evidence(self) -> None:
-        """Discard observations of engines and groups, as another coordinator may change them."""
+        """Discard observations that another coordinator may have made outdated."""
         for observations in (
             self.transition_since_s,
             self.abandoned_since_s,
--- a/yewloom/replica_lifecycle.py
+++ b/yewloom/replica_lifecycle.py
@@ -96,9 +96,7 @@
         if self._is_listed_elsewhere(listed, key):
             return EndEvidence.LEADER_LISTED_OUTSIDE
         if listed.membership == Membership(key, 0, MemberState.BROKEN):
-            return (
-                EndEvidence.LEADER_BROKEN
-            )  # This state is final, so an outdated listing suffices.
+            return EndEvidence.LEADER_BROKEN  # A final state, even if the listing is outdated.
         return None
 
     def _release_members(self, group: Group, now_s: float) -> EndEvidence | None:
@@ -183,7 +181,8 @@
         states = {m.membership.state for m in in_group if m.membership is not None}
         is_whole = len(in_group) == len(members)
         if is_whole and MemberState.OPEN in states:
-            # Restart the time to form, in case an outdated listing shows the group as forming.
+            # Reset the timer, so that an outdated listing that briefly shows the group as forming
+            # does not exceed the time to form.
             self._state.transition_since_s.pop(key, None)
             if self._must_drain(present, key, now_s):
                 self.retire(group, key, GroupIntent.DRAINING)
--- a/yewloom/replica_supply.py
+++ b/yewloom/replica_supply.py
@@ -56,15 +56,15 @@
         return [*self._free.orders, *self._loads.orders]
 
     def form(
-        self, reserved: Sequence[Group], need: ModelNeed, generation: int, now_s: float
+        self, groups: Sequence[Group], need: ModelNeed, generation: int, now_s: float
     ) -> list[Group]:
         """Form groups from free hosts, for the model with the greatest shortage first."""
         formed: list[Group] = []
-        free = self._free.by_domain(reserved, now_s)
+        free = self._free.by_domain(groups, now_s)
         if self._is_awaiting_hosts(now_s):
             return formed
-        models = self._models_by_domain(reserved)
-        leaving = [] if self._bounds.is_unlimited else self._reserves.leaving(reserved, now_s)
+        models = self._models_by_domain(groups)
+        leaving = [] if self._bounds.is_unlimited else self._reserves.leaving(groups, now_s)
         while (choice := self._next_group(free, need, models, leaving)) is not None:
             model, chosen = choice
             name = f"{self._data_centre}-{generation}-{len(formed)}"
@@ -107,7 +107,7 @@
                     self._loads.load(host, largest, now_s)
 
     def _exchange(self, chosen: GroupExchange, now_s: float) -> list[Group]:
-        """Return the groups to drain now; first, weights are loaded while the hosts still serve."""
+        """Return the groups to drain now, or load missing weights first while they still serve."""
         missing = chosen.hosts_to_load()
         if not missing:
             return list(chosen.released)
