--- a/yewloom/tests/engine_rules.py
+++ b/yewloom/tests/engine_rules.py
@@ -1,4 +1,4 @@
-"""What the platform's pages say of engines in groups, for the tests that play engines."""
+"""Behaviour of grouped engines as documented by the platform, for tests that simulate engines."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 from yewloom.ids import HostId, ModelName
 
 STALL_S = 5.0
-"""Time after which an engine breaks a group that lacks a member; from the platform's pages."""
+"""Time after which an open group that lacks a member breaks, from the platform's documentation."""
 
 
 @dataclass
 class PlayedEngine:
-    """An engine as it is, whatever a listing shows."""
+    """The actual state of a simulated engine, which a listing may not reflect."""
 
     name: HostId
     is_alive: bool = True
@@ -31,13 +31,13 @@
 
 
 def is_whole(engine: PlayedEngine, engines: Mapping[HostId, E]) -> bool:
-    """Return whether all members of an engine's group live and belong to it."""
+    """Return whether all members of an engine's group are alive and belong to it."""
     members = [engines[name] for name in engine.members]
     return all(member.is_alive and member.key == engine.key for member in members)
 
 
 def break_if_stalled(engine: PlayedEngine, engines: Mapping[HostId, E], now_s: float) -> None:
-    """Let an open group break that has lacked a member for the stall time."""
+    """Mark the leader of an open group that has lacked a member for ``STALL_S`` as broken."""
     if is_whole(engine, engines):
         engine.incomplete_since_s = None
     elif engine.incomplete_since_s is None:
@@ -47,9 +47,9 @@
 
 
 def is_held_by_leader(engine: PlayedEngine, engines: Mapping[HostId, E]) -> bool:
-    """Return whether an engine belongs to a group whose leader serves, so that none may take it."""
+    """Return whether an engine belongs to a group whose leader serves, so it must not be moved."""
     if engine.key is None:
         return False
-    head = engines[engine.members[0]]
-    is_serving = head.state in (MemberState.OPEN, MemberState.CLOSING)
-    return head.is_alive and head.key == engine.key and is_serving
+    leader = engines[engine.members[0]]
+    is_serving = leader.state in (MemberState.OPEN, MemberState.CLOSING)
+    return leader.is_alive and leader.key == engine.key and is_serving
--- a/yewloom/tests/engine_world.py
+++ b/yewloom/tests/engine_world.py
@@ -1,8 +1,8 @@
-"""A coordinator among model engines on a clock that jumps: what it is shown need not be so.
+"""Simulation of a coordinator with model engines on a mock clock, whose view may be wrong.
 
-An engine may be reached by entry hosts other than the coordinator's, may be alive and unlisted, may
-take an order whose answer is lost, and may be listed as it was before. The coordinator is the
-product's; its engines, its store and its listing are played here.
+An engine may be reachable only from entry hosts other than the coordinator, may be alive but
+unlisted, may execute an order whose answer is lost, and may be listed with an outdated state. The
+coordinator is the real one; the engines, the store and the listing are simulated.
 """
 
 import math
@@ -47,16 +47,16 @@
 from yewloom.writes import to_json
 
 ORDER_TIMEOUT_S = 0.8
-"""Time after which an order counts as unanswered, as in the platform's adapter."""
+"""Time-out for the answer to an order, as in the platform's adapter."""
 
 LISTING_S = 0.1
 """Pause between two listings."""
 
 REPORT_LAG_S = 0.2
-"""Age of what an engine reports."""
+"""Age of an engine's report."""
 
 JOINING_S = 0.2
-"""Time to join a group of the model that an engine holds."""
+"""Time to join a group of the model whose weights the engine already has."""
 
 SETTINGS = """
 [host]
@@ -68,7 +68,7 @@
 [store]
 address = 127.0.0.1:4
 """
-"""Settings of an entry host that coordinates its data centre."""
+"""Settings of the entry host that runs the coordinator."""
 
 
 REFUSED = PlatformError(PlatformFailure.NOT_APPLIED, "refused")
@@ -76,32 +76,33 @@
 
 @dataclass
 class WorldEngine(PlayedEngine):
-    """An engine as it is; ``listed_as`` is what a listing shows in its place, if that is older.
+    """A simulated engine.
 
-    ``is_reached`` tells whether the coordinator reaches it, ``unlisted_from_s`` when its entry
-    lapses, and ``loses_answers`` the kinds of orders that it carries out without an answer.
-    ``old_report`` is what it reports until some time, behind an order.
+    ``listed_as`` is an outdated entry that listings publish_listings instead of the current one.
+    ``is_reached`` means that the coordinator can reach the engine. ``unlisted_from_s`` is when its
+    entry expires. ``loses_answers`` are the types of orders that it executes without an answer.
+    After an order, it returns ``old_report`` until ``reports_old_until_s``.
     """
 
     staged: ModelName | None = SMALL
     unlisted_from_s: float = math.inf
     is_reached: bool = True
     loses_answers: tuple[type, ...] = ()
-    tells_reports: bool = True
+    answers_reports: bool = True
     listed_as: Endpoint | None = None
-    joined_s: float = 0.0
+    joining_since_s: float = 0.0
     old_report: EngineReport | None = None
     reports_old_until_s: float = -math.inf
 
     def endpoint(self) -> Endpoint:
-        """Return its entry in a listing."""
+        """Return the engine's entry in a listing."""
         if self.listed_as is not None:
             return self.listed_as
         entry = make_engine(self.name, staged=self.staged, model=self.model)
         return replace(entry, membership=self.membership())
 
     def membership(self) -> Membership | None:
-        """Return its place in its group."""
+        """Return the engine's membership in its group, if any."""
         if self.key is None:
             return None
         return Membership(self.key, self.members.index(self.name), self.state)
@@ -109,10 +110,10 @@
 
 @dataclass
 class EngineWorld:
-    """Engines that carry out orders.
+    """Simulated engines that execute orders.
 
-    ``taken`` tells which were joined while their group served, and ``refused`` which orders did not
-    fit.
+    ``taken`` lists joins of engines whose previous group was still serving, and ``refused`` the
+    orders that did not match an engine's order count.
     """
 
     engines: dict[HostId, WorldEngine] = field(default_factory=dict)
@@ -121,12 +122,12 @@
     record: Placement | None = None
 
     def add(self, *names: str) -> None:
-        """Add empty engines that hold the small model's weights."""
+        """Add engines that are in no group and have the small model's weights."""
         for name in names:
             self.engines[HostId(name)] = WorldEngine(HostId(name))
 
     def serve(self, group: str, names: list[str], is_recorded: bool = True) -> GroupKey:
-        """Let engines serve as a group, which the record holds or not; the first one leads."""
+        """Add engines that serve as a group, optionally recorded; the first one is the leader."""
         key = GroupKey(GroupId(group), 1)
         self.add(*names)
         for name in names:
@@ -144,29 +145,29 @@
         return key
 
     def open_groups(self) -> list[set[HostId]]:
-        """Return the members of the groups that are open and whole."""
-        heads = [e for e in self.engines.values() if e.is_alive and e.state is MemberState.OPEN]
-        return [set(head.members) for head in heads if is_whole(head, self.engines)]
+        """Return the members of each group that is open and complete."""
+        leaders = [e for e in self.engines.values() if e.is_alive and e.state is MemberState.OPEN]
+        return [set(leader.members) for leader in leaders if is_whole(leader, self.engines)]
 
     def pass_time(self, now_s: float) -> None:
-        """Let joins end, and let groups that lack a member break after the stall time."""
+        """Complete joins that are due, and break groups that lacked a member for ``STALL_S``."""
         for engine in self.engines.values():
             if engine.key is None or not engine.is_alive:
                 continue
-            if engine.state is MemberState.JOINING and now_s - engine.joined_s >= JOINING_S:
+            if engine.state is MemberState.JOINING and now_s - engine.joining_since_s >= JOINING_S:
                 engine.state = MemberState.READY
             break_if_stalled(engine, self.engines, now_s)
 
     async def send(
         self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
     ) -> OrderAnswer:
-        """Carry an order out, and answer it if the answer is not lost."""
-        taker = self.engines[engine]
-        if not taker.is_reached or not taker.is_alive:
+        """Execute an order, and answer it unless the answer is lost."""
+        target = self.engines[engine]
+        if not target.is_reached or not target.is_alive:
             await trio.sleep(ORDER_TIMEOUT_S)
             return OrderAnswer.UNREACHABLE
-        answer = self._answer(taker, order, expected_sequence)
-        if isinstance(order, taker.loses_answers):
+        answer = self._answer(target, order, expected_sequence)
+        if isinstance(order, target.loses_answers):
             await trio.sleep(ORDER_TIMEOUT_S)
             return OrderAnswer.UNKNOWN
         return answer
@@ -174,9 +175,9 @@
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Tell what an engine says of itself."""
+        """Return an engine's report, which is outdated for ``REPORT_LAG_S`` after an order."""
         engine = self.engines[HostId(address.partition(":")[0])]
-        if not engine.is_reached or not engine.is_alive or not engine.tells_reports:
+        if not engine.is_reached or not engine.is_alive or not engine.answers_reports:
             await trio.sleep(timeout_s)
             return None
         if trio.current_time() < engine.reports_old_until_s and engine.old_report is not None:
@@ -189,21 +190,21 @@
         if expected_sequence is not None and expected_sequence != engine.sequence:
             self.refused.append(f"{engine.name}: {order}")
             return OrderAnswer.OUT_OF_DATE
-        self._remember_report(engine)
+        self._freeze_report(engine)
         key = engine.key
-        answer = self._carry_out(engine, order)
+        answer = self._execute(engine, order)
         if answer is OrderAnswer.BEGUN or engine.key != key:
             engine.sequence += 1
         return answer
 
-    def _remember_report(self, engine: WorldEngine) -> None:
-        """Let reports of the next moments be as the engine is now."""
+    def _freeze_report(self, engine: WorldEngine) -> None:
+        """Make reports publish_listings the current state for the next ``REPORT_LAG_S``."""
         now_s = trio.current_time()
         if now_s >= engine.reports_old_until_s:
             engine.old_report = EngineReport(engine.sequence, group=engine.key)
             engine.reports_old_until_s = now_s + REPORT_LAG_S
 
-    def _carry_out(self, engine: WorldEngine, order: EngineOrder) -> OrderAnswer:
+    def _execute(self, engine: WorldEngine, order: EngineOrder) -> OrderAnswer:
         match order:
             case JoinGroup(key=key, model=model, members=members):
                 return self._join(engine, key, model, tuple(members))
@@ -216,7 +217,7 @@
             case LeaveGroup(key=key) if engine.key == key:
                 engine.key, engine.members = None, ()
                 engine.state = MemberState.JOINING
-                return OrderAnswer.HOLDS  # It is done with the answer, and counts.
+                return OrderAnswer.HOLDS  # A leave completes immediately and is counted.
             case StageModel(model=model):
                 engine.staged = model
                 return OrderAnswer.BEGUN
@@ -231,13 +232,13 @@
             old = engine.key.group_id
             self.taken.append(f"{engine.name} joins {key.group_id} while {old} is open")
         engine.key, engine.model, engine.members = key, model, members
-        engine.state, engine.joined_s = MemberState.JOINING, trio.current_time()
+        engine.state, engine.joining_since_s = MemberState.JOINING, trio.current_time()
         engine.incomplete_since_s = None
         return OrderAnswer.BEGUN
 
 
 class RecordStore:
-    """Keeps records in memory, and answers at once; it refuses calls while ``is_refusing``."""
+    """An in-memory store that answers immediately and refuses calls while ``is_refusing``."""
 
     def __init__(self) -> None:
         self.is_down = False
@@ -245,7 +246,7 @@
         self._objects: dict[str, StoredObject] = {}
 
     def put(self, key: str, value: str) -> None:
-        """Hold an object."""
+        """Store an object."""
         self._objects[key] = StoredObject(key, 1, value)
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
@@ -257,31 +258,31 @@
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object; one coordinator alone writes."""
+        """Write an object; there is only one writer."""
         if self.is_refusing:
             return Err(REFUSED)
         self._objects[key] = StoredObject(key, expected_version + 1, value)
         return Ok(expected_version + 1)
 
 
-class _Parts:
+class _FakePlatformParts:
     def __init__(self, store: RecordStore, world: EngineWorld) -> None:
         self.records_store = self.stale_store = cast(Platform, store)
         self.orders = world
 
 
-class _NoRequests:
-    """Stands for a selector whose endpoints run nothing."""
+class _IdleSelector:
+    """A selector whose endpoints have no running requests."""
 
     def running_everywhere(self) -> dict[HostId, int]:
-        """Return nothing."""
+        """Return no running requests."""
         return {}
 
 
 class Played:
-    """A coordinator at work in a world, with its store.
+    """A coordinator that runs against simulated engines and a store.
 
-    ``stalls`` takes reports of groups that stand still.
+    Tests report stalled groups to ``stalls``.
     """
 
     def __init__(self, world: EngineWorld) -> None:
@@ -295,18 +296,18 @@
         book.apply(make_configuration(), 0.0)
         self.coordinator = ReplicaCoordinator(
             parse_entry_settings(SETTINGS, "test").unwrap(),
-            cast(PlatformParts, _Parts(self.store, world)),
+            cast(PlatformParts, _FakePlatformParts(self.store, world)),
             book,
             self._directory,
             self.stalls,
-            cast(Selector, _NoRequests()),
+            cast(Selector, _IdleSelector()),
             ForwardMetrics(),
             lambda: False,
             lambda: True,
         )
 
-    async def show(self) -> None:
-        """List the engines again and again, until cancelled."""
+    async def publish_listings(self) -> None:
+        """Advance the engines and update the listing periodically until cancelled."""
         while True:
             now_s = trio.current_time()
             self.world.pass_time(now_s)
@@ -317,12 +318,12 @@
 
 
 def play(world: EngineWorld, test: Callable[[Played], Awaitable[None]]) -> None:
-    """Let a coordinator work in a world for as long as a test goes on."""
+    """Run a coordinator against simulated engines for the duration of a test."""
 
     async def main() -> None:
         played = Played(world)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(played.show)
+            nursery.start_soon(played.publish_listings)
             nursery.start_soon(played.coordinator.run)
             await test(played)
             nursery.cancel_scope.cancel()
--- a/yewloom/tests/test_coordinators.py
+++ b/yewloom/tests/test_coordinators.py
@@ -1,4 +1,4 @@
-"""Tests of the coordinator with a fake platform, and of the orders that it gives."""
+"""Tests of the coordinator with a fake platform, and of the orders that it sends."""
 
 import random
 import unittest
@@ -29,7 +29,7 @@
 from yewloom.watchers import parse_placement
 
 
-class _Trial:
+class _Harness:
     """Coordinators of one data centre over engines that never accept an order."""
 
     def __init__(self, checks_fences: bool) -> None:
@@ -51,8 +51,8 @@
         coordinator = Coordinator(node, self.platform, self.engines, observer, self.new_attempt)
         return coordinator, node
 
-    def take_orders(self) -> None:
-        """Let each engine that was given an order be ready in its group."""
+    def execute_orders(self) -> None:
+        """Make each engine that received an order ready in its group."""
         for order in self.engines.orders:
             address = order.member_addresses[order.rank]
             report = self.engines.reports[address]
@@ -60,7 +60,7 @@
             report.group_id, report.generation = order.group_id, order.generation
 
     def placed_generation(self) -> int:
-        """Return the generation of the placement in the platform."""
+        """Return the generation of the stored placement."""
         return parse_placement(self.platform.objects["placements/hall-a"]).generation
 
     def new_attempt(self) -> AttemptId:
@@ -77,35 +77,38 @@
 
 
 class TestCoordinator(unittest.TestCase):
-    """Leases and orders, with the platform up and down."""
+    """Leases and orders, with the platform available and unavailable."""
 
     def _orders_before_and_after_outage(self, checks_fences: bool) -> tuple[int, int]:
-        """Return the orders given in 20 s with the platform, and in 60 s from 10 s without it."""
-        trial = _Trial(checks_fences)
+        """Return the number of orders sent before an outage, and from 10 s after it began.
+
+        The first count covers 20 s, the second 60 s.
+        """
+        harness = _Harness(checks_fences)
 
         async def scenario() -> tuple[int, int]:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(trial.coordinator("entry-1").run)
+                nursery.start_soon(harness.coordinator("entry-1").run)
                 await trio.sleep(20)
-                before = len(trial.engines.orders)
-                trial.platform.is_refusing = True
+                before = len(harness.engines.orders)
+                harness.platform.is_refusing = True
                 await trio.sleep(10)
-                lapsed = len(trial.engines.orders)
+                sent_by_expiry = len(harness.engines.orders)
                 await trio.sleep(60)
                 nursery.cancel_scope.cancel()
-            return before, len(trial.engines.orders) - lapsed
+            return before, len(harness.engines.orders) - sent_by_expiry
 
         return run_on_mock_clock(scenario)
 
-    def test_orders_stop_when_the_lease_lapses(self) -> None:
+    def test_orders_stop_when_the_lease_expires(self) -> None:
         for checks_fences in (True, False):
             before, after = self._orders_before_and_after_outage(checks_fences)
             self.assertGreater(before, 0)
             self.assertEqual(after, 0)
 
-    def test_the_metric_tells_that_a_lease_lapsed_before_the_loop_looks_again(self) -> None:
-        """As after a pause of the process: its metrics may be read before any task runs."""
-        coordinator, node = _Trial(checks_fences=True).coordinator_and_node("entry-1")
+    def test_metric_shows_an_expired_lease_before_any_task_runs(self) -> None:
+        """After a pause of the process, its metrics may be scraped before any task runs."""
+        coordinator, node = _Harness(checks_fences=True).coordinator_and_node("entry-1")
 
         async def scenario() -> tuple[bytes, bytes]:
             with trio.move_on_after(20):
@@ -118,62 +121,62 @@
         self.assertIn(b"yewloom_is_coordinator 1.0", before)
         self.assertIn(b"yewloom_is_coordinator 0.0", after)
 
-    def test_records_that_cannot_be_decoded_end_no_daemon(self) -> None:
+    def test_undecodable_records_do_not_stop_the_coordinator(self) -> None:
         for key in ("leases/hall-a", "placements/hall-a", "shares/hall-a"):
-            trial = _Trial(checks_fences=True)
-            trial.platform.objects[key] = StoredObject(key, 1, '{"generation": "many"}')
+            harness = _Harness(checks_fences=True)
+            harness.platform.objects[key] = StoredObject(key, 1, '{"generation": "many"}')
 
-            async def scenario(trial: _Trial = trial) -> bool:
+            async def scenario(harness: _Harness = harness) -> bool:
                 with trio.move_on_after(30) as scope:
-                    await trial.coordinator("entry-1").run()
+                    await harness.coordinator("entry-1").run()
                 return scope.cancelled_caught
 
             self.assertTrue(run_on_mock_clock(scenario), key)
 
-    def test_two_that_coordinate_form_each_group_once(self) -> None:
-        trial = _Trial(checks_fences=True)
+    def test_two_coordinators_form_each_group_once(self) -> None:
+        harness = _Harness(checks_fences=True)
 
         async def scenario() -> set[str]:
             async with trio.open_nursery() as nursery:
                 for name in ("entry-1", "entry-2"):
-                    nursery.start_soon(trial.coordinator(name).run)
+                    nursery.start_soon(harness.coordinator(name).run)
                 await trio.sleep(60)
                 nursery.cancel_scope.cancel()
-            return {order.group_id for order in trial.engines.orders}
+            return {order.group_id for order in harness.engines.orders}
 
         self.assertEqual(len(run_on_mock_clock(scenario)), 1)
-        self.assertEqual(trial.platform.objects["placements/hall-a"].version, 1)
+        self.assertEqual(harness.platform.objects["placements/hall-a"].version, 1)
 
-    def test_a_group_whose_observers_are_gone_is_given_up_by_own_probes(self) -> None:
-        trial = _Trial(checks_fences=True)
-        coordinator, node = trial.coordinator_and_node("entry-1")
+    def test_group_without_observers_is_replaced_based_on_own_probes(self) -> None:
+        harness = _Harness(checks_fences=True)
+        coordinator, node = harness.coordinator_and_node("entry-1")
 
         async def scenario() -> tuple[int, int]:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(coordinator.run)
                 await trio.sleep(10)
-                trial.take_orders()
-                # The observers are elsewhere: one tells that the group is ready, and goes.
+                harness.execute_orders()
+                # The observers are other hosts: one reports that the group is ready, then stops.
                 seen = [
                     GroupReport(group_id=name, generation=1, ready=True, was_ready=True)
                     for name in node.fleet.group_ids()
                 ]
                 node.fleet.merge_groups(seen, trio.current_time())
-                del trial.engines.reports["h0:1"]
+                del harness.engines.reports["h0:1"]
                 groups = node.settings.groups
                 await trio.sleep((groups.freshness_ms + groups.give_up_ms) / 2000)
-                early = trial.placed_generation()
+                early = harness.placed_generation()
                 await trio.sleep((groups.freshness_ms + groups.give_up_ms) / 2000 + 2)
                 nursery.cancel_scope.cancel()
-            return early, trial.placed_generation()
+            return early, harness.placed_generation()
 
         self.assertEqual(run_on_mock_clock(scenario), (1, 2))
 
-    def test_another_takes_over_after_a_kill(self) -> None:
-        trial = _Trial(checks_fences=True)
+    def test_another_host_takes_over_after_a_kill(self) -> None:
+        harness = _Harness(checks_fences=True)
 
         async def scenario() -> list[bool]:
-            coordinators = [trial.coordinator(name) for name in ("entry-1", "entry-2")]
+            coordinators = [harness.coordinator(name) for name in ("entry-1", "entry-2")]
             held = []
             async with trio.open_nursery() as nursery:
                 first = await _start(nursery, coordinators[0])
@@ -202,7 +205,7 @@
 
 
 class TestDueOrders(unittest.TestCase):
-    """Which orders are due, within the weight store's bound."""
+    """Which orders are due, within the limit of concurrent loads."""
 
     def _due(self, cached: set[str], started: set[str], max_loading: int) -> list[Order]:
         groups = [
@@ -228,13 +231,13 @@
         placement = Placement(generation=1, groups=groups)
         return [due.order for due in due_orders(placement, seen, hosts, listed, max_loading)]
 
-    def test_no_more_groups_load_at_once_than_the_weight_store_bears(self) -> None:
+    def test_concurrent_loads_are_limited(self) -> None:
         self.assertEqual({order.group_id for order in self._due(set(), set(), 2)}, {"g0", "g1"})
 
     def test_groups_with_cached_weights_load_first(self) -> None:
         due = self._due({"h20", "h21"}, set(), 1)
         self.assertEqual({order.group_id for order in due}, {"g2"})
 
-    def test_a_begun_load_is_finished_before_another_begins(self) -> None:
+    def test_load_in_progress_finishes_before_another_begins(self) -> None:
         due = self._due({"h20", "h21"}, {"h00"}, 1)
         self.assertEqual([(o.group_id, o.rank, o.fence) for o in due], [("g0", 1, 1)])
--- a/yewloom/tests/test_engine_restart.py
+++ b/yewloom/tests/test_engine_restart.py
@@ -1,4 +1,4 @@
-"""Tests of engines that start again under their names, beside an entry host as a process."""
+"""Tests of engines that restart under the same name, with an entry host in its own process."""
 
 import unittest
 
@@ -8,16 +8,16 @@
 from yewloom.tests.test_entry_process import World, run
 
 CLOCK_STEPS_MS = (5000, -9000)
-"""What an engine's clock says after its restart, beside what it said before: it may be set back."""
+"""Offsets of an engine's clock after a restart; a clock may be set back."""
 
 SETTLE_S = 0.1
-"""Pause between two looks whether the groups are formed anew."""
+"""Pause between two checks whether the group has been formed again."""
 
 
 class TestEngineRestart(unittest.TestCase):
-    """No group counts on what an earlier process held, and requests are served again."""
+    """Groups do not rely on state of an earlier process, and requests are served again."""
 
-    def test_a_group_is_formed_anew_when_its_leader_or_another_member_starts_again(self) -> None:
+    def test_group_is_formed_again_after_the_leader_or_another_member_restarts(self) -> None:
         async def test(world: World) -> None:
             [entry] = world.fleet.entries
             for clock_step_ms in CLOCK_STEPS_MS:
@@ -30,11 +30,11 @@
     async def _restart(
         self, world: World, entry: EntryProcess, rank: int, clock_step_ms: int
     ) -> None:
-        """Let a member of an open group start again; wait until it is in an open group anew."""
+        """Restart a member of an open group, and wait until it is in an open group again."""
         chosen = next(e for e in world.fleet.engines if self._rank(e) == rank)
-        for head in world.fleet.engines:
-            if head.engine.name in chosen.engine.members[:1] and head is not chosen:
-                head.engine.moves = trio.Event()  # It stands still without its member.
+        for leader in world.fleet.engines:
+            if leader.engine.name in chosen.engine.members[:1] and leader is not chosen:
+                leader.engine.moves = trio.Event()  # The leader stalls without its member.
         chosen.engine.start_again(clock_step_ms)
         while not self._is_in_open_group(world, chosen):  # noqa: ASYNC110 - other processes
             await trio.sleep(SETTLE_S)
@@ -46,5 +46,7 @@
 
     def _is_in_open_group(self, world: World, member: SoakEngine) -> bool:
         by_name = {engine.engine.name: engine.engine for engine in world.fleet.engines}
-        heads = [by_name[name] for name in member.engine.members[:1]]
-        return any(head.group is not None and head.group["state"] == "open" for head in heads)
+        leaders = [by_name[name] for name in member.engine.members[:1]]
+        return any(
+            leader.group is not None and leader.group["state"] == "open" for leader in leaders
+        )
--- a/yewloom/tests/test_host_in_one_group.py
+++ b/yewloom/tests/test_host_in_one_group.py
@@ -1,17 +1,14 @@
-"""An incident: hosts were joined to a group while the leader of their old one was open.
+"""Regression tests: a host must not join a group while its previous group still serves.
 
-Seen: two hosts of a group that had served since the start, and that they had not left, were joined
-to another one; the leader of the old group was alive and served callers.
+In an incident, two hosts of a serving group were joined to another group without having left. Their
+leader was alive but missing from a listing for a moment, and an earlier order to it had remained
+unanswered: either a first order that took effect nevertheless, or one sent while only the
+connection between the coordinator and the leader was interrupted.
 
-How it came about: the leader was gone from the listing for a moment, though it lived, and an order
-to it had had no answer before: one of the first seconds, which took effect all the same, or one
-on a way that was cut between the leader and the coordinator alone.
-
-Cause: silence was taken for the leader's end. A group that was given up counted as ended once its
-leader was unlisted and an order to it had been unanswered 3 s ago; nothing ended that clock while
-the group served, and a host was joined without its own word that it had left.
-
-Proof: each of these tests failed on the code before the mend, in the words of the report.
+The coordinator took the missing answer as proof that the leader had failed. It considered an
+abandoned group ended when the leader was unlisted and an order to it had gone unanswered for 3 s,
+did not reset that timer while the group served, and did not require the host to confirm that it
+had left. Each of these tests failed before the fix.
 """
 
 import unittest
@@ -26,20 +23,20 @@
 A, B, C = HostId("a"), HostId("b"), HostId("c")
 
 LEASE_S = 4.0
-"""Time until the coordinator is at work: it waits for a lease that another one might hold."""
+"""Time until the coordinator is active: it first waits for a lease that another host may hold."""
 
 SETTLE_S = 8.0
-"""Time within which a group is replaced: the engines' stall time, and some orders."""
+"""Time within which a group is replaced: the engines' stall time plus a few orders."""
 
 
 class TestHostInOneGroup(unittest.TestCase):
-    """No host is joined to a group while the leader of the one that it has not left is open."""
+    """A host does not join a group while it is a member of a group whose leader is open."""
 
     def setUp(self) -> None:
         self.world = EngineWorld()
 
-    def test_an_order_without_an_answer_long_ago_tells_nothing_of_a_leader(self) -> None:
-        """The order to open had no answer and took effect; 22 s later the leader lapses for 1 s."""
+    def test_old_unanswered_order_is_no_evidence_that_the_leader_failed(self) -> None:
+        """An order to open took effect unanswered; 22 s later the leader is unlisted for 1 s."""
         self.world.add("a", "b")
         self.world.engines[A].loses_answers = self.world.engines[B].loses_answers = (OpenGroup,)
 
@@ -52,7 +49,7 @@
 
         play(self.world, test)
 
-    def test_a_leader_out_of_reach_of_the_coordinator_alone_keeps_its_group(self) -> None:
+    def test_member_leaves_an_unreachable_leader_before_it_joins_another_group(self) -> None:
         self.world.serve("old", ["a", "b"])
         self.world.add("c")
 
@@ -66,7 +63,7 @@
 
         play(self.world, test)
 
-    def test_a_listing_that_goes_back_does_not_show_that_a_leader_left(self) -> None:
+    def test_outdated_listing_is_no_evidence_that_the_leader_left(self) -> None:
         self.world.serve("old", ["a", "b"])
         before = [replace(self.world.engines[name].endpoint(), membership=None) for name in (A, B)]
 
@@ -81,7 +78,7 @@
 
         play(self.world, test)
 
-    def test_a_host_whose_unlisted_leader_is_in_no_record_leaves_before_it_joins(self) -> None:
+    def test_host_of_an_unrecorded_group_leaves_before_it_joins(self) -> None:
         self.world.serve("old", ["a", "b"], is_recorded=False)
         self.world.add("c")
         self.world.engines[A].is_listed = self.world.engines[A].is_reached = False
@@ -92,14 +89,14 @@
 
         play(self.world, test)
 
-    def test_a_host_that_tells_nothing_of_itself_is_not_joined(self) -> None:
-        """Its listing is older than its group, and its report does not come."""
+    def test_host_without_a_report_is_not_joined(self) -> None:
+        """The hosts' entries are older than their group, and they do not return reports."""
         self.world.serve("old", ["a", "b"], is_recorded=False)
         self.world.add("c")
         for name in (A, B):
             engine = self.world.engines[name]
             engine.listed_as = replace(engine.endpoint(), membership=None)
-            engine.tells_reports = False
+            engine.answers_reports = False
 
         async def test(played: Played) -> None:
             await trio.sleep(SETTLE_S)
@@ -109,28 +106,28 @@
         play(self.world, test)
 
     async def _hide_leader(self, for_s: float) -> None:
-        """Let the leader lapse from the listing for a while, and check what follows."""
+        """Remove the leader from the listing for a while, and check the outcome."""
         self.world.engines[A].is_listed = False
         await trio.sleep(for_s)
         self.world.engines[A].is_listed = True
         await self._check_settled()
 
     async def _check_settled(self) -> None:
-        """Check that no host was taken, and that a group serves again soon."""
+        """Check that no host was moved from a serving group, and that a group serves again."""
         await trio.sleep(SETTLE_S)
         self.assertEqual(self.world.taken, [])
         self.assertNotEqual(self.world.open_groups(), [])
 
 
-class TestOldEvidence(unittest.TestCase):
-    """What was seen of a group counts no longer than nothing disproves it."""
+class TestOutdatedEvidence(unittest.TestCase):
+    """Observations of a group are discarded once they are outdated or disproved."""
 
     def setUp(self) -> None:
         self.world = EngineWorld()
         self.world.serve("old", ["a", "b"])
 
-    def test_a_listing_that_goes_back_for_a_moment_ends_no_group(self) -> None:
-        """The time for which a group may form counts from when it was last seen to serve."""
+    def test_briefly_outdated_listing_does_not_end_a_group(self) -> None:
+        """The time limit for forming a group is counted from when it was last seen serving."""
         before = [replace(self.world.engines[name].endpoint(), membership=None) for name in (A, B)]
 
         async def test(played: Played) -> None:
@@ -141,12 +138,12 @@
             for engine in self.world.engines.values():
                 engine.listed_as = None
             await trio.sleep(SETTLE_S)
-            self._check_serves_on()
+            self._check_still_serves()
 
         play(self.world, test)
 
-    def test_a_leader_that_serves_others_keeps_its_group_while_it_is_listed(self) -> None:
-        """It is out of reach of the coordinator alone, and a peer sees its streams move."""
+    def test_listed_leader_that_serves_other_hosts_keeps_its_group(self) -> None:
+        """The coordinator cannot reach it, but a peer reports progress of its streams."""
 
         async def test(played: Played) -> None:
             await trio.sleep(LEASE_S)
@@ -155,12 +152,12 @@
                 played.stalls.report_unreachable(A, trio.current_time())
                 await trio.sleep(0.2)
                 played.stalls.move_by_peer(A, 0.05, trio.current_time())
-            self._check_serves_on()
+            self._check_still_serves()
 
         play(self.world, test)
 
-    def test_what_a_coordinator_suspected_is_forgotten_with_its_lease(self) -> None:
-        """Its store refused all calls while it found the leader silent."""
+    def test_suspects_are_discarded_with_the_lease(self) -> None:
+        """The store refuses all calls while the coordinator suspects the leader."""
 
         async def test(played: Played) -> None:
             await trio.sleep(LEASE_S)
@@ -174,11 +171,11 @@
             while not played.coordinator.is_holding:  # noqa: ASYNC110 - as above
                 await trio.sleep(1.0)
             await trio.sleep(SETTLE_S)
-            self._check_serves_on()
+            self._check_still_serves()
 
         play(self.world, test)
 
-    def _check_serves_on(self) -> None:
+    def _check_still_serves(self) -> None:
         self.assertEqual(self.world.open_groups(), [{A, B}])
         key = self.world.engines[A].key
         assert key is not None
--- a/yewloom/tests/test_leases.py
+++ b/yewloom/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of the coordinator's lease: never two holders, whatever is slow, lost or paused."""
+"""Tests of the coordinator's lease: never two holders, despite delays, losses and pauses."""
 
 import unittest
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass
 class _InFlight:
-    """A write on its way; it may be applied and answered at any later time, or never."""
+    """A write in write, which may be applied and answered at any later time, or never."""
 
     holder: int
     action: WriteLease
@@ -24,7 +24,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Several keepers, one record, and a network that delays and loses what it likes."""
+    """Several keepers, one record, and a network that delays and loses messages arbitrarily."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,68 +32,68 @@
         self.keepers = [LeaseKeeper(EntryHostId(f"e{i}"), TIMING) for i in range(HOLDERS)]
         self.record: Lease | None = None
         self.version = 0
-        self.flights: list[_InFlight] = []
+        self.in_flight: list[_InFlight] = []
         self.attempts = 0
 
     @rule(seconds=st.floats(0.1, 8.0))
     def pass_time(self, seconds: float) -> None:
-        """Let time pass; a keeper that takes no step meanwhile is paused."""
+        """Advance the clock; a keeper that takes no step meanwhile is paused."""
         self.now_s += seconds
 
     @rule(holder=st.integers(0, HOLDERS - 1))
     def step(self, holder: int) -> None:
-        """Let one keeper take its next step."""
+        """Perform one keeper's next action."""
         self.attempts += 1
         attempt = AttemptId(f"a{self.attempts}")
         action = self.keepers[holder].next_action(self.now_s, attempt)
         if isinstance(action, ReadLease):
             self.keepers[holder].on_read(self.record, self.version, self.now_s)
         elif isinstance(action, WriteLease):
-            self.flights.append(_InFlight(holder, action, self.now_s))
+            self.in_flight.append(_InFlight(holder, action, self.now_s))
 
     @rule(holder=st.integers(0, HOLDERS - 1))
     def release(self, holder: int) -> None:
-        """Let one keeper give the lease up, before a planned stop."""
+        """Release one keeper's lease, as before a planned stop."""
         self.attempts += 1
         action = self.keepers[holder].release(AttemptId(f"a{self.attempts}"), self.now_s)
         if action is not None:
-            self.flights.append(_InFlight(holder, action, self.now_s))
+            self.in_flight.append(_InFlight(holder, action, self.now_s))
 
     @rule(data=st.data(), is_answered=st.booleans())
     def deliver(self, data: st.DataObject, is_answered: bool) -> None:
-        """Let a write reach the platform; its answer may be lost."""
-        if not self.flights:
+        """Deliver a write to the platform; its answer may be lost."""
+        if not self.in_flight:
             return
-        flight = data.draw(st.sampled_from(self.flights))
-        self.flights.remove(flight)
-        applied = flight.action.expected_version == self.version
+        write = data.draw(st.sampled_from(self.in_flight))
+        self.in_flight.remove(write)
+        applied = write.action.expected_version == self.version
         if applied:
             self.version += 1
-            self.record = flight.action.lease
+            self.record = write.action.lease
         if not is_answered:
             return
-        keeper = self.keepers[flight.holder]
+        keeper = self.keepers[write.holder]
         if applied:
-            keeper.on_written(flight.action.lease, self.version, flight.sent_s, self.now_s)
+            keeper.on_written(write.action.lease, self.version, write.sent_s, self.now_s)
         else:
             keeper.on_conflict()
 
     @rule(data=st.data(), is_unsettled=st.booleans())
     def fail(self, data: st.DataObject, is_unsettled: bool) -> None:
-        """Let the store fail a write: with nothing done, or with a write that may come later."""
-        if not self.flights:
+        """Fail a write: either it had no effect, or it may still be applied later."""
+        if not self.in_flight:
             return
-        flight = data.draw(st.sampled_from(self.flights))
-        keeper = self.keepers[flight.holder]
+        write = data.draw(st.sampled_from(self.in_flight))
+        keeper = self.keepers[write.holder]
         if is_unsettled:
             keeper.on_unsettled(self.now_s)
         else:
-            self.flights.remove(flight)
+            self.in_flight.remove(write)
             keeper.on_failed(self.now_s)
 
     @invariant()
     def at_most_one_holds(self) -> None:
-        """No two keepers may act at the same time."""
+        """At most one keeper holds the lease at any time."""
         holding = [keeper for keeper in self.keepers if keeper.holds(self.now_s)]
         assert len(holding) <= 1, f"{len(holding)} hold the lease"
 
@@ -102,12 +102,12 @@
 
 
 class TestLeaseKeeper(unittest.TestCase):
-    """Single steps of one keeper."""
+    """Individual steps of one keeper."""
 
     def setUp(self) -> None:
         self.keeper = LeaseKeeper(EntryHostId("e1"), TIMING)
 
-    def test_an_absent_lease_is_taken_after_one_read(self) -> None:
+    def test_absent_lease_is_acquired_after_one_read(self) -> None:
         self.assertEqual(self.keeper.next_action(0.0, AttemptId("a")), ReadLease())
         self.keeper.on_read(None, 0, 0.0)
         action = self.keeper.next_action(2.0, AttemptId("b"))
@@ -116,7 +116,7 @@
         self.assertTrue(self.keeper.holds(6.9))
         self.assertFalse(self.keeper.holds(7.0))
 
-    def test_another_holders_lease_is_taken_only_after_it_lapsed_unchanged(self) -> None:
+    def test_another_holders_lease_is_acquired_only_after_it_expired_unchanged(self) -> None:
         other = Lease(holder="e2", term=4, duration_ms=6000)
         self.keeper.next_action(0.0, AttemptId("a"))
         self.keeper.on_read(other, 9, 0.0)
@@ -126,15 +126,15 @@
         assert isinstance(action, WriteLease)
         self.assertEqual((action.expected_version, action.lease.term), (9, 5))
 
-    def test_a_renewed_lease_starts_the_wait_again(self) -> None:
+    def test_renewal_by_another_holder_restarts_the_wait(self) -> None:
         self.keeper.next_action(0.0, AttemptId("a"))
         self.keeper.on_read(Lease(holder="e2", term=4, duration_ms=6000), 9, 0.0)
         self.keeper.next_action(6.0, AttemptId("b"))
         self.keeper.on_read(Lease(holder="e2", term=4, duration_ms=6000), 10, 6.0)
         self.assertEqual(self.keeper.next_action(9.0, AttemptId("c")), ReadLease())
 
-    def _take(self) -> None:
-        """Take the absent lease at 2 s."""
+    def _acquire(self) -> None:
+        """Acquire the absent lease at 2 s."""
         self.keeper.next_action(0.0, AttemptId("a"))
         self.keeper.on_read(None, 0, 0.0)
         action = self.keeper.next_action(2.0, AttemptId("b"))
@@ -142,18 +142,18 @@
         self.keeper.on_written(action.lease, 1, 2.0, 2.0)
         self.lease = action.lease
 
-    def test_an_outage_of_the_store_ends_no_lease_before_it_lapses(self) -> None:
+    def test_lease_is_held_until_it_expires_during_a_store_outage(self) -> None:
         for fail in (self.keeper.on_failed, self.keeper.on_unsettled):
             self.setUp()
-            self._take()
+            self._acquire()
             self.assertIsInstance(self.keeper.next_action(4.0, AttemptId("c")), WriteLease)
             fail(4.0)
             self.assertTrue(self.keeper.holds(6.9))
             self.assertFalse(self.keeper.holds(7.0))
 
-    def test_the_last_holder_goes_on_within_a_second_of_the_end_of_an_outage(self) -> None:
-        """The store is away from 4 s to 12 s, and the lease lapses meanwhile."""
-        self._take()
+    def test_last_holder_resumes_within_a_second_after_an_outage(self) -> None:
+        """The store is unavailable from 4 s to 12 s, and the lease expires meanwhile."""
+        self._acquire()
         now_s = 4.0
         while now_s < 12.0:
             if self.keeper.next_action(now_s, AttemptId("c")) is not None:
@@ -173,21 +173,21 @@
         self.assertLess(now_s, 13.0)
         self.assertEqual(calls, 2)
 
-    def test_who_did_not_hold_the_lease_keeps_its_pace_in_an_outage(self) -> None:
+    def test_other_hosts_keep_their_interval_in_an_outage(self) -> None:
         self.keeper.next_action(0.0, AttemptId("a"))
         self.keeper.on_read(Lease(holder="e2", term=4, duration_ms=6000), 9, 0.0)
         self.assertEqual(self.keeper.next_action(2.0, AttemptId("b")), ReadLease())
         self.keeper.on_failed(2.0)
         self.assertIsNone(self.keeper.next_action(3.9, AttemptId("c")))
 
-    def test_a_late_conflict_ends_the_holding(self) -> None:
-        self._take()
+    def test_late_conflict_ends_the_lease(self) -> None:
+        self._acquire()
         self.keeper.next_action(4.0, AttemptId("c"))
         self.keeper.on_conflict()
         self.assertFalse(self.keeper.holds(4.1))
 
-    def test_a_released_lease_is_not_held(self) -> None:
-        self._take()
+    def test_released_lease_is_not_held(self) -> None:
+        self._acquire()
         released = self.keeper.release(AttemptId("c"), 2.1)
         self.assertFalse(self.keeper.holds(2.1))
         assert released is not None
@@ -195,7 +195,7 @@
         self.keeper.on_written(released.lease, 2, 2.1, 2.2)
         self.assertFalse(self.keeper.holds(2.3))
 
-    def test_a_released_lease_is_taken_over_without_waiting_for_it_to_lapse(self) -> None:
+    def test_released_lease_is_acquired_without_waiting_for_expiry(self) -> None:
         self.keeper.next_action(0.0, AttemptId("a"))
         self.keeper.on_read(Lease(holder="e2", term=4, duration_ms=6000), 9, 0.0)
         self.keeper.next_action(2.0, AttemptId("b"))
@@ -204,7 +204,7 @@
         assert isinstance(action, WriteLease)
         self.assertEqual(action.lease.term, 5)
 
-    def test_a_lease_that_is_not_held_is_not_given_up(self) -> None:
+    def test_lease_that_is_not_held_is_not_released(self) -> None:
         self.keeper.next_action(0.0, AttemptId("a"))
         self.keeper.on_read(Lease(holder="e2", term=4, duration_ms=6000), 9, 0.0)
         self.assertIsNone(self.keeper.release(AttemptId("b"), 1.0))
--- a/yewloom/tests/test_model_need.py
+++ b/yewloom/tests/test_model_need.py
@@ -19,23 +19,23 @@
 
 
 class TestModelNeed(unittest.TestCase):
-    """Replicas follow demand."""
+    """Models are ordered by their shortage of replicas relative to demand."""
 
-    def test_the_model_with_the_fewest_replicas_for_its_demand_comes_first(self) -> None:
+    def test_model_with_the_fewest_replicas_for_its_demand_comes_first(self) -> None:
         self.assertEqual(_need(2, 8).models_by_need()[0].name, LARGE)
         self.assertEqual(_need(8, 2).models_by_need()[0].name, SMALL)
         self.assertEqual(_need(4, 4, demand_large=3).models_by_need()[0].name, LARGE)
 
-    def test_even_models_go_by_size(self) -> None:
+    def test_equally_supplied_models_are_ordered_by_group_size(self) -> None:
         self.assertEqual(_need(4, 4).models_by_need()[0].name, SMALL)
 
     @given(COUNTS, COUNTS, DEMANDS, DEMANDS, st.integers(1, 3))
     def test_an_exchange_never_makes_the_giver_the_needier(
-        self, large: int, small: int, demand_large: float, demand_small: float, given_count: int
+        self, large: int, small: int, demand_large: float, demand_small: float, source_count: int
     ) -> None:
         need = _need(large, small, demand_large, demand_small)
-        if need.may_exchange(SMALL, LARGE, given_count):
-            left = small - given_count
+        if need.may_exchange(SMALL, LARGE, source_count):
+            left = small - source_count
             self.assertGreater(left, 0)
             self.assertGreaterEqual(left / demand_small, (large + 1) / demand_large)
 
@@ -50,20 +50,20 @@
 
 
 class TestDemandMeter(unittest.TestCase):
-    """Demand is what runs, over some seconds."""
+    """Demand is the number of running requests, averaged over several seconds."""
 
-    def test_configured_shares_stand_in_until_requests_come(self) -> None:
+    def test_configured_shares_are_used_until_requests_arrive(self) -> None:
         demand = DemandMeter().demand(PROFILE)
         self.assertAlmostEqual(demand[LARGE], demand[SMALL], delta=0.2)
 
-    def test_what_runs_takes_over(self) -> None:
+    def test_running_requests_dominate_configured_shares(self) -> None:
         meter = DemandMeter()
         for second in range(60):
             meter.sample({LARGE: 10, SMALL: 90}, float(second))
         demand = meter.demand(PROFILE)
         self.assertGreater(demand[SMALL], 5 * demand[LARGE])
 
-    def test_one_sample_weighs_little(self) -> None:
+    def test_single_sample_has_little_weight(self) -> None:
         meter = DemandMeter()
         meter.sample({LARGE: 50, SMALL: 50}, 0.0)
         meter.sample({LARGE: 0, SMALL: 500}, DEMAND_TIME_CONSTANT_S / 50)
--- a/yewloom/tests/test_order_counts.py
+++ b/yewloom/tests/test_order_counts.py
@@ -1,4 +1,4 @@
-"""Tests of what answers and reports prove of the orders that an engine has taken."""
+"""Tests of how order counts of engines are derived from answers and reports."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 class TestOrderCounts(unittest.TestCase):
-    """Counts follow from answers, and a report that is older than an answer tells nothing."""
+    """Counts are updated by answers, and reports that are older than an answer are ignored."""
 
     def setUp(self) -> None:
         self.counts = OrderCounts()
@@ -35,39 +35,39 @@
     def _after(
         self, order: EngineOrder, expected: int | None, answer: OrderAnswer
     ) -> KnownCount | None:
-        """Return what is proved by an answer of an engine that had taken 3 orders."""
+        """Return the known count after an answer of an engine that had accepted 3 orders."""
         self.setUp()
         self._report(3, OLD)
         self.counts.record_answer(ENGINE, order, expected, answer)
         return self.counts.get(ENGINE, START_MS)
 
-    def test_a_leave_that_is_done_counts_whatever_its_answer_calls_it(self) -> None:
+    def test_leave_is_counted_whichever_answer_confirms_it(self) -> None:
         for answer in (OrderAnswer.BEGUN, OrderAnswer.HOLDS):
             left = self._after(LeaveGroup(OLD), 3, answer)
             self.assertEqual(left, KnownCount(START_MS, 4, None))
 
-    def test_a_leave_of_another_group_that_holds_changed_nothing(self) -> None:
+    def test_leave_of_another_group_is_not_counted(self) -> None:
         left = self._after(LeaveGroup(NEW), 3, OrderAnswer.HOLDS)
         self.assertEqual(left, KnownCount(START_MS, 3, OLD))
 
-    def test_what_begins_counts(self) -> None:
+    def test_order_that_has_begun_is_counted(self) -> None:
         self.assertEqual(self._after(JOIN, 3, OrderAnswer.BEGUN), KnownCount(START_MS, 4, NEW))
         for order in (OpenGroup(OLD), CloseGroup(OLD), StageModel(SMALL)):
             begun = self._after(order, None, OrderAnswer.BEGUN)
             self.assertEqual(begun, KnownCount(START_MS, 4, OLD))
 
-    def test_an_answer_that_proves_no_count_leaves_none(self) -> None:
+    def test_count_is_unknown_after_an_inconclusive_answer(self) -> None:
         for answer in set(OrderAnswer) - {OrderAnswer.BEGUN, OrderAnswer.HOLDS}:
             self.assertIsNone(self._after(JOIN, 3, answer), answer)
         self.assertIsNone(self._after(LeaveGroup(OLD), None, OrderAnswer.HOLDS))
 
-    def test_a_report_that_is_older_than_an_answer_tells_nothing(self) -> None:
+    def test_report_older_than_an_answer_is_ignored(self) -> None:
         self._report(3, OLD)
         self.counts.record_answer(ENGINE, LeaveGroup(OLD), 3, OrderAnswer.HOLDS)
         self.assertEqual(self._report(3, OLD), KnownCount(START_MS, 4, None))
         self.assertEqual(self._report(5, NEW), KnownCount(START_MS, 5, NEW))
 
-    def test_another_process_counts_from_zero(self) -> None:
+    def test_new_process_counts_from_zero(self) -> None:
         self._report(3, OLD)
         self.assertIsNone(self.counts.get(ENGINE, START_MS + 1))
         fresh = self.counts.record_report(ENGINE, EngineReport(0, START_MS + 1, None))
--- a/yewloom/tests/test_refused_orders.py
+++ b/yewloom/tests/test_refused_orders.py
@@ -1,8 +1,8 @@
-"""Tests of orders that an engine would refuse, with engines that answer as the platform's do.
+"""Tests that the coordinator avoids orders that engines refuse, with realistic engine answers.
 
-An engine that is told to leave its group has left when it answers, and counts that order, but what
-it reports is some hundred milliseconds old. One that loads weights refuses another load. The
-patterns are a group that lost a member, and a coordinator whose predecessor began a load.
+An engine that is ordered to leave its group has left and counted the order when it answers, but its
+reports are a few hundred milliseconds old. An engine that is loading weights refuses another load.
+The scenarios are a group that lost a member, and a coordinator whose predecessor started a load.
 """
 
 import unittest
@@ -27,16 +27,16 @@
 from yewloom.tests.entry_support import SMALL
 
 REPLACED_S = 6.0
-"""Time for a lost member to be noticed and its group to be formed anew, with much to spare."""
+"""Generous time limit for detecting a lost member and forming its group again."""
 
 LOAD = PlannedOrder(HostId("a"), "a", StageModel(SMALL))
 
 
 class TestJoins(unittest.TestCase):
-    """Joins right behind a departure."""
+    """Orders to join directly after a departure."""
 
-    def test_no_join_behind_a_departure_is_refused(self) -> None:
-        """The leader's departure ends the group; the other member is still in it when it joins."""
+    def test_join_after_a_departure_is_not_refused(self) -> None:
+        """The leader's departure ends the group, so the other member is still in it at the join."""
         world = EngineWorld()
         world.serve("old", ["a", "b", "c"])
 
@@ -52,33 +52,33 @@
 
 
 class _LoadingEngine:
-    """An engine that an earlier coordinator told to load weights; it reports that, or not yet."""
+    """An engine that loads weights for an earlier coordinator, and may not report it yet."""
 
-    def __init__(self, reports_it: bool) -> None:
-        self._reports_it = reports_it
+    def __init__(self, reports_load: bool) -> None:
+        self._reports_load = reports_load
         self.is_loading = True
         self.refused_s: list[float] = []
-        self.begun = 0
+        self.begun_count = 0
 
     async def send(
         self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
     ) -> OrderAnswer:
-        """Refuse a load while another one is under way."""
+        """Refuse a load while another one is in progress."""
         if self.is_loading:
             self.refused_s.append(trio.current_time())
             return OrderAnswer.OUT_OF_DATE
-        self.begun += 1
+        self.begun_count += 1
         return OrderAnswer.BEGUN
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Return whether a load is under way."""
-        return EngineReport(3, is_busy=self.is_loading and self._reports_it)
+        """Report whether a load is in progress."""
+        return EngineReport(3, is_busy=self.is_loading and self._reports_load)
 
 
 class TestLoads(unittest.TestCase):
-    """Loads onto an engine that already loads."""
+    """Orders to load weights for an engine that is already loading."""
 
     def setUp(self) -> None:
         self.state = PlanState()
@@ -97,7 +97,7 @@
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
     async def _plan(self, delivery: OrderDelivery, tasks: BackgroundTasks, for_s: float) -> None:
-        """Order the load at each step at which it is due, as a plan does."""
+        """Order the load whenever it is due, as a planner does."""
         ends_s = trio.current_time() + for_s
         while trio.current_time() < ends_s:
             now_s = trio.current_time()
@@ -107,8 +107,8 @@
                 delivery.give([LOAD], tasks)
             await trio.sleep(0.2)
 
-    def test_an_engine_that_reports_a_load_is_left_to_it(self) -> None:
-        engine = _LoadingEngine(reports_it=True)
+    def test_engine_that_reports_a_load_gets_no_other_load(self) -> None:
+        engine = _LoadingEngine(reports_load=True)
 
         async def test(delivery: OrderDelivery, tasks: BackgroundTasks) -> None:
             await self._plan(delivery, tasks, 10.0)
@@ -116,10 +116,10 @@
             await self._plan(delivery, tasks, 5.0)
 
         self._run(engine, test)
-        self.assertEqual((engine.refused_s, engine.begun), ([], 1))
+        self.assertEqual((engine.refused_s, engine.begun_count), ([], 1))
 
-    def test_a_load_that_was_refused_waits_and_takes_no_place_of_others(self) -> None:
-        engine = _LoadingEngine(reports_it=False)
+    def test_refused_load_is_delayed_and_frees_its_rate_limit_slot(self) -> None:
+        engine = _LoadingEngine(reports_load=False)
 
         async def test(delivery: OrderDelivery, tasks: BackgroundTasks) -> None:
             await self._plan(delivery, tasks, 10.0)
@@ -131,9 +131,9 @@
 
 
 class TestPauses(unittest.TestCase):
-    """An order that is refused again and again is given ever less often."""
+    """An order that is refused repeatedly is sent less and less often."""
 
-    def test_the_pause_grows_and_ends_with_an_order_that_is_taken(self) -> None:
+    def test_pause_grows_until_an_order_is_accepted(self) -> None:
         state, now_s = PlanState(), 100.0
         pauses_s = []
         for _ in range(5):
--- a/yewloom/tests/test_replica_coordinator.py
+++ b/yewloom/tests/test_replica_coordinator.py
@@ -1,4 +1,4 @@
-"""Tests of when a host coordinates its data centre, on a clock that jumps."""
+"""Tests of when a host coordinates its data centre, on a mock clock."""
 
 import unittest
 from typing import cast
@@ -21,7 +21,7 @@
 
 
 class SlowStore:
-    """An empty store that answers the first write when ``may_answer`` is set."""
+    """An empty store that answers writes only after ``may_answer`` is set."""
 
     def __init__(self) -> None:
         self.is_asked, self.may_answer = trio.Event(), trio.Event()
@@ -29,13 +29,13 @@
         self._version = 0
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
-        """Read nothing."""
+        """Return no object."""
         return Ok(None)
 
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
-        """Take a write."""
+        """Accept a write once ``may_answer`` is set."""
         self.is_asked.set()
         await self.may_answer.wait()
         self._version += 1
@@ -43,7 +43,7 @@
 
 
 class Parts:
-    """The store, as the platform's parts; there are no engines."""
+    """Platform parts that consist of the store only, without engines."""
 
     def __init__(self, store: SlowStore) -> None:
         self.records_store = self.stale_store = cast(Platform, store)
@@ -67,7 +67,7 @@
 class TestLeaving(unittest.TestCase):
     """A host that is stopping does not begin to coordinate."""
 
-    def test_a_lease_that_comes_after_the_stop_began_is_not_used(self) -> None:
+    def test_lease_acquired_after_the_stop_began_is_not_used(self) -> None:
         async def main() -> None:
             store = SlowStore()
             coordinator = _coordinator(store, parse_entry_settings(SETTINGS, "test").unwrap())
--- a/yewloom/tests/test_small_model_shortage.py
+++ b/yewloom/tests/test_small_model_shortage.py
@@ -1,7 +1,8 @@
 """Tests of the replicas of a small model while hosts are lost one after the other.
 
-The pattern is a host lost every three seconds in turn in each data centre, as in a rack that fails
-slowly: groups of two break as often as groups of four, their hosts keep the weights of the large
+The scenario is a rack that fails slowly: every three seconds a host is lost, in each data centre in
+turn.
+Groups of two hosts break as often as groups of four, their hosts hold the weights of the large
 model as a reserve, and a load takes 12 s, in which four more hosts are lost.
 """
 
@@ -26,7 +27,7 @@
 
 
 def _directory_with_others() -> EndpointDirectory:
-    """Return a directory that lists two groups of each model in another data centre."""
+    """Return a directory with two groups of each model in another data centre."""
     directory = EndpointDirectory()
     for number, model in enumerate([SMALL, SMALL, LARGE, LARGE]):
         key = GroupKey(GroupId(f"other-{number}"), 1)
@@ -36,13 +37,13 @@
 
 
 class TestSurvivors(unittest.TestCase):
-    """Hosts whose groups broke serve again as soon as they can."""
+    """Surviving hosts of broken groups form new groups without a load if possible."""
 
     def setUp(self) -> None:
         self.directory, self.state = _directory_with_others(), PlanState()
 
     def _formed(self, demand: dict[ModelName, float]) -> list[tuple[str, list[str]]]:
-        """Return the model and the members of each group that is formed now."""
+        """Plan once; return the model and the members of each group that is formed."""
         planner = ReplicaPlanner(
             HALL, ENGINES, PROFILE, self.directory, self.state, RATIONED, demand
         )
@@ -51,7 +52,7 @@
         groups = plan.record.groups if plan.record is not None else []
         return [(g.model, sorted(m.host_id for m in g.members)) for g in groups]
 
-    def test_two_that_keep_the_reserve_form_a_group_of_their_last_model_without_a_load(
+    def test_hosts_with_reserve_weights_form_a_group_of_their_last_model_without_a_load(
         self,
     ) -> None:
         for name in ("a", "b"):
@@ -59,17 +60,17 @@
         self.assertEqual(self._formed(SMALL_IS_SHORT), [(SMALL, ["a", "b"])])
         self.assertEqual(self.loads, [])
 
-    def test_a_reserve_goes_to_the_large_model_while_that_lacks_more(self) -> None:
+    def test_hosts_with_reserve_weights_serve_the_large_model_if_its_need_is_greater(self) -> None:
         for name in ("a", "b", "c", "d"):
             self.directory.put(make_engine(name, staged=LARGE, model=SMALL))
         self.assertEqual(self._formed(LARGE_IS_SHORT), [(LARGE, ["a", "b", "c", "d"])])
 
 
 class TestReserves(unittest.TestCase):
-    """All groups of a domain break at once, and their other hosts come free one by one.
+    """All groups of a domain break at once, and their surviving hosts become free one by one.
 
-    Of two groups of the small model, which is in greater need, one host is free and another has
-    still to leave; three of the large model's are free. All hold the large model's weights.
+    Of two groups of the small model, which is in greater need, one host is free and another one has
+    not left yet. Three hosts of the large model are free. All have the large model's weights.
     """
 
     def setUp(self) -> None:
@@ -78,8 +79,8 @@
             self.directory.put(make_engine(name, staged=LARGE, model=LARGE))
         self.directory.put(make_engine("a", staged=LARGE, model=SMALL))
         self.key = GroupKey(GroupId("broken"), 1)
-        place = Membership(self.key, 1, MemberState.READY)
-        self.directory.put(make_engine("b", staged=LARGE, membership=place, model=SMALL))
+        membership = Membership(self.key, 1, MemberState.READY)
+        self.directory.put(make_engine("b", staged=LARGE, membership=membership, model=SMALL))
         self.state.unresponsive.add(HostId("lost"))
         self.record = Placement(data_centre=HALL, generation=1)
         group = self.record.groups.add(id="broken", generation=1, model=SMALL)
@@ -96,19 +97,19 @@
         formed = [g for g in self.record.groups if g.intent == GroupIntent.ACTIVE.value]
         return [(g.model, sorted(m.host_id for m in g.members)) for g in formed]
 
-    def test_a_host_waits_for_another_that_is_about_to_be_free(self) -> None:
+    def test_free_host_waits_for_another_that_is_leaving_its_group(self) -> None:
         self.assertEqual(self._plan(10.0, SMALL_IS_SHORT), [])
         self.state.departures.add(Departure(HostId("b"), self.key))
         self.assertEqual(self._plan(10.4, SMALL_IS_SHORT), [(SMALL, ["a", "b"])])
 
-    def test_it_waits_for_a_short_while_only(self) -> None:
+    def test_free_host_waits_for_a_limited_time(self) -> None:
         self.assertEqual(self._plan(10.0, SMALL_IS_SHORT), [])
         formed = self._plan(10.0 + RESERVE_TIMEOUT_S + 0.2, SMALL_IS_SHORT)
         self.assertEqual(formed, [(LARGE, ["a", "c", "d", "e"])])
 
-    def test_nothing_waits_for_a_host_that_gives_no_answer(self) -> None:
+    def test_no_host_waits_for_an_unresponsive_one(self) -> None:
         self.state.suspects.add(HostId("b"))
         self.assertEqual(self._plan(10.0, SMALL_IS_SHORT), [(LARGE, ["a", "c", "d", "e"])])
 
-    def test_the_model_in_greater_need_waits_for_nobody(self) -> None:
+    def test_model_in_greater_need_does_not_wait(self) -> None:
         self.assertEqual(self._plan(10.0, LARGE_IS_SHORT), [(LARGE, ["a", "c", "d", "e"])])
--- a/yewloom/tests/test_weight_loads.py
+++ b/yewloom/tests/test_weight_loads.py
@@ -1,4 +1,4 @@
-"""Tests of how many loads each data centre may begin: the pattern is a fleet of many of them."""
+"""Tests of the load limits of data centres, in fleets with few and many data centres."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class TestSupplyBounds(unittest.TestCase):
-    """All data centres together stay within what the weight store bears."""
+    """All data centres together stay within the rate limit of the weight store."""
 
     def test_the_sum_over_all_data_centres_is_within_the_rate(self) -> None:
         for data_centres in (1, 2, 5, 23):
@@ -16,8 +16,8 @@
                 self.assertLessEqual(rate, loads_per_s)
                 self.assertGreaterEqual(bounds.window_s, LOADS_WINDOW_S)
 
-    def test_each_data_centre_may_load_now_and_then(self) -> None:
+    def test_each_data_centre_may_load_at_times(self) -> None:
         self.assertEqual(supply_bounds(False, 1.0, 23).max_loads, 1)
 
-    def test_three_data_centres_use_nearly_a_third_each(self) -> None:
+    def test_three_data_centres_use_30_percent_each(self) -> None:
         self.assertEqual(supply_bounds(False, 77.0, 3).max_loads, int(77 * 5 * 0.3))
