--- a/yewloom/tests/test_placement.py
+++ b/yewloom/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement and of the serving gate, with failures mixed in and doubled."""
+"""Tests of placement and of when groups are open, under random combinations of failures."""
 
 import unittest
 from dataclasses import dataclass, field
@@ -22,14 +22,14 @@
 FRESHNESS_S = 2.0
 GIVE_UP_S = 4.0
 TIMING = PlacementTiming(FRESHNESS_S, load_timeout_s=30.0, settle_s=3.0)
-PLACE = DataCentreId("hall-a")
+DATA_CENTRE = DataCentreId("hall-a")
 HOSTS = [f"h{i}" for i in range(7)]
 POLICY = PolicyName("p")
 
 
 @dataclass
 class _Engine:
-    """A model engine as it is, whatever anyone has heard of it."""
+    """The actual state of a model engine, which entry hosts may not know."""
 
     host: Host
     is_alive: bool = True
@@ -61,7 +61,7 @@
 
 @dataclass
 class _EntryHost:
-    """One entry host: what it knows, its planner, and a placement that it may yet write."""
+    """One entry host: its view, its planner, and a planned placement that it may write later."""
 
     name: str
     fleet: Fleet = field(default_factory=lambda: Fleet(FRESHNESS_S, GIVE_UP_S))
@@ -73,17 +73,17 @@
 
 
 class PlacementMachine(RuleBasedStateMachine):
-    """Entry hosts that all believe they coordinate, engines that die, pause and come back."""
+    """Entry hosts that all act as coordinator, and engines that fail, pause and return."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 0.0
         self.engines = {HostId(n): _Engine(make_host(n)) for n in HOSTS}
         self.entries = [_EntryHost("e0"), _EntryHost("e1")]
-        self.record = Placement(data_centre=PLACE)
+        self.record = Placement(data_centre=DATA_CENTRE)
         self.version = 0
         self.orders: list[DueOrder] = []
-        self.last_true_s: dict[tuple[str, str, int], float] = {}
+        self.last_ready_s: dict[tuple[str, str, int], float] = {}
         self.attempts = 0
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.0, 2.5, 5.0]))
@@ -95,8 +95,8 @@
         self.engines[HostId(name)].is_alive = False
 
     @rule(name=st.sampled_from(HOSTS), has_state=st.booleans())
-    def come_back(self, name: str, has_state: bool) -> None:
-        """Bring a host back, with its state after a pause or without after a restart."""
+    def restore(self, name: str, has_state: bool) -> None:
+        """Make a host alive again: after a pause with its state, after a restart without."""
         engine = self.engines[HostId(name)]
         if not has_state:
             engine.group, engine.is_ready, engine.fence = ("", 0), False, 0
@@ -113,37 +113,37 @@
             self.load(name)
 
     @rule(name=st.sampled_from(HOSTS), state=st.sampled_from(list(HostState)))
-    def list_as(self, name: str, state: HostState) -> None:
+    def set_listed_state(self, name: str, state: HostState) -> None:
         self.engines[HostId(name)].host.state = state.value
 
-    @rule(who=st.integers(0, 1), seen=st.sets(st.sampled_from(HOSTS), min_size=3))
-    def probe(self, who: int, seen: set[str]) -> None:
-        """Probe all hosts; those not ``seen`` are cut off from this entry host."""
-        self._note_what_is_true()
-        fleet = self.entries[who].fleet
+    @rule(index=st.integers(0, 1), reachable=st.sets(st.sampled_from(HOSTS), min_size=3))
+    def probe(self, index: int, reachable: set[str]) -> None:
+        """Probe all hosts; those not in ``reachable`` are partitioned from this entry host."""
+        self._record_ready_members()
+        fleet = self.entries[index].fleet
         for name, engine in self.engines.items():
-            if engine.is_alive and name in seen:
+            if engine.is_alive and name in reachable:
                 fleet.on_host_answered(name, engine.report(), self.now_s)
             else:
                 fleet.on_host_failed(name, self.now_s)
         for _, group in list(fleet.groups()):
             fleet.sum_up(group, self.now_s)
 
-    @rule(who=st.integers(0, 1))
-    def probe_all(self, who: int) -> None:
-        self.probe(who, set(HOSTS))
+    @rule(index=st.integers(0, 1))
+    def probe_all(self, index: int) -> None:
+        self.probe(index, set(HOSTS))
 
-    @rule(to=st.integers(0, 1))
-    def exchange(self, to: int) -> None:
-        source, target = self.entries[1 - to].fleet, self.entries[to].fleet
+    @rule(index=st.integers(0, 1))
+    def exchange(self, index: int) -> None:
+        source, target = self.entries[1 - index].fleet, self.entries[index].fleet
         for placement in source.newer_placements(target.placement_versions()):
             target.apply_placement(placement)
         target.merge_groups(source.group_reports(self.now_s), self.now_s)
 
-    @rule(who=st.integers(0, 1))
-    def plan(self, who: int) -> None:
-        """Read the record and plan; the write comes later, if ever."""
-        entry = self.entries[who]
+    @rule(index=st.integers(0, 1))
+    def plan(self, index: int) -> None:
+        """Read the record and plan; the write may follow later or never."""
+        entry = self.entries[index]
         entry.fleet.apply_placement(self.record)
         state = FleetState(
             listed={name: engine.host for name, engine in self.engines.items()},
@@ -158,9 +158,9 @@
             self.version,
         )
 
-    @rule(who=st.integers(0, 1))
-    def write(self, who: int) -> None:
-        entry, pending = self.entries[who], self.entries[who].pending
+    @rule(index=st.integers(0, 1))
+    def write(self, index: int) -> None:
+        entry, pending = self.entries[index], self.entries[index].pending
         entry.pending = None
         if pending is None or pending[0].placement is None or pending[1] != self.version:
             return
@@ -168,17 +168,17 @@
         self.record, self.version = pending[0].placement, self.version + 1
         entry.fleet.apply_placement(self.record)
 
-    @rule(who=st.integers(0, 1))
-    def send_orders(self, who: int) -> None:
-        fleet = self.entries[who].fleet
+    @rule(index=st.integers(0, 1))
+    def send_orders(self, index: int) -> None:
+        fleet = self.entries[index].fleet
         listed = {name: engine.host for name, engine in self.engines.items()}
         self.orders += due_orders(
-            fleet.placement(PLACE), fleet.group_observations, fleet.hosts, listed, 2
+            fleet.placement(DATA_CENTRE), fleet.group_observations, fleet.hosts, listed, 2
         )
 
     @rule(data=st.data())
     def deliver_order(self, data: st.DataObject) -> None:
-        """Deliver one order, however old."""
+        """Deliver any order sent so far, however old."""
         if self.orders:
             due = data.draw(st.sampled_from(self.orders))
             self.engines[due.host_id].take_order(due)
@@ -189,8 +189,8 @@
             self.engines[due.host_id].take_order(due)
 
     @rule()
-    def settle(self) -> None:
-        """A quiet round in which all goes well, so that groups do come to serve."""
+    def run_healthy_round(self) -> None:
+        """Run one round without failures, so that groups do become open."""
         self.plan(0)
         self.write(0)
         self.probe_all(0)
@@ -200,10 +200,10 @@
         self.probe_all(0)
         self.exchange(1)
 
-    def _note_what_is_true(self) -> None:
+    def _record_ready_members(self) -> None:
         for name, engine in self.engines.items():
             if engine.is_alive and engine.is_ready:
-                self.last_true_s[(name, *engine.group)] = self.now_s
+                self.last_ready_s[(name, *engine.group)] = self.now_s
 
     @invariant()
     def no_host_is_in_two_groups(self) -> None:
@@ -215,14 +215,14 @@
 
     @invariant()
     def no_group_is_open_while_a_member_is_missing(self) -> None:
-        """Each member was alive and ready in this generation within the freshness bound."""
-        self._note_what_is_true()
+        """Each member of an open group was ready in its generation within the freshness bound."""
+        self._record_ready_members()
         for entry in self.entries:
             for _, group, _ in entry.fleet.open_groups(self.now_s):
                 for member in group.members:
                     known = (member.host_id, group.id, group.generation)
-                    true_s = self.last_true_s.get(known, float("-inf"))
-                    assert self.now_s - true_s <= FRESHNESS_S, f"{member.host_id} is missing"
+                    ready_s = self.last_ready_s.get(known, float("-inf"))
+                    assert self.now_s - ready_s <= FRESHNESS_S, f"{member.host_id} is missing"
 
 
 TestPlacementMachine = PlacementMachine.TestCase
@@ -230,33 +230,33 @@
 
 
 class TestCheckPlacement(unittest.TestCase):
-    """Records that must never be acted on."""
+    """Invalid placement records are refused."""
 
-    def test_a_host_in_two_groups_is_refused(self) -> None:
+    def test_host_in_two_groups_is_refused(self) -> None:
         member = GroupMember(host_id="h1")
         groups = [Group(id="a", members=[member]), Group(id="b", members=[member])]
         with self.assertRaises(PlacementError):
             check_placement(Placement(groups=groups))
 
-    def test_a_generation_above_the_record_is_refused(self) -> None:
+    def test_group_generation_above_the_records_is_refused(self) -> None:
         with self.assertRaises(PlacementError):
             check_placement(Placement(generation=1, groups=[Group(id="a", generation=2)]))
 
 
-class _Trial:
-    """One planner over engines that do as they are told."""
+class _Harness:
+    """One planner with engines that execute all orders."""
 
     def __init__(self, policy: PolicyRow, hosts: list[Host]) -> None:
         self.policy: PolicyRow | None = policy
         self.engines = {HostId(host.id): _Engine(host) for host in hosts}
         self.fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
         self.planner = Planner(EntryHostId("e"), TIMING)
-        self.record = Placement(data_centre=PLACE)
+        self.record = Placement(data_centre=DATA_CENTRE)
         self.now_s = 0.0
         self.reasons: list[str] = []
 
     def round(self, seconds: float = 0.5) -> None:
-        """Probe, plan, write, order and load once."""
+        """Probe, plan, write, send orders and load once."""
         self.now_s += seconds
         self._probe()
         plan = self.planner.plan(self.record, self._state(), self.now_s, AttemptId("a"))
@@ -273,7 +273,7 @@
         self._probe()
 
     def open_members(self) -> list[set[str]]:
-        """Return the members of each group that may take new work."""
+        """Return the members of each group that accepts new work."""
         found = self.fleet.open_groups(self.now_s)
         return [{member.host_id for member in group.members} for _, group, _ in found]
 
@@ -296,145 +296,147 @@
 
 
 class TestPlanner(unittest.TestCase):
-    """The life of groups in single cases."""
+    """The life cycle of groups in individual scenarios."""
 
-    def _trial(self, count: int, policy: PolicyRow, domains: int = 1) -> _Trial:
+    def _harness(self, count: int, policy: PolicyRow, domains: int = 1) -> _Harness:
         hosts = [make_host(f"h{i}", f"rack-{i % domains}") for i in range(count)]
-        trial = _Trial(policy, hosts)
-        trial.round()
-        return trial
-
-    def test_spares_are_left_and_replace_a_lost_member_at_once(self) -> None:
-        trial = self._trial(7, make_policy(size=3, spare=1))
-        self.assertEqual(len(trial.open_members()), 2)
-        trial.engines[HostId("h0")].is_alive = False
+        harness = _Harness(policy, hosts)
+        harness.round()
+        return harness
+
+    def test_spare_hosts_are_kept_and_replace_a_lost_member(self) -> None:
+        harness = self._harness(7, make_policy(size=3, spare=1))
+        self.assertEqual(len(harness.open_members()), 2)
+        harness.engines[HostId("h0")].is_alive = False
         for _ in range(10):
-            trial.round()
-        self.assertEqual(len(trial.open_members()), 2)
-        self.assertNotIn("h0", set().union(*trial.open_members()))
+            harness.round()
+        self.assertEqual(len(harness.open_members()), 2)
+        self.assertNotIn("h0", set().union(*harness.open_members()))
 
-    def test_a_returning_member_of_a_given_up_group_is_not_served_by(self) -> None:
-        trial = self._trial(7, make_policy(size=3, spare=1))
-        trial.engines[HostId("h0")].is_alive = False
+    def test_returning_member_of_a_lost_group_does_not_serve(self) -> None:
+        harness = self._harness(7, make_policy(size=3, spare=1))
+        harness.engines[HostId("h0")].is_alive = False
         for _ in range(10):
-            trial.round()
-        trial.engines[HostId("h0")].is_alive = True
-        trial.round()
-        self.assertEqual(len(trial.open_members()), 2)
-        self.assertNotIn("h0", set().union(*trial.open_members()))
-
-    def test_a_restarted_member_ends_its_group_and_a_new_generation_forms(self) -> None:
-        trial = self._trial(3, make_policy(size=3))
-        generation = trial.record.groups[0].generation
-        trial.engines[HostId("h1")].group = ("", 0)
-        trial.round()
-        trial.round()
-        self.assertTrue(any("was restarted" in reason for reason in trial.reasons))
-        self.assertGreater(trial.record.groups[0].generation, generation)
-        self.assertEqual(len(trial.open_members()), 1)
-
-    def test_a_leaving_member_drains_its_group_and_requests_in_progress_end_first(self) -> None:
-        trial = self._trial(6, make_policy(size=3))
-        busy = trial.engines[HostId("h0")]
+            harness.round()
+        harness.engines[HostId("h0")].is_alive = True
+        harness.round()
+        self.assertEqual(len(harness.open_members()), 2)
+        self.assertNotIn("h0", set().union(*harness.open_members()))
+
+    def test_restarted_member_ends_its_group_and_a_new_generation_forms(self) -> None:
+        harness = self._harness(3, make_policy(size=3))
+        generation = harness.record.groups[0].generation
+        harness.engines[HostId("h1")].group = ("", 0)
+        harness.round()
+        harness.round()
+        self.assertTrue(any("was restarted" in reason for reason in harness.reasons))
+        self.assertGreater(harness.record.groups[0].generation, generation)
+        self.assertEqual(len(harness.open_members()), 1)
+
+    def test_group_with_a_leaving_member_drains_until_its_requests_end(self) -> None:
+        harness = self._harness(6, make_policy(size=3))
+        busy = harness.engines[HostId("h0")]
         busy.running = 1
         busy.host.state = HostState.LEAVING.value
         for _ in range(20):
-            trial.round()
-        self.assertNotIn("dissolve: drained", trial.reasons, "dissolved while it ran")
-        self.assertEqual(len(trial.open_members()), 1)
+            harness.round()
+        self.assertNotIn(
+            "dissolve: drained", harness.reasons, "dissolved while a request was running"
+        )
+        self.assertEqual(len(harness.open_members()), 1)
         busy.running = 0
         for _ in range(10):
-            trial.round()
-        self.assertTrue(any(r == "dissolve: drained" for r in trial.reasons))
+            harness.round()
+        self.assertTrue(any(r == "dissolve: drained" for r in harness.reasons))
 
-    def test_a_replacement_forms_while_the_leaving_members_group_drains(self) -> None:
-        trial = self._trial(7, make_policy(size=3, spare=3))
-        self.assertEqual(len(trial.open_members()), 1)
-        busy = trial.engines[HostId("h0")]
+    def test_replacement_forms_while_the_group_drains(self) -> None:
+        harness = self._harness(7, make_policy(size=3, spare=3))
+        self.assertEqual(len(harness.open_members()), 1)
+        busy = harness.engines[HostId("h0")]
         busy.running = 1
         busy.host.state = HostState.LEAVING.value
-        trial.round()
-        trial.round()
-        self.assertEqual(len(trial.open_members()), 1)
-        self.assertNotIn("h0", trial.open_members()[0])
-
-    def test_versions_change_one_group_at_a_time(self) -> None:
-        trial = self._trial(6, make_policy(size=3))
-        trial.policy = make_policy(size=3, model_version="2")
-        trial.round()
-        draining = [g for g in trial.record.groups if g.intent == GroupIntent.DRAINING.value]
+        harness.round()
+        harness.round()
+        self.assertEqual(len(harness.open_members()), 1)
+        self.assertNotIn("h0", harness.open_members()[0])
+
+    def test_version_changes_one_group_at_a_time(self) -> None:
+        harness = self._harness(6, make_policy(size=3))
+        harness.policy = make_policy(size=3, model_version="2")
+        harness.round()
+        draining = [g for g in harness.record.groups if g.intent == GroupIntent.DRAINING.value]
         self.assertEqual(len(draining), 1)
         for _ in range(60):
-            trial.round()
-        versions = {group.model_version for group in trial.record.groups if group.members}
+            harness.round()
+        versions = {group.model_version for group in harness.record.groups if group.members}
         self.assertEqual(versions, {"2"})
 
-    def test_groups_of_a_deleted_policy_drain_and_go(self) -> None:
-        trial = self._trial(3, make_policy(size=3))
-        trial.policy = None
+    def test_groups_of_a_deleted_policy_are_drained_and_removed(self) -> None:
+        harness = self._harness(3, make_policy(size=3))
+        harness.policy = None
         for _ in range(20):
-            trial.round()
-        self.assertEqual(list(trial.record.groups), [])
+            harness.round()
+        self.assertEqual(list(harness.record.groups), [])
 
-    def test_a_blind_coordinator_gives_nothing_up(self) -> None:
-        trial = self._trial(3, make_policy(size=3))
-        for engine in trial.engines.values():
+    def test_coordinator_without_fresh_observations_abandons_no_group(self) -> None:
+        harness = self._harness(3, make_policy(size=3))
+        for engine in harness.engines.values():
             engine.is_alive = False
         for _ in range(20):
-            trial.round()
-        self.assertEqual([len(group.members) for group in trial.record.groups], [3])
-        self.assertFalse(any(reason.startswith("lose") for reason in trial.reasons))
+            harness.round()
+        self.assertEqual([len(group.members) for group in harness.record.groups], [3])
+        self.assertFalse(any(reason.startswith("lose") for reason in harness.reasons))
 
-    def test_a_host_that_checks_no_fence_is_used_again_only_after_stale_views_ran_out(self) -> None:
+    def test_host_without_fence_checks_is_used_only_after_stale_views_expired(self) -> None:
         hosts = [make_host(f"h{i}", checks_fences=False) for i in range(3)]
-        trial = _Trial(make_policy(size=3), hosts)
-        trial.round()
-        self.assertEqual(list(trial.record.groups), [])
+        harness = _Harness(make_policy(size=3), hosts)
+        harness.round()
+        self.assertEqual(list(harness.record.groups), [])
         for _ in range(6):
-            trial.round()
-        self.assertEqual(len(trial.open_members()), 1)
+            harness.round()
+        self.assertEqual(len(harness.open_members()), 1)
 
-    def test_the_policy_below_its_least_number_of_groups_comes_first(self) -> None:
-        trial = _Trial(make_policy(size=2), [make_host(f"h{i}") for i in range(4)])
+    def test_policy_below_its_minimum_of_groups_comes_first(self) -> None:
+        harness = _Harness(make_policy(size=2), [make_host(f"h{i}") for i in range(4)])
         policies = {
             PolicyName("a"): make_policy(size=2, weight=100.0),
             PolicyName("b"): make_policy(size=2, min_groups=1),
         }
-        trial._probe()
+        harness._probe()
         state = FleetState(
-            listed={n: e.host for n, e in trial.engines.items()},
-            hosts=trial.fleet.hosts,
+            listed={n: e.host for n, e in harness.engines.items()},
+            hosts=harness.fleet.hosts,
             groups={},
             policies=policies,
         )
-        plan = trial.planner.plan(trial.record, state, trial.now_s, AttemptId("a"))
+        plan = harness.planner.plan(harness.record, state, harness.now_s, AttemptId("a"))
         assert plan.placement is not None
         self.assertEqual([g.policy for g in plan.placement.groups], ["b", "a"])
 
 
 class TestChooseMembers(unittest.TestCase):
-    """Which hosts form the next group."""
+    """Selection of the hosts of the next group."""
 
-    def test_downtime_placement_keeps_spares_unless_the_group_is_needed(self) -> None:
+    def test_downtime_placement_keeps_spare_hosts_unless_the_group_is_needed(self) -> None:
         free = [make_host(f"h{i}") for i in range(4)]
         placement = DowntimePlacement(spare_hosts=1)
         self.assertEqual(choose_members(placement, free, 4, False), [])
         self.assertEqual(len(choose_members(placement, free, 4, True)), 4)
 
-    def test_stranded_placement_joins_domains_only_where_allowed(self) -> None:
+    def test_stranded_placement_combines_domains_only_if_allowed(self) -> None:
         free = [make_host(f"h{i}", f"rack-{i % 2}") for i in range(4)]
         self.assertEqual(choose_members(StrandedPlacement(), free, 3, False), [])
         joined = choose_members(StrandedPlacement(cross_domain=True), free, 3, False)
         self.assertEqual(len(joined), 3)
 
-    def test_a_fabric_domain_is_used_whole_before_domains_are_joined(self) -> None:
+    def test_single_domain_is_preferred_to_combined_domains(self) -> None:
         free = [make_host("h0", "rack-0")] + [make_host(f"h{i}", "rack-1") for i in range(1, 4)]
         chosen = choose_members(StrandedPlacement(cross_domain=True), free, 3, False)
         self.assertEqual({host.fabric_domain for host in chosen}, {"rack-1"})
 
 
-def _two_that_observe() -> tuple[Fleet, Fleet, Group]:
-    """Return two entry hosts' views of one placement, and its group of one member."""
+def _two_observing_fleets() -> tuple[Fleet, Fleet, Group]:
+    """Return two entry hosts' views of one placement, and its only group, which has one member."""
     group = Group(
         id="g",
         generation=1,
@@ -443,25 +445,25 @@
     )
     fleets = Fleet(FRESHNESS_S, GIVE_UP_S), Fleet(FRESHNESS_S, GIVE_UP_S)
     for fleet in fleets:
-        fleet.apply_placement(Placement(data_centre=PLACE, generation=1, groups=[group]))
+        fleet.apply_placement(Placement(data_centre=DATA_CENTRE, generation=1, groups=[group]))
     return *fleets, group
 
 
-def _see(fleet: Fleet, group: Group, answered_s: float) -> None:
+def _answer_probe(fleet: Fleet, group: Group, answered_s: float) -> None:
     report = HostReport(host_id="h0", state=EngineState.READY.value, group_id="g", generation=1)
     fleet.on_host_answered(HostId("h0"), report, answered_s)
     fleet.sum_up(group, answered_s)
 
 
-def _miss(fleet: Fleet, group: Group, now_s: float) -> None:
+def _fail_probe(fleet: Fleet, group: Group, now_s: float) -> None:
     fleet.on_host_failed(HostId("h0"), now_s)
     fleet.sum_up(group, now_s)
 
 
 class TestObservation(unittest.TestCase):
-    """Reports about one group from several observers."""
+    """Merging of reports about one group from several observers."""
 
-    def test_a_peers_delay_never_makes_a_group_look_fresher(self) -> None:
+    def test_delayed_peer_report_does_not_make_a_group_look_fresher(self) -> None:
         fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
         group = Group(
             id="g",
@@ -469,9 +471,9 @@
             intent=GroupIntent.ACTIVE.value,
             members=[GroupMember(host_id="h0")],
         )
-        fleet.apply_placement(Placement(data_centre=PLACE, generation=1, groups=[group]))
+        fleet.apply_placement(Placement(data_centre=DATA_CENTRE, generation=1, groups=[group]))
         peer = Fleet(FRESHNESS_S, GIVE_UP_S)
-        peer.apply_placement(fleet.placement(PLACE))
+        peer.apply_placement(fleet.placement(DATA_CENTRE))
         report = HostReport(host_id="h0", state=EngineState.READY.value, group_id="g", generation=1)
         peer.on_host_answered(HostId("h0"), report, 0.0)
         peer.sum_up(group, 0.0)
@@ -479,89 +481,89 @@
         self.assertTrue(fleet.is_open(group, 1.4))
         self.assertFalse(fleet.is_open(group, 2.1))
 
-    def test_a_loss_is_heard_though_earlier_reports_came_faster(self) -> None:
-        fleet, peer, group = _two_that_observe()
-        _see(peer, group, answered_s=0.0)
+    def test_missing_member_is_reported_although_an_earlier_report_was_faster(self) -> None:
+        fleet, peer, group = _two_observing_fleets()
+        _answer_probe(peer, group, answered_s=0.0)
         fleet.merge_groups(peer.group_reports(0.001), asked_s=0.001)
         for tenth in range(5, 70):
             now_s = tenth / 10
-            _miss(peer, group, now_s)
+            _fail_probe(peer, group, now_s)
             fleet.merge_groups(peer.group_reports(now_s), asked_s=now_s - 0.05)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
 
-    def test_a_loss_counts_though_the_last_to_see_the_group_is_gone(self) -> None:
-        fleet, peer, group = _two_that_observe()
-        _see(fleet, group, answered_s=0.0)
-        _see(peer, group, answered_s=0.2)
+    def test_missing_member_is_detected_after_the_last_observer_is_gone(self) -> None:
+        fleet, peer, group = _two_observing_fleets()
+        _answer_probe(fleet, group, answered_s=0.0)
+        _answer_probe(peer, group, answered_s=0.2)
         fleet.merge_groups(peer.group_reports(0.2), asked_s=0.2)
         for tenth in range(4, 80):
-            _miss(fleet, group, tenth / 10)
+            _fail_probe(fleet, group, tenth / 10)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
 
-    def test_a_loss_to_one_counts_only_once_no_other_sees_the_group(self) -> None:
-        fleet, peer, group = _two_that_observe()
-        _see(fleet, group, answered_s=0.0)
+    def test_member_is_missing_only_once_no_observer_sees_it(self) -> None:
+        fleet, peer, group = _two_observing_fleets()
+        _answer_probe(fleet, group, answered_s=0.0)
         for tenth in range(1, 100):
             now_s = tenth / 10
-            _miss(fleet, group, now_s)
-            _see(peer, group, answered_s=now_s)
+            _fail_probe(fleet, group, now_s)
+            _answer_probe(peer, group, answered_s=now_s)
             fleet.merge_groups(peer.group_reports(now_s), asked_s=now_s)
             self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
         for tenth in range(100, 138):
-            _miss(fleet, group, tenth / 10)
+            _fail_probe(fleet, group, tenth / 10)
             self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
-        _miss(fleet, group, 14.0)
+        _fail_probe(fleet, group, 14.0)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
 
-    def test_a_member_that_is_seen_again_is_missing_no_more(self) -> None:
-        fleet, peer, group = _two_that_observe()
-        _see(fleet, group, answered_s=0.0)
+    def test_member_that_is_seen_again_is_not_missing(self) -> None:
+        fleet, peer, group = _two_observing_fleets()
+        _answer_probe(fleet, group, answered_s=0.0)
         for tenth in range(1, 60):
-            _miss(fleet, group, tenth / 10)
+            _fail_probe(fleet, group, tenth / 10)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
-        _see(peer, group, answered_s=6.0)
+        _answer_probe(peer, group, answered_s=6.0)
         fleet.merge_groups(peer.group_reports(6.0), asked_s=6.0)
-        _miss(fleet, group, 6.1)
+        _fail_probe(fleet, group, 6.1)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
 
-    def test_failures_before_a_pause_in_probing_count_as_no_silence(self) -> None:
-        fleet, _, group = _two_that_observe()
-        _miss(fleet, group, 0.0)
-        _miss(fleet, group, 100.0)
-        _miss(fleet, group, 100.0 + GIVE_UP_S / 2)
+    def test_failures_before_a_pause_in_probing_are_not_counted(self) -> None:
+        fleet, _, group = _two_observing_fleets()
+        _fail_probe(fleet, group, 0.0)
+        _fail_probe(fleet, group, 100.0)
+        _fail_probe(fleet, group, 100.0 + GIVE_UP_S / 2)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
-        _miss(fleet, group, 100.0 + GIVE_UP_S)
+        _fail_probe(fleet, group, 100.0 + GIVE_UP_S)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
 
-    def test_a_stall_of_the_prober_is_no_silence_of_the_member(self) -> None:
-        fleet, _, group = _two_that_observe()
-        _see(fleet, group, answered_s=0.0)
-        # Asked before the stall; the answers lie unread until the limits have passed.
+    def test_pause_of_the_prober_does_not_make_a_member_missing(self) -> None:
+        fleet, _, group = _two_observing_fleets()
+        _answer_probe(fleet, group, answered_s=0.0)
+        # Sent before the pause; the answers remain unread until the time-outs have passed.
         for asked_s in (0.1, 0.5):
             fleet.on_host_failed(HostId("h0"), asked_s)
         fleet.sum_up(group, 0.5 + GIVE_UP_S)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
 
-    def test_a_failed_call_closes_a_group_until_it_is_seen_again(self) -> None:
+    def test_failed_call_closes_a_group_until_it_is_seen_again(self) -> None:
         fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
-        trial = _Trial(make_policy(size=2), [make_host("h0"), make_host("h1")])
-        trial.round()
-        fleet = trial.fleet
+        harness = _Harness(make_policy(size=2), [make_host("h0"), make_host("h1")])
+        harness.round()
+        fleet = harness.fleet
         group = next(group for _, group in fleet.groups())
-        fleet.on_call_failed(GroupId(group.id), trial.now_s)
-        self.assertFalse(fleet.is_open(group, trial.now_s))
-        trial.round()
-        self.assertTrue(fleet.is_open(group, trial.now_s))
+        fleet.on_call_failed(GroupId(group.id), harness.now_s)
+        self.assertFalse(fleet.is_open(group, harness.now_s))
+        harness.round()
+        self.assertTrue(fleet.is_open(group, harness.now_s))
 
-    def test_a_late_message_with_an_older_placement_reverts_nothing(self) -> None:
+    def test_older_placement_that_arrives_late_is_ignored(self) -> None:
         fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
-        newer = Placement(data_centre=PLACE, generation=5)
-        older = Placement(data_centre=PLACE, generation=4)
+        newer = Placement(data_centre=DATA_CENTRE, generation=5)
+        older = Placement(data_centre=DATA_CENTRE, generation=4)
         self.assertTrue(fleet.apply_placement(newer))
         self.assertFalse(fleet.apply_placement(older))
-        self.assertEqual(fleet.placement(PLACE).generation, 5)
+        self.assertEqual(fleet.placement(DATA_CENTRE).generation, 5)
 
-    def test_an_older_answer_does_not_replace_a_newer_one(self) -> None:
+    def test_older_answer_does_not_replace_a_newer_one(self) -> None:
         fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
         fleet.on_host_answered(HostId("h"), HostReport(running=2), 5.0)
         fleet.on_host_answered(HostId("h"), HostReport(running=1), 4.0)
--- a/yewloom/tests/test_small_model_shortage.py
+++ b/yewloom/tests/test_small_model_shortage.py
@@ -1,9 +1,8 @@
 """Tests of the replicas of a small model while hosts are lost one after the other.
 
 The scenario is a rack that fails slowly: every three seconds a host is lost, in each data centre in
-turn.
-Groups of two hosts break as often as groups of four, their hosts hold the weights of the large
-model as a reserve, and a load takes 12 s, in which four more hosts are lost.
+turn. Groups of two hosts break as often as groups of four, their hosts hold the weights of the
+large model as a reserve, and a load takes 12 s, in which four more hosts are lost.
 """
 
 import unittest
@@ -19,7 +18,7 @@
 from yewloom.tests.entry_support import ENGINES, HALL, LARGE, SMALL, make_engine, make_profile
 from yewloom.weight_loads import SupplyBounds
 
-RATIONED = SupplyBounds(is_unlimited=False, max_loads=6)
+LIMITED = SupplyBounds(is_unlimited=False, max_loads=6)
 OTHER_HALL = DataCentreId("hall-b")
 PROFILE = make_profile()
 SMALL_IS_SHORT = {SMALL: 60.0, LARGE: 30.0}
@@ -45,7 +44,7 @@
     def _formed(self, demand: dict[ModelName, float]) -> list[tuple[str, list[str]]]:
         """Plan once; return the model and the members of each group that is formed."""
         planner = ReplicaPlanner(
-            HALL, ENGINES, PROFILE, self.directory, self.state, RATIONED, demand
+            HALL, ENGINES, PROFILE, self.directory, self.state, LIMITED, demand
         )
         plan = planner.plan(Placement(), 10.0)
         self.loads = [p.engine for p in plan.orders if isinstance(p.order, StageModel)]
@@ -91,7 +90,7 @@
     def _plan(self, now_s: float, demand: dict[ModelName, float]) -> list[tuple[str, list[str]]]:
         """Plan once; return the model and the members of each group that is formed."""
         planner = ReplicaPlanner(
-            HALL, ENGINES, PROFILE, self.directory, self.state, RATIONED, demand
+            HALL, ENGINES, PROFILE, self.directory, self.state, LIMITED, demand
         )
         self.record = planner.plan(self.record, now_s).record or self.record
         formed = [g for g in self.record.groups if g.intent == GroupIntent.ACTIVE.value]
