--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -13,8 +13,8 @@
     Mutation(
         "lease: others wait for the whole duration",
         "leases",
-        "return now_s >= self._first_read_s + lapsed_s",
-        "return now_s >= self._first_read_s + lapsed_s / 2",
+        "return now_s >= self._first_read_s + expiry_s",
+        "return now_s >= self._first_read_s + expiry_s / 2",
         "test_leases",
     ),
     Mutation(
--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -55,7 +55,7 @@
     Mutation(
         "restart: what a coordinator remembers of the old process is forgotten",
         "replica_plan",
-        "            self._state.note_process(endpoint.id, endpoint.started_unix_ms)\n",
+        "            self._state.record_process(endpoint.id, endpoint.started_unix_ms)\n",
         "            pass\n",
         "test_replica_plan",
     ),
@@ -139,7 +139,7 @@
     Mutation(
         "old evidence: what was suspected ends with the lease",
         "replica_coordinator",
-        "        self._state.forget_evidence()\n",
+        "        self._state.clear_observations()\n",
         "",
         "test_host_in_one_group",
     ),
--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -57,7 +57,7 @@
         self._was_holding = False
         self._next_hosts_read_s = float("-inf")
         self._balancer = ShareBalancer(node, platform, new_attempt)
-        # Evaluated at scrape time: after a pause, the lease has lapsed before any task runs again.
+        # Evaluated at scrape time: after a pause, the lease has expired before any task runs again.
         node.metrics.is_coordinator.set_function(lambda: self.is_holding)
 
     @property
--- a/yewloom/group_exchanges.py
+++ b/yewloom/group_exchanges.py
@@ -57,12 +57,12 @@
         released: list[Group] = []
         by_weights = sorted(groups, key=lambda group: self._hosts_to_load(group, wanted))
         for group in by_weights:
-            members = members_of(group, self._directory)
+            members = listed_members(group, self._directory)
             is_here = any(member.fabric_domain == domain for member in members)
             is_active = group.intent == GroupIntent.ACTIVE.value
             if len(hosts) >= wanted.group_size or not is_here or not is_active:
                 continue
-            if need.may_exchange(ModelName(group.model), wanted.name, len(released) + 1):
+            if need.is_exchange_worthwhile(ModelName(group.model), wanted.name, len(released) + 1):
                 released.append(group)
                 hosts += members
         if len(hosts) < wanted.group_size or not released:
@@ -72,11 +72,12 @@
 
     def _hosts_to_load(self, group: Group, wanted: ReplicaModel) -> int:
         return sum(
-            not member.is_prepared_for(wanted.name) for member in members_of(group, self._directory)
+            not member.is_prepared_for(wanted.name)
+            for member in listed_members(group, self._directory)
         )
 
 
-def members_of(group: Group, directory: EndpointDirectory) -> list[Endpoint]:
+def listed_members(group: Group, directory: EndpointDirectory) -> list[Endpoint]:
     """Return the members of a recorded group that are in the endpoint directory."""
     ids = [HostId(member.host_id) for member in group.members]
     return [directory.by_id[i] for i in ids if i in directory.by_id]
--- a/yewloom/leases.py
+++ b/yewloom/leases.py
@@ -145,8 +145,8 @@
         if self._record is None or self._record.holder == self._holder:
             return True
         assert self._first_read_s is not None
-        lapsed_s = self._record.duration_ms / 1000 + self._timing.margin_s
-        return now_s >= self._first_read_s + lapsed_s
+        expiry_s = self._record.duration_ms / 1000 + self._timing.margin_s
+        return now_s >= self._first_read_s + expiry_s
 
     def _new_lease(self, attempt: AttemptId) -> Lease:
         return Lease(
--- a/yewloom/model_need.py
+++ b/yewloom/model_need.py
@@ -40,7 +40,9 @@
         replicas[model] = replicas.get(model, 0) + 1
         return ModelNeed(self.profile, replicas, self.demand)
 
-    def may_exchange(self, source: ModelName, target: ModelName, source_count: int) -> bool:
+    def is_exchange_worthwhile(
+        self, source: ModelName, target: ModelName, source_count: int
+    ) -> bool:
         """Return whether one replica of ``target`` is worth ``source_count`` of ``source``.
 
         The source model must keep at least one replica, and at least as many as the target model
--- a/yewloom/model_reserves.py
+++ b/yewloom/model_reserves.py
@@ -11,9 +11,9 @@
 
 from yewloom.configuration import ReplicaModel
 from yewloom.directory import Endpoint, EndpointDirectory
-from yewloom.group_exchanges import members_of
+from yewloom.group_exchanges import listed_members
 from yewloom.ids import HostId, ModelName
-from yewloom.plan_state import PlanState, key_of
+from yewloom.plan_state import PlanState, group_key
 from yewloom.schema.records_pb2 import Group
 from yewloom.states import GroupIntent
 
@@ -35,9 +35,9 @@
         for group in groups:
             if group.intent != GroupIntent.REPLACING.value:
                 continue
-            since_s = self._state.abandoned_since_s.setdefault(key_of(group), now_s)
+            since_s = self._state.abandoned_since_s.setdefault(group_key(group), now_s)
             if now_s - since_s <= RESERVE_TIMEOUT_S:
-                members += members_of(group, self._directory)
+                members += listed_members(group, self._directory)
         return [e for e in members if not e.is_leaving and not self._state.is_silent(e.id)]
 
     def reserved_for(
--- a/yewloom/order_delivery.py
+++ b/yewloom/order_delivery.py
@@ -134,7 +134,7 @@
         except _NoReportError:
             return None
         if report.is_busy:
-            self._state.note_busy(planned.engine, trio.current_time())
+            self._state.record_busy(planned.engine, trio.current_time())
             raise _OrderNotSentError("engine is executing another order")
         return self._counts.record_report(planned.engine, report).sequence
 
@@ -181,9 +181,9 @@
     def _record_acceptance(self, planned: PlannedOrder, answer: OrderAnswer) -> None:
         """Record whether an engine accepted an order; a refused order is scheduled again."""
         if answer is OrderAnswer.OUT_OF_DATE:
-            self._state.note_refused(planned, trio.current_time())
+            self._state.record_refused(planned, trio.current_time())
         else:
-            self._state.note_accepted(planned)
+            self._state.record_accepted(planned)
 
     def _record_reachability(self, engine: HostId, answer: OrderAnswer) -> None:
         if answer in _UNANSWERED:
--- a/yewloom/plan_state.py
+++ b/yewloom/plan_state.py
@@ -126,7 +126,7 @@
     last_new_host_s: float = 0.0
     started_unix_ms: dict[HostId, int] = field(default_factory=dict)
 
-    def note_process(self, host: HostId, started_unix_ms: int) -> None:
+    def record_process(self, host: HostId, started_unix_ms: int) -> None:
         """Record which process of an engine is listed; a new process inherits no state."""
         if self.started_unix_ms.setdefault(host, started_unix_ms) == started_unix_ms:
             return
@@ -136,7 +136,7 @@
         for known in (self.staging, self.busy_until_s, self.unlisted_since_s, self.answered_s):
             known.pop(host, None)
 
-    def forget_evidence(self) -> None:
+    def clear_observations(self) -> None:
         """Discard observations that another coordinator may have made outdated."""
         for observations in (
             self.transition_since_s,
@@ -183,20 +183,20 @@
             if staging is not None and staging.since_s in self.load_times_s:
                 self.load_times_s.remove(staging.since_s)
 
-    def note_refused(self, planned: PlannedOrder, now_s: float) -> None:
+    def record_refused(self, planned: PlannedOrder, now_s: float) -> None:
         """Record that an engine refused an order, which becomes due again after a pause."""
         name = order_name(planned)
         pause_s = min(REFUSED_PAUSE_S * 2 ** self.refusals[name], ORDER_REPEAT_S)
         self.refusals[name] += 1
         self.reschedule(planned, now_s + pause_s)
         if isinstance(planned.order, StageModel):
-            self.note_busy(planned.engine, now_s)
+            self.record_busy(planned.engine, now_s)
 
-    def note_accepted(self, planned: PlannedOrder) -> None:
+    def record_accepted(self, planned: PlannedOrder) -> None:
         """Record that an engine accepted an order."""
         self.refusals.pop(order_name(planned), None)
 
-    def note_busy(self, engine: HostId, now_s: float) -> None:
+    def record_busy(self, engine: HostId, now_s: float) -> None:
         """Record that an engine is executing another order and cannot load weights."""
         self.busy_until_s[engine] = now_s + BUSY_PAUSE_S
 
@@ -205,7 +205,7 @@
         return now_s < self.busy_until_s.get(engine, float("-inf"))
 
 
-def key_of(group: Group) -> GroupKey:
+def group_key(group: Group) -> GroupKey:
     """Return the key (id and generation) of a recorded group."""
     return GroupKey(GroupId(group.id), group.generation)
 
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -32,7 +32,7 @@
 
 logger = structlog.get_logger(__name__)
 
-STEP_S = 0.2
+PLAN_INTERVAL_S = 0.2
 """Pause between two plans, well below the time that a group takes to form."""
 
 
@@ -79,7 +79,7 @@
             tasks = BackgroundTasks(nursery)
             while True:
                 await self._coordinate(tasks)
-                await trio.sleep(STEP_S)
+                await trio.sleep(PLAN_INTERVAL_S)
 
     async def _coordinate(self, tasks: BackgroundTasks) -> None:
         """Acquire or renew the lease, and plan once if it is held."""
@@ -101,7 +101,7 @@
         logger.info("coordinator role changed", holds=holds, term=self._lease.term)
         self._is_holding = holds
         self._placement.forget()
-        self._state.forget_evidence()
+        self._state.clear_observations()
         self._delivery.forget_sequences()
 
     async def _step(self, tasks: BackgroundTasks) -> None:
--- a/yewloom/replica_lifecycle.py
+++ b/yewloom/replica_lifecycle.py
@@ -15,7 +15,7 @@
 from yewloom.configuration import EngineProfile
 from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, Membership, MemberState
 from yewloom.ids import HostId, ModelName
-from yewloom.plan_state import EndedGroup, EndEvidence, PlannedOrder, PlanState, key_of
+from yewloom.plan_state import EndedGroup, EndEvidence, PlannedOrder, PlanState, group_key
 from yewloom.process_starts import is_same_process
 from yewloom.replica_orders import CloseGroup, EngineOrder, JoinGroup, LeaveGroup, OpenGroup
 from yewloom.schema.records_pb2 import Group, GroupMember
@@ -58,7 +58,7 @@
     def join_orders(self, group: Group) -> list[PlannedOrder]:
         """Return the orders that form a recorded group."""
         members = [HostId(member.host_id) for member in group.members]
-        order = JoinGroup(key_of(group), ModelName(group.model), members)
+        order = JoinGroup(group_key(group), ModelName(group.model), members)
         return [
             PlannedOrder(endpoint.id, endpoint.address, order, member.started_unix_ms)
             for member in group.members
@@ -76,17 +76,17 @@
             return False
         evidence = self._evidence_of_end(group)
         if evidence is None:
-            self._order_to_leave(group.members[0], key_of(group), now_s)
+            self._order_to_leave(group.members[0], group_key(group), now_s)
             evidence = self._release_members(group, now_s)
         if evidence is None:
             return False
-        self._state.ended_groups.add(key_of(group))
-        self.ended.append(EndedGroup(key_of(group), evidence))
+        self._state.ended_groups.add(group_key(group))
+        self.ended.append(EndedGroup(group_key(group), evidence))
         return True
 
     def _evidence_of_end(self, group: Group) -> EndEvidence | None:
         """Return evidence from the leader that a group has ended, or None."""
-        key = key_of(group)
+        key = group_key(group)
         leader = HostId(group.members[0].host_id)
         if self._state.has_left(leader, key):
             return EndEvidence.LEADER_LEFT
@@ -109,7 +109,7 @@
         leader, *others = group.members
         if not self._state.is_silent(HostId(leader.host_id)):
             return None
-        key = key_of(group)
+        key = group_key(group)
         remaining = [m for m in others if self._is_still_in(HostId(m.host_id), key)]
         for member in remaining:
             self._order_to_leave(member, key, now_s)
@@ -128,7 +128,7 @@
 
     def _is_drained(self, group: Group, now_s: float) -> bool:
         """Return whether a draining group has finished its requests or exceeded its time limit."""
-        key = key_of(group)
+        key = group_key(group)
         leader = HostId(group.members[0].host_id)
         listed = self._directory.by_id.get(leader)
         if listed is None or self._is_listed_elsewhere(listed, key):
@@ -153,9 +153,9 @@
         is_elsewhere = leader.membership is None or leader.membership.key != key
         return is_elsewhere and key in self._state.leader_seen_joined
 
-    def note_joined(self, group: Group) -> None:
+    def record_joined(self, group: Group) -> None:
         """Record a group whose leader is listed as its member."""
-        key = key_of(group)
+        key = group_key(group)
         leader = self._directory.by_id.get(HostId(group.members[0].host_id))
         if leader is not None and leader.membership is not None and leader.membership.key == key:
             self._state.leader_seen_joined.add(key)
@@ -164,7 +164,7 @@
         """Open an active group that is ready, and abandon one that lost a member."""
         if group.intent != GroupIntent.ACTIVE.value:
             return
-        key = key_of(group)
+        key = group_key(group)
         members = [self._directory.by_id.get(HostId(m.host_id)) for m in group.members]
         transition_began_s = self._state.transition_since_s.setdefault(key, now_s)
         present = [member for member in members if member is not None]
@@ -179,14 +179,14 @@
         if len(in_group) < len(members):
             self._order_to_join(group, {member.id for member in in_group}, now_s)
         states = {m.membership.state for m in in_group if m.membership is not None}
-        is_whole = len(in_group) == len(members)
-        if is_whole and MemberState.OPEN in states:
+        is_complete = len(in_group) == len(members)
+        if is_complete and MemberState.OPEN in states:
             # Reset the timer, so that an outdated listing that briefly shows the group as forming
             # does not exceed the time to form.
             self._state.transition_since_s.pop(key, None)
             if self._must_drain(present, key, now_s):
                 self.retire(group, key, GroupIntent.DRAINING)
-        elif is_whole and states == {MemberState.READY}:
+        elif is_complete and states == {MemberState.READY}:
             self._order_once(present[0].id, present[0].address, OpenGroup(key), now_s)
         else:
             self._check_formation_time(group, key, now_s - transition_began_s)
@@ -197,7 +197,7 @@
         A member that is partitioned from the store only still works and answers queries. The leader
         must be listed, since requests are routed to it.
         """
-        key = key_of(group)
+        key = group_key(group)
         if leader is None or leader.is_leaving or leader.membership is None:
             return False
         if leader.membership.key != key or leader.membership.state is not MemberState.OPEN:
--- a/yewloom/replica_plan.py
+++ b/yewloom/replica_plan.py
@@ -12,7 +12,7 @@
 from yewloom.directory import EndpointDirectory, MemberState
 from yewloom.ids import DataCentreId, ModelName, ServiceName
 from yewloom.model_need import ModelNeed
-from yewloom.plan_state import PlannedOrder, PlanState, ReplicaPlan, key_of
+from yewloom.plan_state import PlannedOrder, PlanState, ReplicaPlan, group_key
 from yewloom.replica_lifecycle import GroupLifecycle
 from yewloom.replica_supply import ReplicaSupply
 from yewloom.schema.records_pb2 import Group, Placement
@@ -45,11 +45,11 @@
     def plan(self, record: Placement, now_s: float) -> ReplicaPlan:
         """Return the plan that follows the given record; a planner is used for one plan only."""
         for endpoint in self._directory.of_service(self._service):
-            self._state.note_process(endpoint.id, endpoint.started_unix_ms)
+            self._state.record_process(endpoint.id, endpoint.started_unix_ms)
         draft = Placement()
         draft.CopyFrom(record)
         for group in draft.groups:
-            self._lifecycle.note_joined(group)
+            self._lifecycle.record_joined(group)
         kept = [group for group in draft.groups if not self._lifecycle.has_ended(group, now_s)]
         for group in kept:
             self._lifecycle.reconcile(group, now_s)
@@ -58,7 +58,7 @@
         groups = [*kept, *formed]
         need = self._need(groups)
         for group in self._supply.load_ahead(groups, need, now_s):
-            self._lifecycle.retire(group, key_of(group), GroupIntent.DRAINING)
+            self._lifecycle.retire(group, group_key(group), GroupIntent.DRAINING)
         orders = [*self._lifecycle.orders, *self._supply.orders]
         if groups == list(record.groups):
             return ReplicaPlan(None, orders, self._lifecycle.ended)
--- a/yewloom/replica_supply.py
+++ b/yewloom/replica_supply.py
@@ -11,7 +11,7 @@
 from yewloom.configuration import EngineProfile, ReplicaModel
 from yewloom.directory import Endpoint, EndpointDirectory, MemberState
 from yewloom.free_hosts import FreeHosts
-from yewloom.group_exchanges import GroupExchange, GroupExchanges, members_of
+from yewloom.group_exchanges import GroupExchange, GroupExchanges, listed_members
 from yewloom.ids import DataCentreId, HostId, ModelName, ServiceName
 from yewloom.model_need import ModelNeed
 from yewloom.model_reserves import ModelReserves
@@ -95,13 +95,15 @@
         """
         by_domain: defaultdict[str, list[Group]] = defaultdict(list)
         for group in groups:
-            for domain in {member.fabric_domain for member in members_of(group, self._directory)}:
+            for domain in {
+                member.fabric_domain for member in listed_members(group, self._directory)
+            }:
                 by_domain[domain].append(group)
         for here in by_domain.values():
             models = [self._profile.models[ModelName(g.model)] for g in here]
             largest = max(models, key=lambda model: model.group_size)
             others = [g for g in here if g.model != largest.name]
-            for host in members_of(others[0], self._directory) if others else ():
+            for host in listed_members(others[0], self._directory) if others else ():
                 is_open = host.membership is not None and host.membership.state in _SETTLED
                 if is_open and largest.name not in host.staged:
                     self._loads.load(host, largest, now_s)
@@ -130,7 +132,9 @@
         """Return the number of groups of each model by domain."""
         models: defaultdict[str, Counter[ModelName]] = defaultdict(Counter)
         for group in groups:
-            for domain in {member.fabric_domain for member in members_of(group, self._directory)}:
+            for domain in {
+                member.fabric_domain for member in listed_members(group, self._directory)
+            }:
                 models[domain][ModelName(group.model)] += 1
         return models
 
--- a/yewloom/stalled_groups.py
+++ b/yewloom/stalled_groups.py
@@ -10,7 +10,7 @@
 from yewloom.background import BackgroundTasks
 from yewloom.directory import EndpointDirectory
 from yewloom.ids import HostId
-from yewloom.plan_state import PlanState, key_of
+from yewloom.plan_state import PlanState, group_key
 from yewloom.process_starts import is_same_process
 from yewloom.replica_orders import REPORT_TIMEOUT_S, EngineOrders, EngineReport
 from yewloom.schema.records_pb2 import Group, GroupMember
@@ -99,7 +99,7 @@
                 continue
             leader = HostId(group.members[0].host_id)
             if leader in stalled and self._is_probe_due(leader, now_s, PROBE_AFTER_STALL_S):
-                self._state.stalled_s[key_of(group)] = now_s
+                self._state.stalled_s[group_key(group)] = now_s
                 self._probe_members(group, tasks)
             self._probe_unlisted(group, now_s, tasks)
 
@@ -141,7 +141,7 @@
         return True
 
     def _probe_members(self, group: Group, tasks: BackgroundTasks) -> None:
-        logger.info("group stands still", group=str(key_of(group)))
+        logger.info("group stands still", group=str(group_key(group)))
         group_probe = _GroupProbe(HostId(group.members[0].host_id), len(group.members))
         for member in group.members:
             host = HostId(member.host_id)
--- a/yewloom/tests/engine_rules.py
+++ b/yewloom/tests/engine_rules.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class PlayedEngine:
+class SimulatedEngine:
     """The actual state of a simulated engine, which a listing may not reflect."""
 
     name: HostId
@@ -27,18 +27,18 @@
     incomplete_since_s: float | None = None
 
 
-E = TypeVar("E", bound=PlayedEngine)
+E = TypeVar("E", bound=SimulatedEngine)
 
 
-def is_whole(engine: PlayedEngine, engines: Mapping[HostId, E]) -> bool:
+def is_complete(engine: SimulatedEngine, engines: Mapping[HostId, E]) -> bool:
     """Return whether all members of an engine's group are alive and belong to it."""
     members = [engines[name] for name in engine.members]
     return all(member.is_alive and member.key == engine.key for member in members)
 
 
-def break_if_stalled(engine: PlayedEngine, engines: Mapping[HostId, E], now_s: float) -> None:
+def break_if_stalled(engine: SimulatedEngine, engines: Mapping[HostId, E], now_s: float) -> None:
     """Mark the leader of an open group that has lacked a member for ``STALL_S`` as broken."""
-    if is_whole(engine, engines):
+    if is_complete(engine, engines):
         engine.incomplete_since_s = None
     elif engine.incomplete_since_s is None:
         engine.incomplete_since_s = now_s
@@ -46,7 +46,7 @@
         engine.state = MemberState.BROKEN
 
 
-def is_held_by_leader(engine: PlayedEngine, engines: Mapping[HostId, E]) -> bool:
+def is_in_serving_group(engine: SimulatedEngine, engines: Mapping[HostId, E]) -> bool:
     """Return whether an engine belongs to a group whose leader serves, so it must not be moved."""
     if engine.key is None:
         return False
--- a/yewloom/tests/engine_world.py
+++ b/yewloom/tests/engine_world.py
@@ -38,10 +38,10 @@
 from yewloom.stalls import StallDetector
 from yewloom.states import GroupIntent
 from yewloom.tests.engine_rules import (
-    PlayedEngine,
+    SimulatedEngine,
     break_if_stalled,
-    is_held_by_leader,
-    is_whole,
+    is_complete,
+    is_in_serving_group,
 )
 from yewloom.tests.entry_support import HALL, SMALL, make_configuration, make_engine
 from yewloom.writes import to_json
@@ -75,10 +75,10 @@
 
 
 @dataclass
-class WorldEngine(PlayedEngine):
+class WorldEngine(SimulatedEngine):
     """A simulated engine.
 
-    ``listed_as`` is an outdated entry that listings publish_listings instead of the current one.
+    ``listed_as`` is an outdated entry that listings show instead of the current one.
     ``is_reached`` means that the coordinator can reach the engine. ``unlisted_from_s`` is when its
     entry expires. ``loses_answers`` are the types of orders that it executes without an answer.
     After an order, it returns ``old_report`` until ``reports_old_until_s``.
@@ -147,9 +147,9 @@
     def open_groups(self) -> list[set[HostId]]:
         """Return the members of each group that is open and complete."""
         leaders = [e for e in self.engines.values() if e.is_alive and e.state is MemberState.OPEN]
-        return [set(leader.members) for leader in leaders if is_whole(leader, self.engines)]
+        return [set(leader.members) for leader in leaders if is_complete(leader, self.engines)]
 
-    def pass_time(self, now_s: float) -> None:
+    def advance(self, now_s: float) -> None:
         """Complete joins that are due, and break groups that lacked a member for ``STALL_S``."""
         for engine in self.engines.values():
             if engine.key is None or not engine.is_alive:
@@ -198,7 +198,7 @@
         return answer
 
     def _freeze_report(self, engine: WorldEngine) -> None:
-        """Make reports publish_listings the current state for the next ``REPORT_LAG_S``."""
+        """Make reports show the current state for the next ``REPORT_LAG_S``."""
         now_s = trio.current_time()
         if now_s >= engine.reports_old_until_s:
             engine.old_report = EngineReport(engine.sequence, group=engine.key)
@@ -228,7 +228,7 @@
     ) -> OrderAnswer:
         if key == engine.key:
             return OrderAnswer.HOLDS
-        if engine.key is not None and is_held_by_leader(engine, self.engines):
+        if engine.key is not None and is_in_serving_group(engine, self.engines):
             old = engine.key.group_id
             self.taken.append(f"{engine.name} joins {key.group_id} while {old} is open")
         engine.key, engine.model, engine.members = key, model, members
@@ -310,7 +310,7 @@
         """Advance the engines and update the listing periodically until cancelled."""
         while True:
             now_s = trio.current_time()
-            self.world.pass_time(now_s)
+            self.world.advance(now_s)
             engines = self.world.engines.values()
             listed = [e.endpoint() for e in engines if e.is_listed and now_s < e.unlisted_from_s]
             self._directory.replace_all(listed, now_s, after_outage=False)
--- a/yewloom/tests/test_leases.py
+++ b/yewloom/tests/test_leases.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class _InFlight:
-    """A write in write, which may be applied and answered at any later time, or never."""
+    """A write in flight, which may be applied and answered at any later time, or never."""
 
     holder: int
     action: WriteLease
--- a/yewloom/tests/test_model_need.py
+++ b/yewloom/tests/test_model_need.py
@@ -34,7 +34,7 @@
         self, large: int, small: int, demand_large: float, demand_small: float, source_count: int
     ) -> None:
         need = _need(large, small, demand_large, demand_small)
-        if need.may_exchange(SMALL, LARGE, source_count):
+        if need.is_exchange_worthwhile(SMALL, LARGE, source_count):
             left = small - source_count
             self.assertGreater(left, 0)
             self.assertGreaterEqual(left / demand_small, (large + 1) / demand_large)
@@ -44,9 +44,9 @@
         self, large: int, small: int, demand_large: float, demand_small: float
     ) -> None:
         need = _need(large, small, demand_large, demand_small)
-        if need.may_exchange(SMALL, LARGE, 1):
+        if need.is_exchange_worthwhile(SMALL, LARGE, 1):
             after = _need(large + 1, small - 1, demand_large, demand_small)
-            self.assertFalse(after.may_exchange(LARGE, SMALL, 1) and large + 1 > small)
+            self.assertFalse(after.is_exchange_worthwhile(LARGE, SMALL, 1) and large + 1 > small)
 
 
 class TestDemandMeter(unittest.TestCase):
--- a/yewloom/tests/test_placement.py
+++ b/yewloom/tests/test_placement.py
@@ -49,7 +49,7 @@
             capacity=4,
         )
 
-    def take_order(self, due: DueOrder) -> None:
+    def execute_order(self, due: DueOrder) -> None:
         if not self.is_alive or (self.host.checks_fences and due.order.fence < self.fence):
             return
         self.fence = max(self.fence, due.order.fence)
@@ -181,12 +181,12 @@
         """Deliver any order sent so far, however old."""
         if self.orders:
             due = data.draw(st.sampled_from(self.orders))
-            self.engines[due.host_id].take_order(due)
+            self.engines[due.host_id].execute_order(due)
 
     @rule()
     def deliver_all_orders(self) -> None:
         for due in self.orders:
-            self.engines[due.host_id].take_order(due)
+            self.engines[due.host_id].execute_order(due)
 
     @rule()
     def run_healthy_round(self) -> None:
@@ -267,7 +267,7 @@
         listed = {name: engine.host for name, engine in self.engines.items()}
         groups, hosts = self.fleet.group_observations, self.fleet.hosts
         for due in due_orders(self.record, groups, hosts, listed, max_loading=9):
-            self.engines[due.host_id].take_order(due)
+            self.engines[due.host_id].execute_order(due)
         for engine in self.engines.values():
             engine.is_ready = engine.is_alive and bool(engine.group[0])
         self._probe()
--- a/yewloom/tests/test_refused_orders.py
+++ b/yewloom/tests/test_refused_orders.py
@@ -137,11 +137,11 @@
         state, now_s = PlanState(), 100.0
         pauses_s = []
         for _ in range(5):
-            state.note_refused(LOAD, now_s)
+            state.record_refused(LOAD, now_s)
             pauses_s.append(state.due_s[next(iter(state.due_s))] - now_s)
         self.assertEqual(pauses_s, sorted(pauses_s))
         self.assertLess(pauses_s[0], pauses_s[-1])
         self.assertLessEqual(pauses_s[-1], ORDER_REPEAT_S)
-        state.note_accepted(LOAD)
-        state.note_refused(LOAD, now_s)
+        state.record_accepted(LOAD)
+        state.record_refused(LOAD, now_s)
         self.assertEqual(state.due_s[next(iter(state.due_s))] - now_s, pauses_s[0])
--- a/yewloom/tests/test_replica_machine.py
+++ b/yewloom/tests/test_replica_machine.py
@@ -21,7 +21,7 @@
 from yewloom.ids import HostId, ModelName
 from yewloom.model_need import configured_demand
 from yewloom.order_delivery import OrderDelivery
-from yewloom.plan_state import PlannedOrder, PlanState, key_of
+from yewloom.plan_state import PlannedOrder, PlanState, group_key
 from yewloom.replica_orders import (
     REPORT_TIMEOUT_S,
     CloseGroup,
@@ -37,10 +37,10 @@
 from yewloom.schema.records_pb2 import Group, Placement
 from yewloom.states import GroupIntent
 from yewloom.tests.engine_rules import (
-    PlayedEngine,
+    SimulatedEngine,
     break_if_stalled,
-    is_held_by_leader,
-    is_whole,
+    is_complete,
+    is_in_serving_group,
 )
 from yewloom.tests.entry_support import ENGINES, HALL, LARGE, SMALL, make_engine, make_profile
 from yewloom.weight_loads import SupplyBounds
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class _Engine(PlayedEngine):
+class _Engine(SimulatedEngine):
     """The actual state of an engine that behaves as the platform documents.
 
     Coordinators in ``out_of_reach_of`` cannot reach it. With ``loses_answers``, it executes orders
@@ -194,7 +194,7 @@
     def lose_lease(self, index: int) -> None:
         """Discard a coordinator's observations, as when it loses its lease."""
         coordinator = self.coordinators[index]
-        coordinator.state.forget_evidence()
+        coordinator.state.clear_observations()
         coordinator.delivery.forget_sequences()
         coordinator.unsent = []
 
@@ -311,7 +311,7 @@
         for group in self._active_groups():
             for member in group.members:
                 engine = self.engines[HostId(member.host_id)]
-                assert key_of(group) not in engine.lost_groups, f"{engine.name} in {group.id}"
+                assert group_key(group) not in engine.lost_groups, f"{engine.name} in {group.id}"
 
     @rule()
     def check_recovery(self) -> None:
@@ -321,8 +321,10 @@
         for group in self.record.groups:
             assert group.intent == GroupIntent.ACTIVE.value, f"{group.id} is {group.intent}"
             leader = self.engines[HostId(group.members[0].host_id)]
-            assert leader.key == key_of(group) and leader.state is MemberState.OPEN, f"{group.id}"
-            assert is_whole(leader, self.engines), f"{group.id} lacks a member"
+            assert leader.key == group_key(group) and leader.state is MemberState.OPEN, (
+                f"{group.id}"
+            )
+            assert is_complete(leader, self.engines), f"{group.id} lacks a member"
         recorded = {m.host_id for group in self.record.groups for m in group.members}
         free = [e for e in self.engines.values() if e.is_alive and e.name not in recorded]
         for model in (LARGE, SMALL):
@@ -384,7 +386,7 @@
             return OrderAnswer.HOLDS
         if engine.key is not None and key.generation < engine.key.generation:
             return OrderAnswer.OUT_OF_DATE
-        is_held = is_held_by_leader(engine, self.engines)
+        is_held = is_in_serving_group(engine, self.engines)
         assert not is_held, f"{engine.name} was taken from a serving group"
         assert key not in engine.lost_groups, (
             f"{engine.name} joins {key}, which it lost in a restart"
--- a/yewloom/tests/test_replica_plan.py
+++ b/yewloom/tests/test_replica_plan.py
@@ -13,7 +13,7 @@
     PlannedOrder,
     PlanState,
     Staging,
-    key_of,
+    group_key,
 )
 from yewloom.replica_lifecycle import LEAVING_SERVICE_S, UNLISTED_GRACE_S
 from yewloom.replica_orders import (
@@ -135,7 +135,7 @@
         plan = _planner(directory, state, LIMITED).plan(plan.record, 0.2)
         self.assertEqual(len(_orders_of_type(plan.orders, LeaveGroup)), 1)
         self.assertIsNone(plan.record)
-        state.departures.add(Departure(HostId("a"), key_of(record.groups[0])))
+        state.departures.add(Departure(HostId("a"), group_key(record.groups[0])))
         plan = _planner(directory, state, LIMITED).plan(_with_replacing_intent(record), 0.4)
         assert plan.record is not None
         [group] = plan.record.groups
@@ -177,7 +177,7 @@
         """While the leader is listed, its group stays recorded until the leader itself answers."""
         directory, state = EndpointDirectory(), PlanState()
         record = _with_replacing_intent(_record(directory, LARGE, ["a", "b", "c", "d"]))
-        key = key_of(record.groups[0])
+        key = group_key(record.groups[0])
         state.suspects.add(HostId("a"))
         for name in ("b", "c"):
             state.departures.add(Departure(HostId(name), key))
@@ -246,7 +246,7 @@
             assert plan.record is not None
             self.assertEqual(plan.record.groups[0].intent, GroupIntent.REPLACING.value)
             self.assertEqual(_orders_of_type(plan.orders, JoinGroup), [])
-            state.departures.add(Departure(HostId("a"), key_of(record.groups[0])))
+            state.departures.add(Departure(HostId("a"), group_key(record.groups[0])))
             plan = _planner(directory, state, LIMITED).plan(plan.record, 0.4)
             assert plan.record is not None
             [group] = plan.record.groups
