--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -80,7 +80,7 @@
         while True:
             if self._has_duty():
                 await self._run_step(self._run_lease_action)
-            self._on_holding_changed()
+            self._check_holding_change()
             await trio.sleep(step_s)
 
     async def _run_step(self, step: Callable[[], Awaitable[None]]) -> None:
@@ -127,7 +127,7 @@
         version = stored.version if stored is not None else 0
         self._lease.on_read(record, version, trio.current_time())
 
-    def _on_holding_changed(self) -> None:
+    def _check_holding_change(self) -> None:
         holds = self.is_holding
         if holds != self._was_holding:
             self._was_holding = holds
--- a/yewloom/placement.py
+++ b/yewloom/placement.py
@@ -74,7 +74,7 @@
         """Remove lost and drained groups, and drain groups that have a leaving member."""
         for group in draft.formed_groups():
             observation = _current_observation(group, fleet)
-            lost_reason = self._reason_lost(group, observation, now_s)
+            lost_reason = self._loss_reason(group, observation, now_s)
             if lost_reason:
                 draft.lose(group, lost_reason)
             elif group.intent == GroupIntent.DRAINING.value:
@@ -83,7 +83,7 @@
             elif _has_leaving_member(group, observation, fleet):
                 draft.drain(group, "a member is leaving", replace=True)
 
-    def _reason_lost(self, group: Group, observation: GroupObservation | None, now_s: float) -> str:
+    def _loss_reason(self, group: Group, observation: GroupObservation | None, now_s: float) -> str:
         group_id = GroupId(group.id)
         if observation is not None and observation.missing:
             return f"member {observation.missing[0]} is missing"
@@ -118,7 +118,9 @@
                 draft.drain(group, "its policy was deleted", replace=False)
             elif _is_superseded(group, policy) and group.policy not in draining:
                 draining.add(group.policy)
-                draft.drain(group, "its policy specifies another version or size", replace=True)
+                draft.drain(
+                    group, "its policy specifies another model, version or size", replace=True
+                )
         for name, policy in fleet.policies.items():
             active = draft.formed_groups(GroupIntent.ACTIVE, name)
             for group in active[policy.max_groups :]:
--- a/yewloom/share_balancer.py
+++ b/yewloom/share_balancer.py
@@ -92,14 +92,14 @@
         """Return holders that the platform no longer lists or that a later process replaced."""
         names = {host.id for host in listed if host.is_entry_host}
         latest = {member.id: member.incarnation for member in self._alive_members()}
-        gone = set()
+        departed = set()
         for holder in current.holders:
             name, _, incarnation = holder.instance.rpartition("/")
             is_replaced = latest.get(name, 0) > int(incarnation)
             is_unlisted = bool(names) and name not in names and name not in latest
             if is_replaced or is_unlisted:
-                gone.add(holder.instance)
-        return gone
+                departed.add(holder.instance)
+        return departed
 
     @property
     def _key(self) -> str:
--- a/yewloom/tests/test_replica_plan.py
+++ b/yewloom/tests/test_replica_plan.py
@@ -229,9 +229,7 @@
             assert plan.record is not None
             self.assertEqual([m.host_id for m in plan.record.groups[0].members], ["b", "c"])
 
-    def test_group_with_a_restarted_member_is_replaced(
-        self,
-    ) -> None:
+    def test_group_with_a_restarted_member_is_replaced(self) -> None:
         for name in ("a", "b"):
             directory, state = EndpointDirectory(), PlanState()
             record = _record(directory, SMALL, ["a", "b"])
