--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -217,8 +217,8 @@
     Mutation(
         "admission: what can't end in time is not started",
         "admission",
-        "late = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]",
-        "late = [e for e in customer.waiting if e[1].deadline_s <= now_s]",
+        "expired = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]",
+        "expired = [e for e in customer.waiting if e[1].deadline_s <= now_s]",
         "test_admission",
     ),
     Mutation(
@@ -301,15 +301,15 @@
     Mutation(
         "planned stop: what is likely not to end in time is not begun",
         "admission",
-        "if now_s >= self._stop_start_s(arrival):",
+        "if now_s >= self._latest_start_before_stop_s(arrival):",
         "if False:",
         "test_work",
     ),
     Mutation(
         "planned stop: what waits and is likely not to end in time is told",
         "admission",
-        "return min(in_time_s, arrival.start_by_s, self._stop_start_s(arrival))",
-        "return min(in_time_s, arrival.start_by_s)",
+        "return min(by_deadline_s, arrival.start_by_s, self._latest_start_before_stop_s(arrival))",
+        "return min(by_deadline_s, arrival.start_by_s)",
         "test_work",
     ),
     Mutation(
--- a/yewloom/admission.py
+++ b/yewloom/admission.py
@@ -1,9 +1,10 @@
-"""Admission: which waiting request goes next, and which is turned away at once.
+"""Admission control: which queued request starts next, and which is rejected immediately.
 
-Start-time fair queueing shares the places among customers by weight, whatever each one sends.
-A request that can't end within the time left to it is turned away on arrival, with the time after
-which to come back; nothing is held until its deadline. Times are seconds of the caller's monotonic
-clock.
+An entry host has a limited number of slots, one for each request in progress. Start-time fair
+queueing divides the slots among customers by weight, however many requests each of them sends.
+A request that is not expected to finish before its deadline is rejected on arrival with a
+retry-after time, instead of waiting in the queue until it expires. Times are in seconds of the
+caller's monotonic clock.
 """
 
 import heapq
@@ -16,22 +17,22 @@
 from yewloom.values import value_class
 
 DEFAULT_PACE_S = 0.005
-"""Assumed seconds for one unit of cost before any request has ended."""
+"""Assumed seconds per unit of cost until the first request has finished."""
 
-_SMOOTHING = 0.05
-_DEVIATIONS = 2.0
-"""Deviations above the mean that a request is assumed to take."""
+_SMOOTHING_FACTOR = 0.05
+_UPPER_BOUND_DEVIATIONS = 2.0
+"""Deviations above the mean at which the duration of a request is assumed to be bounded."""
 
-_LEAST_RETRY_AFTER_S = 1.0
+_MIN_RETRY_AFTER_S = 1.0
 
 
 @value_class
 class Arrival:
-    """A request that asks for a place.
+    """A request that asks for a slot.
 
-    ``cost`` is the work in it, in any unit that is the same for all requests. ``deadline_s`` is the
-    time by which it must have ended, and ``start_by_s`` bounds its wait for a place. ``share`` is
-    the customer's limit on this entry host.
+    ``cost`` is the estimated work, in any unit that is the same for all requests. The request must
+    finish by ``deadline_s`` and start by ``start_by_s``. ``share`` is the number of requests that
+    the customer may have in progress on this entry host.
     """
 
     request_id: RequestId
@@ -45,20 +46,20 @@
 
 @value_class
 class Admitted:
-    """The request may start."""
+    """The request may start now."""
 
     request_id: RequestId
 
 
 @value_class
 class Queued:
-    """The request waits for a place."""
+    """The request waits for a slot."""
 
     request_id: RequestId
 
 
 class ShedReason(Enum):
-    """Why a request is turned away, in words for its caller."""
+    """Why a request is rejected; the values are part of the message to the caller."""
 
     NO_CAPACITY = "no capacity is left for this customer"
     QUEUE_FULL = "the queue is full"
@@ -69,7 +70,7 @@
 
 @value_class
 class Shed:
-    """The request is turned away; the caller should come back after ``retry_after_s``."""
+    """The request is rejected; the caller should retry after ``retry_after_s``."""
 
     request_id: RequestId
     reason: ShedReason
@@ -80,23 +81,23 @@
 
 
 @dataclass
-class _Pace:
-    """Seconds that one unit of cost takes from admission to the end: mean and deviation."""
+class _ServiceTime:
+    """Running mean and deviation of the seconds per unit of cost, from admission to the end."""
 
     mean_s: float = DEFAULT_PACE_S
     deviation_s: float = 0.0
 
-    def learn(self, seconds: float, cost: float) -> None:
+    def add_sample(self, seconds: float, cost: float) -> None:
         error_s = seconds / cost - self.mean_s
-        self.mean_s += _SMOOTHING * error_s
-        self.deviation_s += _SMOOTHING * (abs(error_s) - self.deviation_s)
+        self.mean_s += _SMOOTHING_FACTOR * error_s
+        self.deviation_s += _SMOOTHING_FACTOR * (abs(error_s) - self.deviation_s)
 
-    def likely_most_s(self, cost: float) -> float:
-        return cost * (self.mean_s + _DEVIATIONS * self.deviation_s)
+    def upper_bound_s(self, cost: float) -> float:
+        return cost * (self.mean_s + _UPPER_BOUND_DEVIATIONS * self.deviation_s)
 
 
 @dataclass
-class _Customer:
+class _CustomerState:
     waiting: deque[tuple[float, Arrival]] = field(default_factory=deque)
     waiting_cost: float = 0.0
     finish_tag: float = 0.0
@@ -105,80 +106,84 @@
 
 
 class Admission:
-    """The places of one entry host and the requests that wait for them."""
+    """The slots of one entry host and the requests that wait for them."""
 
-    def __init__(self, places: int, max_queued: int) -> None:
-        self._places = places
+    def __init__(self, slots: int, max_queued: int) -> None:
+        self._slots = slots
         self._max_queued = max_queued
-        self._customers: dict[CustomerId, _Customer] = {}
+        self._customers: dict[CustomerId, _CustomerState] = {}
         self._running: dict[RequestId, tuple[Arrival, float]] = {}
         self._queued = 0
-        self._virtual = 0.0
-        self._pace = _Pace()
+        self._virtual_time = 0.0
+        self._service_time = _ServiceTime()
         self._stops_s = math.inf
 
     @property
     def in_flight(self) -> int:
-        """Requests that hold a place."""
+        """Number of requests that hold a slot."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """Number of requests that wait for a slot."""
         return self._queued
 
     def in_flight_by_customer(self) -> dict[CustomerId, int]:
-        """Return how many places each customer holds."""
+        """Return how many slots each customer holds."""
         return {name: customer.in_flight for name, customer in self._customers.items()}
 
     def take_demand(self) -> dict[CustomerId, int]:
-        """Return what each customer holds, waits for, and was refused since the last call."""
+        """Return the demand of each customer and reset the counts of refused requests.
+
+        The demand is the number of slots held, of requests waiting, and of requests refused since
+        the last call.
+        """
         demand = {}
         for name, customer in self._customers.items():
             demand[name] = customer.in_flight + len(customer.waiting) + customer.refused
             customer.refused = 0
         return demand
 
-    def set_places(self, places: int) -> None:
-        """Change the number of places, as groups come and go."""
-        self._places = places
+    def set_slots(self, slots: int) -> None:
+        """Set the number of slots, which changes as groups open and close."""
+        self._slots = slots
 
     def stop_by(self, stops_s: float) -> None:
-        """Let nothing start any more that is likely not to end by then."""
+        """Stop admitting requests that are not expected to finish by then."""
         self._stops_s = stops_s
 
     def offer(self, arrival: Arrival, now_s: float) -> Decision:
-        """Decide on a request as it arrives."""
-        customer = self._customers.setdefault(arrival.customer, _Customer())
-        if arrival.share <= 0 or self._places <= 0:
+        """Admit, queue or reject a request on arrival."""
+        customer = self._customers.setdefault(arrival.customer, _CustomerState())
+        if arrival.share <= 0 or self._slots <= 0:
             customer.refused += 1
             return self._shed(arrival, ShedReason.NO_CAPACITY)
-        if now_s >= self._stop_start_s(arrival):
+        if now_s >= self._latest_start_before_stop_s(arrival):
             return self._shed(arrival, ShedReason.STOPPING)
-        if not customer.waiting and self._has_place(customer, arrival):
-            self._start(customer, arrival, self._tag(customer, arrival), now_s)
+        if not customer.waiting and self._has_free_slot(customer, arrival):
+            self._start(customer, arrival, self._assign_start_tag(customer, arrival), now_s)
             return Admitted(arrival.request_id)
         if self._queued >= self._max_queued:
             return self._shed(arrival, ShedReason.QUEUE_FULL)
         start_s = now_s + self.expected_wait_s(arrival)
         if start_s > self._latest_start_s(arrival):
-            return self._shed(arrival, self._late_reason(arrival, start_s, ShedReason.LONG_WAIT))
-        customer.waiting.append((self._tag(customer, arrival), arrival))
+            return self._shed(arrival, self._shed_reason(arrival, start_s, ShedReason.LONG_WAIT))
+        customer.waiting.append((self._assign_start_tag(customer, arrival), arrival))
         customer.waiting_cost += arrival.cost
         self._queued += 1
         return Queued(arrival.request_id)
 
     def release(self, request_id: RequestId, now_s: float) -> list[Decision]:
-        """Give a place back; return the decisions on those that waited."""
+        """Free the slot of a request; return the decisions on the waiting requests."""
         entry = self._running.pop(request_id, None)
         if entry is not None:
             arrival, started_s = entry
             self._customers[arrival.customer].in_flight -= 1
-            self._pace.learn(now_s - started_s, arrival.cost)
+            self._service_time.add_sample(now_s - started_s, arrival.cost)
         return self.advance(now_s)
 
     def withdraw(self, request_id: RequestId) -> None:
-        """Remove a waiting request whose caller has gone."""
+        """Remove a waiting request whose caller has disconnected."""
         for customer in self._customers.values():
             for entry in customer.waiting:
                 if entry[1].request_id == request_id:
@@ -186,68 +191,72 @@
                     return
 
     def advance(self, now_s: float) -> list[Decision]:
-        """Turn away what ran out of time, then fill free places in fair order."""
+        """Reject requests whose time ran out, then fill free slots in fair order."""
         decisions: list[Decision] = list(self._expire(now_s))
-        heads = self._heads()
-        heapq.heapify(heads)
-        while heads and len(self._running) < self._places:
-            _, _, name = heapq.heappop(heads)
+        queue_heads = self._queue_heads()
+        heapq.heapify(queue_heads)
+        while queue_heads and len(self._running) < self._slots:
+            _, _, name = heapq.heappop(queue_heads)
             customer = self._customers[name]
             tag, arrival = customer.waiting[0]
-            if not self._has_place(customer, arrival):
+            if not self._has_free_slot(customer, arrival):
                 continue
             self._remove(customer, customer.waiting[0])
             self._start(customer, arrival, tag, now_s)
             decisions.append(Admitted(arrival.request_id))
             if customer.waiting:
-                heapq.heappush(heads, (customer.waiting[0][0], arrival.weight, name))
+                heapq.heappush(queue_heads, (customer.waiting[0][0], arrival.weight, name))
         return decisions
 
     def expected_wait_s(self, arrival: Arrival) -> float:
-        """Estimate how long an arrival would wait, from its fair share of the places."""
-        customer = self._customers.setdefault(arrival.customer, _Customer())
+        """Estimate how long a request would wait, from its customer's fair share of the slots."""
+        customer = self._customers.setdefault(arrival.customer, _CustomerState())
         busy_weight = arrival.weight + sum(
             other.waiting[0][1].weight
             for name, other in self._customers.items()
             if other.waiting and name != arrival.customer
         )
-        fair_places = max(self._places * arrival.weight / busy_weight, 1e-9)
-        places = min(fair_places, arrival.share)
-        return (customer.waiting_cost + arrival.cost) * self._pace.mean_s / places
+        fair_slots = max(self._slots * arrival.weight / busy_weight, 1e-9)
+        slots = min(fair_slots, arrival.share)
+        return (customer.waiting_cost + arrival.cost) * self._service_time.mean_s / slots
 
     def _latest_start_s(self, arrival: Arrival) -> float:
-        """Return the last moment at which a request may start and can likely end in time."""
-        in_time_s = arrival.deadline_s - self._pace.likely_most_s(arrival.cost)
-        return min(in_time_s, arrival.start_by_s, self._stop_start_s(arrival))
-
-    def _stop_start_s(self, arrival: Arrival) -> float:
-        """Return the last moment at which a request may start and likely end before the stop."""
-        return self._stops_s - self._pace.likely_most_s(arrival.cost)
-
-    def _late_reason(self, arrival: Arrival, start_s: float, otherwise: ShedReason) -> ShedReason:
-        """Tell whether a start is late because of the stop or for another reason."""
-        return ShedReason.STOPPING if start_s >= self._stop_start_s(arrival) else otherwise
+        """Return the latest start at which a request is expected to finish in time."""
+        by_deadline_s = arrival.deadline_s - self._service_time.upper_bound_s(arrival.cost)
+        return min(by_deadline_s, arrival.start_by_s, self._latest_start_before_stop_s(arrival))
+
+    def _latest_start_before_stop_s(self, arrival: Arrival) -> float:
+        """Return the latest start at which a request is expected to finish before shutdown."""
+        return self._stops_s - self._service_time.upper_bound_s(arrival.cost)
+
+    def _shed_reason(self, arrival: Arrival, start_s: float, otherwise: ShedReason) -> ShedReason:
+        """Return ``STOPPING`` if shutdown makes the start too late, else ``otherwise``."""
+        return (
+            ShedReason.STOPPING
+            if start_s >= self._latest_start_before_stop_s(arrival)
+            else otherwise
+        )
 
-    def _remove(self, customer: _Customer, entry: tuple[float, Arrival]) -> None:
+    def _remove(self, customer: _CustomerState, entry: tuple[float, Arrival]) -> None:
         customer.waiting.remove(entry)
         customer.waiting_cost -= entry[1].cost
         self._queued -= 1
 
-    def _tag(self, customer: _Customer, arrival: Arrival) -> float:
-        """Return the start tag of a request and move its customer's finish tag on."""
-        start = max(self._virtual, customer.finish_tag)
+    def _assign_start_tag(self, customer: _CustomerState, arrival: Arrival) -> float:
+        """Return the start tag of a request and advance its customer's finish tag."""
+        start = max(self._virtual_time, customer.finish_tag)
         customer.finish_tag = start + arrival.cost / arrival.weight
         return start
 
-    def _has_place(self, customer: _Customer, arrival: Arrival) -> bool:
-        return len(self._running) < self._places and customer.in_flight < arrival.share
+    def _has_free_slot(self, customer: _CustomerState, arrival: Arrival) -> bool:
+        return len(self._running) < self._slots and customer.in_flight < arrival.share
 
-    def _start(self, customer: _Customer, arrival: Arrival, tag: float, now_s: float) -> None:
-        self._virtual = max(self._virtual, tag)
+    def _start(self, customer: _CustomerState, arrival: Arrival, tag: float, now_s: float) -> None:
+        self._virtual_time = max(self._virtual_time, tag)
         customer.in_flight += 1
         self._running[arrival.request_id] = (arrival, now_s)
 
-    def _heads(self) -> list[tuple[float, float, CustomerId]]:
+    def _queue_heads(self) -> list[tuple[float, float, CustomerId]]:
         return [
             (customer.waiting[0][0], customer.waiting[0][1].weight, name)
             for name, customer in self._customers.items()
@@ -257,13 +266,13 @@
     def _expire(self, now_s: float) -> list[Shed]:
         shed = []
         for customer in self._customers.values():
-            late = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]
-            for entry in late:
+            expired = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]
+            for entry in expired:
                 self._remove(customer, entry)
-                reason = self._late_reason(entry[1], now_s, ShedReason.TIME_RAN_OUT)
+                reason = self._shed_reason(entry[1], now_s, ShedReason.TIME_RAN_OUT)
                 shed.append(self._shed(entry[1], reason))
         return shed
 
     def _shed(self, arrival: Arrival, reason: ShedReason) -> Shed:
-        wait_s = self.expected_wait_s(arrival) if arrival.share > 0 else _LEAST_RETRY_AFTER_S
-        return Shed(arrival.request_id, reason, max(_LEAST_RETRY_AFTER_S, wait_s))
+        wait_s = self.expected_wait_s(arrival) if arrival.share > 0 else _MIN_RETRY_AFTER_S
+        return Shed(arrival.request_id, reason, max(_MIN_RETRY_AFTER_S, wait_s))
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -22,7 +22,7 @@
 from yewloom.problems import Problem, bad_request, unavailable
 from yewloom.progress import Progress
 from yewloom.recovery import next_step
-from yewloom.requests import ModelRequest, ShareOf, Tokens, arrival_of
+from yewloom.requests import ModelRequest, ShareOf, Tokens, to_arrival
 from yewloom.retries import AttemptTracker, CallFailure, NextStep, RetryBudget
 from yewloom.routing import (
     Candidate,
@@ -125,7 +125,7 @@
 
     def _arrival(self, request: ModelRequest) -> Arrival:
         share = self._share_of(request.customer, request.customer_row)
-        return arrival_of(request, float(request.max_tokens), share, trio.current_time())
+        return to_arrival(request, float(request.max_tokens), share, trio.current_time())
 
     def _assign(
         self, request: ModelRequest, policies: Mapping[PolicyName, PolicyRow]
--- a/yewloom/places.py
+++ b/yewloom/places.py
@@ -1,4 +1,4 @@
-"""Waits for a place: carries out the decisions of ``admission`` for requests in this process."""
+"""Lets the requests of this process wait for a slot, as ``admission`` decides."""
 
 from collections.abc import AsyncIterator, Iterable
 from contextlib import asynccontextmanager
@@ -12,67 +12,67 @@
 
 
 class Places:
-    """The places of one entry host, with the requests that wait for them."""
+    """The slots of one entry host and the tasks that wait for them."""
 
     def __init__(self, admission: Admission) -> None:
         self.admission = admission
-        self._woken: dict[RequestId, trio.Event] = {}
-        self._decided: dict[RequestId, Decision] = {}
+        self._decided_events: dict[RequestId, trio.Event] = {}
+        self._decisions: dict[RequestId, Decision] = {}
 
     @asynccontextmanager
     async def hold(self, arrival: Arrival) -> AsyncIterator[None]:
-        """Hold a place; raises Problem at once if the request is turned away."""
+        """Hold a slot; raise Problem as soon as the request is rejected."""
         decision = self.admission.offer(arrival, trio.current_time())
         if isinstance(decision, Queued):
             decision = await self._wait(arrival)
         if isinstance(decision, Shed):
-            raise _problem(decision)
+            raise _problem_for(decision)
         try:
             yield
         finally:
-            self._wake(self.admission.release(arrival.request_id, trio.current_time()))
+            self._apply_decisions(self.admission.release(arrival.request_id, trio.current_time()))
 
     def stop_by(self, stops_s: float) -> None:
-        """Turn away what is likely not to end by then, now and later."""
+        """Reject requests that are not expected to finish by then, from now on."""
         self.admission.stop_by(stops_s)
-        self._wake(self.admission.advance(trio.current_time()))
+        self._apply_decisions(self.admission.advance(trio.current_time()))
 
-    def refill(self, places: int) -> None:
-        """Change the number of places and let waiting requests take new ones."""
-        self.admission.set_places(places)
-        self._wake(self.admission.advance(trio.current_time()))
+    def refill(self, slots: int) -> None:
+        """Set the number of slots and start waiting requests in new ones."""
+        self.admission.set_slots(slots)
+        self._apply_decisions(self.admission.advance(trio.current_time()))
 
     async def _wait(self, arrival: Arrival) -> Decision:
-        woken = self._woken[arrival.request_id] = trio.Event()
+        decided = self._decided_events[arrival.request_id] = trio.Event()
         try:
             with trio.move_on_at(min(arrival.deadline_s, arrival.start_by_s)):
-                await woken.wait()
-            if arrival.request_id not in self._decided:
-                self._wake(self.admission.advance(trio.current_time()))
-            return self._decided[arrival.request_id]
+                await decided.wait()
+            if arrival.request_id not in self._decisions:
+                self._apply_decisions(self.admission.advance(trio.current_time()))
+            return self._decisions[arrival.request_id]
         except trio.Cancelled:
             self._abandon(arrival.request_id)
             raise
         finally:
-            del self._woken[arrival.request_id]
-            self._decided.pop(arrival.request_id, None)
+            del self._decided_events[arrival.request_id]
+            self._decisions.pop(arrival.request_id, None)
 
     def _abandon(self, request_id: RequestId) -> None:
-        """Leave the queue, or give the place back that came with the cancellation."""
-        if isinstance(self._decided.get(request_id), Admitted):
-            self._wake(self.admission.release(request_id, trio.current_time()))
+        """Leave the queue, or free a slot that was granted just before the cancellation."""
+        if isinstance(self._decisions.get(request_id), Admitted):
+            self._apply_decisions(self.admission.release(request_id, trio.current_time()))
         else:
             self.admission.withdraw(request_id)
 
-    def _wake(self, decisions: Iterable[Decision]) -> None:
+    def _apply_decisions(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
-            woken = self._woken.get(decision.request_id)
-            if woken is not None:
-                self._decided[decision.request_id] = decision
-                woken.set()
+            decided = self._decided_events.get(decision.request_id)
+            if decided is not None:
+                self._decisions[decision.request_id] = decision
+                decided.set()
 
 
-def _problem(shed: Shed) -> Problem:
+def _problem_for(shed: Shed) -> Problem:
     detail = f"The request was turned away: {shed.reason.value}."
     if shed.reason is ShedReason.STOPPING:
         return unavailable(detail, Outcome.NOT_RUN)
--- a/yewloom/requests.py
+++ b/yewloom/requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers as they pass between the caller interface and dispatch."""
+"""Types that the caller interface and the dispatchers exchange."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,12 @@
 from yewloom.values import value_class
 
 ShareOf = Callable[[CustomerId, CustomerRow], int]
-"""Returns this entry host's part of a customer's limit."""
+"""Returns this entry host's share of a customer's limit."""
 
 
 @value_class
 class ModelRequest:
-    """A request for tokens; ``deadline_s`` is on the runtime's clock."""
+    """A request to generate tokens; ``deadline_s`` is in seconds of Trio's clock."""
 
     request_id: RequestId
     customer: CustomerId
@@ -30,7 +30,7 @@
 
 @value_class
 class ServiceRequest:
-    """A call of a plain service."""
+    """A call to a plain service; ``deadline_s`` is in seconds of Trio's clock."""
 
     request_id: RequestId
     customer: CustomerId
@@ -43,17 +43,20 @@
 
 @value_class
 class Tokens:
-    """Tokens in order, with the caller's place after them; the last ones end the answer."""
+    """Consecutive tokens, and the position in the stream after them.
+
+    ``finish_reason`` is set on the last tokens of an answer only.
+    """
 
     tokens: tuple[str, ...]
     position: StreamPosition
     finish_reason: str = ""
 
 
-def arrival_of(
+def to_arrival(
     request: ModelRequest | ServiceRequest, cost: float, share: int, now_s: float
 ) -> Arrival:
-    """Return a request as admission sees it."""
+    """Convert a request to the form that admission control uses."""
     return Arrival(
         request_id=request.request_id,
         customer=request.customer,
--- a/yewloom/service_dispatch.py
+++ b/yewloom/service_dispatch.py
@@ -10,7 +10,7 @@
 from yewloom.places import Places
 from yewloom.problems import unavailable
 from yewloom.recovery import next_step
-from yewloom.requests import ServiceRequest, ShareOf, arrival_of
+from yewloom.requests import ServiceRequest, ShareOf, to_arrival
 from yewloom.retries import AttemptTracker, RetryBudget
 from yewloom.states import Outcome
 
@@ -37,7 +37,7 @@
     async def call_service(self, request: ServiceRequest) -> HttpAnswer:
         """Return a plain service's answer; raises Problem if there is none."""
         share = self._share_of(request.customer, request.customer_row)
-        arrival = arrival_of(request, 1.0, share, trio.current_time())
+        arrival = to_arrival(request, 1.0, share, trio.current_time())
         async with self._places.hold(arrival):
             tracker = AttemptTracker(request.is_unsafe, can_resume=False, budget=self._budget)
             avoid: set[HostId] = set()
--- a/yewloom/tests/test_admission.py
+++ b/yewloom/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission: fair shares, places never exceeded, no answer held back."""
+"""Tests of admission: fair shares, the slot limit, and immediate rejections."""
 
 import unittest
 from collections import Counter
@@ -10,17 +10,17 @@
 from yewloom.admission import DEFAULT_PACE_S, Admission, Admitted, Arrival, Decision, Queued, Shed
 from yewloom.ids import CustomerId, RequestId
 
-PLACES = 3
+SLOTS = 3
 SHARE = 2
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Arrivals, ends, departures and changes of the number of places in any order."""
+    """Arrivals, completions, withdrawals and changes of the number of slots in any order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.admission = Admission(PLACES, max_queued=5)
-        self.places = PLACES
+        self.admission = Admission(SLOTS, max_queued=5)
+        self.places = SLOTS
         self.now_s = 0.0
         self.count = 0
         self.customer: dict[RequestId, str] = {}
@@ -41,14 +41,14 @@
         decision = self.admission.offer(arrival, self.now_s)
         if isinstance(decision, Queued):
             self.waiting[name] = deadline_s
-        self._note([decision])
+        self._apply([decision])
 
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
         if self.running:
             name = data.draw(st.sampled_from(sorted(self.running)))
             self.running.discard(name)
-            self._note(self.admission.release(name, self.now_s))
+            self._apply(self.admission.release(name, self.now_s))
 
     @rule(data=st.data())
     def give_up_waiting(self, data: st.DataObject) -> None:
@@ -61,10 +61,10 @@
     def change_places(self, places: int, seconds: float) -> None:
         self.now_s += seconds
         self.places = places
-        self.admission.set_places(places)
-        self._note(self.admission.advance(self.now_s))
+        self.admission.set_slots(places)
+        self._apply(self.admission.advance(self.now_s))
 
-    def _note(self, decisions: list[Decision]) -> None:
+    def _apply(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, Admitted):
                 self.waiting.pop(decision.request_id, None)
@@ -92,10 +92,15 @@
 
 
 class TestAdmission(unittest.TestCase):
-    """Fairness and early answers."""
+    """Fairness and early rejection."""
 
-    def _served(self, weights: dict[str, float], flood: dict[str, int], ends: int) -> Counter[str]:
-        """Return how many requests of each customer start while everyone has a backlog."""
+    def _count_started(
+        self, weights: dict[str, float], flood: dict[str, int], ends: int
+    ) -> Counter[str]:
+        """Return how many requests of each customer start.
+
+        Customers send ``flood`` requests each, then ``ends`` of the started ones finish.
+        """
         admission = Admission(4, max_queued=10_000)
         started: list[str] = []
         for customer, count in flood.items():
@@ -108,15 +113,15 @@
             started += [d.request_id for d in decisions if isinstance(d, Admitted)]
         return Counter(name[0] for name in started)
 
-    def test_a_flood_leaves_a_small_customer_its_half(self) -> None:
-        served = self._served({"a": 1, "b": 1}, {"a": 1000, "b": 60}, 100)
-        self.assertGreaterEqual(served["b"], 48)
+    def test_a_flood_of_one_customer_leaves_another_its_half(self) -> None:
+        started_by_customer = self._count_started({"a": 1, "b": 1}, {"a": 1000, "b": 60}, 100)
+        self.assertGreaterEqual(started_by_customer["b"], 48)
 
-    def test_places_follow_the_weights(self) -> None:
-        served = self._served({"a": 3, "b": 1}, {"a": 500, "b": 500}, 200)
-        self.assertAlmostEqual(served["a"] / served["b"], 3, delta=0.3)
+    def test_slots_are_divided_by_weight(self) -> None:
+        started_by_customer = self._count_started({"a": 3, "b": 1}, {"a": 500, "b": 500}, 200)
+        self.assertAlmostEqual(started_by_customer["a"] / started_by_customer["b"], 3, delta=0.3)
 
-    def test_a_request_that_cannot_start_in_time_is_turned_away_on_arrival(self) -> None:
+    def test_a_request_that_cannot_finish_in_time_is_rejected_on_arrival(self) -> None:
         admission = Admission(1, max_queued=100)
         admission.offer(_arrival("1", "a"), 0.0)
         late = _arrival("2", "a", deadline_s=0.2, cost=0.2 / DEFAULT_PACE_S)
@@ -124,7 +129,7 @@
         assert isinstance(decision, Shed)
         self.assertGreaterEqual(decision.retry_after_s, 1.0)
 
-    def test_a_queued_request_that_can_no_longer_end_in_time_is_not_started(self) -> None:
+    def test_a_queued_request_that_can_no_longer_finish_in_time_is_rejected(self) -> None:
         admission = Admission(1, max_queued=100)
         for number in range(200):
             admission.offer(_arrival(f"w{number}", "a"), 10.0 * number)
@@ -143,6 +148,6 @@
         late = replace(_arrival("3", "a", cost=400.0), start_by_s=2.0)
         self.assertIsInstance(admission.offer(late, 1.5), Shed)
 
-    def test_a_customer_without_a_share_is_turned_away_at_once(self) -> None:
+    def test_a_customer_without_a_share_is_rejected_immediately(self) -> None:
         arrival = Arrival(RequestId("1"), CustomerId("a"), 1.0, 1.0, 99.0, share=0)
         self.assertIsInstance(Admission(4, 4).offer(arrival, 0.0), Shed)
