--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -175,8 +175,8 @@
     Mutation(
         "requests: retries come from a budget",
         "retries",
-        "        if self._saved < 1:\n            return False",
-        "        if self._saved < 1:\n            return True",
+        "        if self._available < 1:\n            return False",
+        "        if self._available < 1:\n            return True",
         "test_retries",
     ),
     Mutation(
--- a/yewloom/counted_requests.py
+++ b/yewloom/counted_requests.py
@@ -1,4 +1,4 @@
-"""Requests as work of an entry host: counted until answered, their connections closed at a stop."""
+"""ASGI middleware that tracks requests in progress and closes their connections on shutdown."""
 
 from starlette.types import ASGIApp, Message, Receive, Scope, Send
 
@@ -6,16 +6,17 @@
 from yewloom.states import Outcome
 from yewloom.work import Work
 
-_CLOSE = (b"connection", b"close")
-_CUT_OFF = "This entry host stopped before the request ended."
+_CONNECTION_CLOSE = (b"connection", b"close")
+_CANCELLED_DETAIL = "This entry host stopped before the request ended."
 
 
 class CountedRequests:
-    """Counts each request of an application from its headers until its answer is written.
+    """Counts each request of an application as work from its headers until its answer is sent.
 
-    An answer that begins while the host leaves closes its connection, so that no caller sends
-    another request on it; HTTP/2 knows no such header. A request that is cut off before its answer
-    began is told what is known of it: while its body is not whole, it has not run.
+    An answer that starts while the host is leaving carries ``connection: close``, so that the
+    caller sends no further request on the connection; HTTP/2 has no such header. A request that is
+    cancelled by the shutdown before its answer has started is answered with the known outcome: it
+    has not run if its body was not received completely.
     """
 
     def __init__(self, application: ASGIApp, work: Work) -> None:
@@ -31,13 +32,13 @@
         with self._work.item():
             with self._work.request() as request:
                 await self._application(scope, exchange.receive, exchange.send)
-            if request.cancelled_caught and not exchange.has_answer:
-                problem = unavailable(_CUT_OFF, exchange.outcome)
+            if request.cancelled_caught and not exchange.has_response_started:
+                problem = unavailable(_CANCELLED_DETAIL, exchange.outcome)
                 await problem.to_response()(scope, receive, exchange.send)
 
 
 class _Exchange:
-    """What has passed between a caller and the application for one request."""
+    """Observes the messages between a caller and the application for one request."""
 
     def __init__(self, scope: Scope, receive: Receive, send: Send, work: Work) -> None:
         self._is_http_1 = scope["http_version"].startswith("1")
@@ -45,19 +46,19 @@
         self._send = send
         self._work = work
         self.outcome = Outcome.NOT_RUN
-        self.has_answer = False
+        self.has_response_started = False
 
     async def receive(self) -> Message:
-        """Hand on what the caller sends, and see whether its body is whole."""
+        """Return the caller's next message; note whether the body is complete."""
         message = await self._receive()
         if message["type"] == "http.request" and not message.get("more_body", False):
             self.outcome = Outcome.UNKNOWN
         return message
 
     async def send(self, message: Message) -> None:
-        """Hand on what the caller is told; close its connection if the host leaves."""
+        """Send a message to the caller; close its connection if the host is leaving."""
         if message["type"] == "http.response.start":
-            self.has_answer = True
+            self.has_response_started = True
             if self._is_http_1 and self._work.is_leaving:
-                message = {**message, "headers": [*message.get("headers", []), _CLOSE]}
+                message = {**message, "headers": [*message.get("headers", []), _CONNECTION_CLOSE]}
         await self._send(message)
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -1,7 +1,7 @@
-"""Dispatch of model requests: from admission to a group and the whole answer back.
+"""Dispatch of model requests: admission, routing, calls to engines, and streaming of the answer.
 
-Each decision is made elsewhere (``admission``, ``routing``, ``retries``, ``streams``); this module
-makes the calls that they ask for.
+The decisions are made in other modules (``admission``, ``routing``, ``retries``, ``streams``); this
+module carries them out.
 """
 
 from collections import defaultdict
@@ -43,7 +43,7 @@
 
 
 class Dispatcher:
-    """Dispatches the requests of one entry host."""
+    """Dispatches the model requests of one entry host."""
 
     def __init__(
         self,
@@ -68,14 +68,14 @@
         self._turns = TurnCounter()
         self._experiments = node.experiments
         self._coalesce_s = node.settings.requests.coalesce_ms / 1000
-        # Looking a metric up by its label for each token costs more than counting the token.
+        # Cached, since looking up a metric by its label costs more than counting a token.
         self._first_token_s = cache(node.metrics.first_token_s.labels)
         self._between_tokens_s = cache(node.metrics.between_tokens_s.labels)
         self._budget = budget
-        self._sent: defaultdict[GroupId, dict[RequestId, float]] = defaultdict(dict)
+        self._sent_s: defaultdict[GroupId, dict[RequestId, float]] = defaultdict(dict)
 
     async def generate(self, request: ModelRequest) -> AsyncGenerator[Tokens, None]:
-        """Yield the tokens of a request in order; raises Problem if it can't be answered."""
+        """Yield the tokens of a request in order; raise Problem if it cannot be answered."""
         async with self._places.hold(self._arrival(request)):
             progress = self._start(request)
             try:
@@ -83,14 +83,14 @@
                     async for tokens in attempts:
                         yield tokens
             except Problem as problem:
-                self._record(progress, problem.outcome)
+                self._record_observation(progress, problem.outcome)
                 raise
-            self._record(progress, Outcome.ANSWERED)
+            self._record_observation(progress, Outcome.ANSWERED)
 
     async def resume(
         self, request: ModelRequest, position: StreamPosition
     ) -> AsyncGenerator[Tokens, None]:
-        """Yield the rest of a stream that another entry host may have begun."""
+        """Yield the rest of a stream, which may have been started by another entry host."""
         group = self._fleet.group(position.group_id)
         if group is None or group.generation != position.generation:
             raise unavailable(
@@ -102,7 +102,7 @@
                 position.request_id, position.generation, position.offset
             )
             progress.tracker = AttemptTracker(True, True, self._budget)
-            progress.tracker.on_progress()
+            progress.tracker.on_tokens_received()
             progress.group, progress.is_resuming = group, True
             async with aclosing(self._attempts(progress)) as attempts:
                 async for tokens in attempts:
@@ -112,7 +112,7 @@
         policies = self._table.policies_for(request.model)
         if not policies:
             raise bad_request(f"The model {request.model!r} is not served here.", 404)
-        experiment, side, policy = self._assign(request, policies)
+        experiment, side, policy = self._assign_policy(request, policies)
         return Progress(
             request=request,
             policy=policy,
@@ -127,24 +127,24 @@
         share = self._share_of(request.customer, request.customer_row)
         return to_arrival(request, float(request.max_tokens), share, trio.current_time())
 
-    def _assign(
+    def _assign_policy(
         self, request: ModelRequest, policies: Mapping[PolicyName, PolicyRow]
     ) -> tuple[str, Side, PolicyName]:
-        """Return the experiment that a request takes part in, its side, and the policy."""
+        """Return the experiment that a request is part of, its side, and the policy to use."""
         for name, row in self._table.experiments().items():
             side = assign_side(name, row, request.session)
             if row.model == request.model and policy_of(side, row) in policies:
                 return name, side, policy_of(side, row)
         return "", Side.A, next(iter(policies))
 
-    def _record(self, progress: Progress, outcome: Outcome) -> None:
-        """Record a request for its experiment."""
+    def _record_observation(self, progress: Progress, outcome: Outcome) -> None:
+        """Record the result of a request for its experiment."""
         if progress.experiment:
             record = self._experiments[progress.experiment]
             record.add(progress.request.session, progress.observation(outcome))
 
     async def _attempts(self, progress: Progress) -> AsyncGenerator[Tokens, None]:
-        """Make calls until the answer is whole or must be given up."""
+        """Call engines until the answer is complete; raise Problem if it is given up."""
         while not progress.assembler.is_whole:
             if progress.group is None:
                 self._route(progress)
@@ -153,14 +153,14 @@
                     async for tokens in attempt:
                         yield tokens
             except EndpointError as error:
-                self._after_failure(error, progress)
+                self._handle_failure(error, progress)
         self._budget.on_success()
 
-    def _after_failure(self, error: EndpointError, progress: Progress) -> None:
+    def _handle_failure(self, error: EndpointError, progress: Progress) -> None:
         group, request = progress.group, progress.request
         assert group is not None
         if progress.is_resuming and error.failure in (CallFailure.CONNECT, CallFailure.REFUSED):
-            # The engine was asked to go on, not to start: a refusal leaves the outcome open.
+            # The stream was started earlier, so a refusal to resume leaves its outcome unknown.
             error = EndpointError(CallFailure.ENDPOINT_ERROR, str(error))
         step = next_step(error, progress.tracker, request, self._metrics)
         progress.is_resuming = step is NextStep.RESUME
@@ -170,47 +170,48 @@
             progress.group = None
 
     async def _attempt(self, progress: Progress) -> AsyncGenerator[Tokens, None]:
-        """Make one call and yield what it adds to the answer.
+        """Make one call and yield the tokens that it adds to the answer.
 
-        Tokens that come close after each other go on together: the cost is by event, not by token.
+        Tokens that arrive within ``coalesce_ms`` are sent together, since the cost to the caller's
+        stream is per event, not per token.
         """
         group = progress.group
         assert group is not None
         request, group_id = progress.request, GroupId(group.id)
         call = self._call_for(progress, group)
         address = group.members[0].address
-        self._sent[group_id][request.request_id] = trio.current_time()
-        is_over = False
+        self._sent_s[group_id][request.request_id] = trio.current_time()
+        is_finished = False
         try:
             stall_s = self._stall_timeout_s(request)
             async with self._endpoints.generate(address, call, stall_s) as pieces:
                 async for piece in pieces:
-                    progress.held += progress.assembler.accept(piece)
-                    if progress.is_due(trio.current_time(), self._coalesce_s):
-                        yield self._pass_on(progress, group)
+                    progress.pending_tokens += progress.assembler.accept(piece)
+                    if progress.should_flush(trio.current_time(), self._coalesce_s):
+                        yield self._flush(progress, group)
                     if progress.assembler.is_whole:
                         break
                     if trio.current_time() >= request.deadline_s:
                         raise EndpointError(CallFailure.STALLED, "the time left ran out")
             if not progress.assembler.is_whole:
                 raise EndpointError(CallFailure.BROKEN, "the stream ended early")
-            is_over = True
+            is_finished = True
         except StreamOverflowError as error:
             raise EndpointError(CallFailure.BROKEN, str(error)) from error
         except EndpointError:
-            is_over = True
-            if progress.held:
-                yield self._pass_on(progress, group)
+            is_finished = True
+            if progress.pending_tokens:
+                yield self._flush(progress, group)
             raise
         finally:
-            self._sent[group_id].pop(request.request_id, None)
-            if not is_over:
+            self._sent_s[group_id].pop(request.request_id, None)
+            if not is_finished:
                 self._tasks.start_soon(self._cancel_later, address, call.request_id)
 
     def _stall_timeout_s(self, request: ModelRequest) -> float:
-        """Return the longest silence of an engine, within the time left to the request."""
-        left_s = request.deadline_s - trio.current_time()
-        return max(0.0, min(self._settings.requests.stall_timeout_ms / 1000, left_s))
+        """Return the longest time without data from an engine, limited by the deadline."""
+        remaining_s = request.deadline_s - trio.current_time()
+        return max(0.0, min(self._settings.requests.stall_timeout_ms / 1000, remaining_s))
 
     def _call_for(self, progress: Progress, group: Group) -> GenerateCall:
         request = progress.request
@@ -226,15 +227,15 @@
             delivered=tuple(progress.delivered),
         )
 
-    def _pass_on(self, progress: Progress, group: Group) -> Tokens:
-        """Return the tokens held and account for them."""
-        tokens, progress.held = progress.held, []
-        progress.tracker.on_progress()
+    def _flush(self, progress: Progress, group: Group) -> Tokens:
+        """Return the pending tokens, and update the progress and metrics."""
+        tokens, progress.pending_tokens = progress.pending_tokens, []
+        progress.tracker.on_tokens_received()
         progress.delivered += tokens
         now_s = trio.current_time()
         if progress.last_token_s is None:
-            waited_s = now_s - progress.arrived_s
-            self._first_token_s(progress.policy).observe(waited_s)
+            to_first_token_s = now_s - progress.arrived_s
+            self._first_token_s(progress.policy).observe(to_first_token_s)
             progress.first_token_s = now_s
         else:
             gap_s = (now_s - progress.last_token_s) / max(len(tokens), 1)
@@ -249,11 +250,11 @@
         return Tokens(tuple(tokens), position, finish_reason)
 
     def _route(self, progress: Progress) -> None:
-        """Choose a group for a request; raises Problem if none is open."""
+        """Choose a group for a request; raise Problem if none is open."""
         request = progress.request
         hashes = block_hashes(request.prompt)
         candidates = self._candidates(request.model, hashes)
-        wanted = RouteRequest(
+        route_request = RouteRequest(
             model=request.model,
             data_centre=self._data_centre,
             prompt_characters=len(request.prompt),
@@ -261,9 +262,9 @@
             entry_hosts=len(self._membership.alive_in(self._data_centre, trio.current_time())),
         )
         policy = self._table.policies()[progress.policy]
-        kind = policy.WhichOneof("routing")
-        routing = getattr(policy, kind) if kind else default_routing()
-        route = choose_group(routing, wanted, candidates, self._rng, self._turns)
+        routing_field = policy.WhichOneof("routing")
+        routing = getattr(policy, routing_field) if routing_field else default_routing()
+        route = choose_group(routing, route_request, candidates, self._rng, self._turns)
         if route is None:
             raise unavailable("No group is open for this model now.", progress.tracker.outcome)
         group = self._fleet.group(route.group_id)
@@ -287,20 +288,20 @@
             Candidate(
                 group_id=GroupId(group.id),
                 data_centre=data_centre,
-                reported=seen.running + seen.waiting,
-                capacity=seen.capacity,
-                own_unreported=self._sent_since(GroupId(group.id), seen.observed_s),
+                reported=report.running + report.waiting,
+                capacity=report.capacity,
+                own_unreported=self._count_sent_since(GroupId(group.id), report.observed_s),
                 matched_blocks=self._prefixes.matched_blocks(GroupId(group.id), hashes),
             )
-            for data_centre, group, seen in self._fleet.open_groups(trio.current_time())
+            for data_centre, group, report in self._fleet.open_groups(trio.current_time())
             if group.model == model
         ]
 
-    def _sent_since(self, group_id: GroupId, observed_s: float) -> int:
-        return sum(sent_s >= observed_s for sent_s in self._sent[group_id].values())
+    def _count_sent_since(self, group_id: GroupId, observed_s: float) -> int:
+        return sum(sent_s >= observed_s for sent_s in self._sent_s[group_id].values())
 
     async def _cancel_later(self, address: str, request_id: RequestId) -> None:
-        """Cancel an abandoned stream unless its caller comes back in time."""
+        """Cancel an abandoned stream once its caller has had time to reconnect and resume it."""
         await trio.sleep(self._settings.requests.reconnect_grace_ms / 1000)
         with trio.move_on_after(_CANCEL_TIMEOUT_S):
             await self._endpoints.cancel(address, request_id)
--- a/yewloom/prefixes.py
+++ b/yewloom/prefixes.py
@@ -1,8 +1,9 @@
-"""Index of the prompt prefixes that engines have cached, from late and gapped cache events.
+"""Index of the prompt prefixes that engines have cached.
 
-A prompt is cut into blocks; the hash of each block covers all before it, so equal hashes mean
-equal prefixes. Events carry a sequence number. After a gap the index of that engine is dropped
-until it starts again, since it may claim blocks that are gone.
+A prompt is split into blocks. The hash of a block covers all blocks before it too, so equal hashes
+mean equal prefixes. The index is built from the engines' cache events, which may be late or lost
+and carry a sequence number. After a gap all blocks of that engine are dropped, since an eviction
+may have been missed, and the index is rebuilt from the events that follow.
 """
 
 from collections import OrderedDict
@@ -15,14 +16,17 @@
 from yewloom.schema.records_pb2 import CacheEvent
 
 BLOCK_CHARACTERS = 64
-"""Characters of a prompt in one block."""
+"""Length of a block in characters."""
 
 MAX_EXPECTED_BLOCKS = 4096
-"""Blocks expected in one engine from own requests; the least recently sent ones go first."""
+"""Most blocks per engine that are expected from this host's own requests.
+
+The least recently used ones are dropped first.
+"""
 
 
 def block_hashes(prompt: str) -> list[int]:
-    """Return the hash of each whole block of a prompt, each covering all blocks before it."""
+    """Return the hash of each full block of a prompt; it covers the blocks before it too."""
     hashes = []
     state = xxhash.xxh64()
     for start in range(0, len(prompt) - BLOCK_CHARACTERS + 1, BLOCK_CHARACTERS):
@@ -33,7 +37,11 @@
 
 @dataclass
 class _EngineCache:
-    """Blocks that events told of, and blocks that own requests will have left behind."""
+    """Blocks that one engine has cached.
+
+    ``blocks`` are known from its events; ``expected`` are those of the requests that this host sent
+    to it.
+    """
 
     generation: int
     sequence: int = 0
@@ -47,12 +55,12 @@
         while len(self.expected) > MAX_EXPECTED_BLOCKS:
             self.expected.popitem(last=False)
 
-    def holds(self, block: int) -> bool:
+    def contains(self, block: int) -> bool:
         return block in self.blocks or block in self.expected
 
 
 class PrefixIndex:
-    """Cached blocks of each group."""
+    """The cached blocks of each group."""
 
     def __init__(self) -> None:
         self._caches: dict[GroupId, _EngineCache] = {}
@@ -60,7 +68,7 @@
     def apply(
         self, group_id: GroupId, generation: int, events: Iterable[CacheEvent], sequence: int
     ) -> None:
-        """Take in an engine's latest events; ``sequence`` is that of its newest one."""
+        """Apply an engine's latest events; ``sequence`` is the number of its newest event."""
         cache = self._cache(group_id, generation)
         for event in sorted(events, key=lambda event: event.sequence):
             if event.sequence <= cache.sequence:
@@ -77,16 +85,16 @@
             cache.sequence = sequence
 
     def expect(self, group_id: GroupId, generation: int, hashes: Iterable[int]) -> None:
-        """Note blocks that a request just sent will leave behind, before events tell of them."""
+        """Add the blocks of a request just sent, which its engine has yet to report as cached."""
         self._cache(group_id, generation).expect(hashes)
 
     def matched_blocks(self, group_id: GroupId, hashes: Sequence[int]) -> int:
-        """Return how many leading blocks of a prompt a group has cached."""
+        """Return the number of leading blocks of a prompt that a group has cached."""
         cache = self._caches.get(group_id)
         if cache is None:
             return 0
         for count, block in enumerate(hashes):
-            if not cache.holds(block):
+            if not cache.contains(block):
                 return count
         return len(hashes)
 
@@ -97,6 +105,6 @@
         return cache
 
     def keep_only(self, present: Iterable[GroupId]) -> None:
-        """Forget groups that are gone."""
+        """Drop all groups but these."""
         for group_id in self._caches.keys() - set(present):
             del self._caches[group_id]
--- a/yewloom/progress.py
+++ b/yewloom/progress.py
@@ -1,4 +1,4 @@
-"""How far one model request has come."""
+"""The state of a model request while it is dispatched."""
 
 from dataclasses import dataclass, field
 
@@ -13,10 +13,10 @@
 
 @dataclass
 class Progress:
-    """State of one model request while it is dispatched.
+    """The state of one model request while it is dispatched.
 
-    ``held`` are tokens that wait to go on together, ``delivered`` those that went to the caller.
-    Times are seconds of the runtime's clock.
+    ``pending_tokens`` have been received but not yet passed to the caller, ``delivered`` have. The
+    request has failed on the groups in ``avoid``. Times are in seconds of Trio's clock.
     """
 
     request: ModelRequest
@@ -24,7 +24,7 @@
     tracker: AttemptTracker
     assembler: StreamAssembler
     arrived_s: float
-    held: list[str] = field(default_factory=list)
+    pending_tokens: list[str] = field(default_factory=list)
     delivered: list[str] = field(default_factory=list)
     avoid: set[GroupId] = field(default_factory=set)
     group: Group | None = None
@@ -34,16 +34,16 @@
     first_token_s: float | None = None
     last_token_s: float | None = None
 
-    def is_due(self, now_s: float, coalesce_s: float) -> bool:
-        """Tell whether the tokens held should go to the caller now."""
+    def should_flush(self, now_s: float, coalesce_s: float) -> bool:
+        """Return whether the pending tokens should go to the caller now."""
         if self.assembler.is_whole:
             return True
-        if not self.held:
+        if not self.pending_tokens:
             return False
         return self.last_token_s is None or now_s - self.last_token_s >= coalesce_s
 
     def observation(self, outcome: Outcome) -> Observation:
-        """Return the request as its experiment records it."""
+        """Return the observation of this request for its experiment."""
         first_s, last_s = self.first_token_s, self.last_token_s
         gaps = len(self.delivered) - 1
         first_ms = between_ms = None
--- a/yewloom/recovery.py
+++ b/yewloom/recovery.py
@@ -1,4 +1,4 @@
-"""What follows a failed call: the decision, its log line and metric, or the final problem."""
+"""Handles failed calls: decides on the next step, logs and counts it, or gives up."""
 
 import structlog
 import trio
@@ -18,7 +18,7 @@
     request: ModelRequest | ServiceRequest,
     metrics: Metrics,
 ) -> NextStep:
-    """Decide what follows a failed call; raises Problem if the request is given up."""
+    """Decide on the next step after a failed call; raise Problem if the request is given up."""
     step = tracker.on_failure(error.failure, trio.current_time(), request.deadline_s)
     logger.info(
         "call failed",
--- a/yewloom/retries.py
+++ b/yewloom/retries.py
@@ -1,7 +1,7 @@
-"""Retries: what a failed call to an endpoint means, and whether it may be sent again.
+"""Retries: the outcome of a failed call to an endpoint, and whether it may be sent again.
 
-Three outcomes and never a fourth: answered, not run, unknown. Not run is said only when it is
-known. An unsafe call is sent again only when it is known not to have run.
+A call has exactly one of three outcomes: answered, not run, or unknown. Not run is reported only if
+it is certain. An unsafe call is sent again only if it has certainly not run.
 """
 
 from dataclasses import dataclass
@@ -20,41 +20,41 @@
     ENDPOINT_ERROR = "endpoint_error"
 
 
-_KNOWN_NOT_RUN = {CallFailure.CONNECT, CallFailure.REFUSED}
+_NOT_RUN_FAILURES = {CallFailure.CONNECT, CallFailure.REFUSED}
 
 
 def outcome_of(failure: CallFailure) -> Outcome:
-    """Return what is known of a call after a failure."""
-    return Outcome.NOT_RUN if failure in _KNOWN_NOT_RUN else Outcome.UNKNOWN
+    """Return the outcome of a call that failed in this way."""
+    return Outcome.NOT_RUN if failure in _NOT_RUN_FAILURES else Outcome.UNKNOWN
 
 
 def may_repeat(outcome: Outcome, is_unsafe: bool) -> bool:
-    """Tell whether a call with this outcome may be sent again."""
+    """Return whether a call with this outcome may be sent again."""
     return outcome is Outcome.NOT_RUN or (outcome is Outcome.UNKNOWN and not is_unsafe)
 
 
 @dataclass
 class RetryBudget:
-    """Allows retries as a share of the successes, so that retries can't multiply an overload.
+    """Limits retries to a fraction of the successes, so that they cannot amplify an overload.
 
-    ``ratio`` retries are earned by each success; ``burst`` is the most that can be saved up.
+    Each success adds ``ratio`` retries to the budget, which holds ``burst`` at most.
     """
 
     ratio: float
     burst: float
 
     def __post_init__(self) -> None:
-        self._saved = self.burst
+        self._available = self.burst
 
     def on_success(self) -> None:
-        """Earn a part of a retry."""
-        self._saved = min(self.burst, self._saved + self.ratio)
+        """Add ``ratio`` retries to the budget."""
+        self._available = min(self.burst, self._available + self.ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget; tell whether there was one."""
-        if self._saved < 1:
+        """Take a retry from the budget; return whether one was available."""
+        if self._available < 1:
             return False
-        self._saved -= 1
+        self._available -= 1
         return True
 
 
@@ -67,13 +67,13 @@
 
 
 MAX_RESUMES = 2
-"""Tries to go on with one engine's stream before another group is asked."""
+"""Attempts to resume a stream on the same engine before another group is tried."""
 
 
 class AttemptTracker:
-    """Decides what follows each failed call of one request, and what its caller may be told.
+    """Decides on the next step after each failed call of a request, and tracks its outcome.
 
-    Once a call may have run, the request's outcome stays unknown, whatever later calls say.
+    Once a call may have run, the request's outcome stays unknown, however later calls fail.
     """
 
     def __init__(self, is_unsafe: bool, can_resume: bool, budget: RetryBudget) -> None:
@@ -83,19 +83,19 @@
         self._resumes = 0
         self.outcome = Outcome.NOT_RUN
 
-    def on_progress(self) -> None:
-        """Take in that tokens came, so that a later break is resumed afresh."""
+    def on_tokens_received(self) -> None:
+        """Note that the stream has advanced: resumes are counted anew, and the call has started."""
         self._resumes = 0
         self.outcome = Outcome.UNKNOWN
 
     def on_failure(self, failure: CallFailure, now_s: float, deadline_s: float) -> NextStep:
-        """Return the step after a failed call; times are seconds of one clock."""
+        """Return the next step after a failed call; both times are of the same clock."""
         if outcome_of(failure) is Outcome.UNKNOWN:
             self.outcome = Outcome.UNKNOWN
         if now_s >= deadline_s:
             return NextStep.GIVE_UP
-        is_cut = failure in (CallFailure.BROKEN, CallFailure.STALLED)
-        if is_cut and self._can_resume and self._resumes < MAX_RESUMES:
+        is_broken_stream = failure in (CallFailure.BROKEN, CallFailure.STALLED)
+        if is_broken_stream and self._can_resume and self._resumes < MAX_RESUMES:
             self._resumes += 1
             return NextStep.RESUME
         if not may_repeat(self.outcome, self._is_unsafe):
--- a/yewloom/routing.py
+++ b/yewloom/routing.py
@@ -1,8 +1,9 @@
-"""Routing: which open group or service endpoint gets a request.
+"""Routing: chooses the open group that a model request goes to.
 
-Reported load lags, so it is corrected by the requests that this entry host itself has in flight,
-and a few random candidates are compared, so that hosts with the same stale view do not all rush to
-one group. The group with the longest cached prefix is always compared too.
+Reported loads are out of date, so the requests that this entry host has sent since a report are
+added to it. Only a few random candidates are compared, so that entry hosts with the same stale
+reports do not all choose the same group. The group with the longest cached prefix is always among
+them.
 """
 
 import random
@@ -17,22 +18,24 @@
 from yewloom.validation import apply_defaults
 from yewloom.values import value_class
 
-CHARACTERS_A_TOKEN = 4
-BUSY_S = 0.03
-"""Penalty in seconds for a group whose places are all taken, so that load spreads before it queues.
+CHARACTERS_PER_TOKEN = 4
+FULL_LOAD_PENALTY_S = 0.03
+"""Penalty in seconds for a fully used group, so that load spreads before requests queue.
 
-Below the distance to another data centre: work leaves its own only when it would queue there.
+It is lower than ``REMOTE_PENALTY_S``, so that requests go to another data centre only if they would
+have to queue in the local one.
 """
 
-REMOTE_DISTANCE_S = 0.05
-"""Penalty in seconds for a group in another data centre, before its weight."""
+REMOTE_PENALTY_S = 0.05
+"""Penalty in seconds for a group in another data centre; ``distance_weight`` multiplies it."""
 
 
 @value_class
 class RouteRequest:
-    """What routing needs to know of a request.
+    """The properties of a request that routing depends on.
 
-    ``entry_hosts`` are those that see the same reports and send to the same groups.
+    ``avoid`` are groups on which the request has failed. ``entry_hosts`` is the number of entry
+    hosts that receive the same reports and send to the same groups.
     """
 
     model: ModelName
@@ -46,8 +49,9 @@
 class Candidate:
     """An open group as seen by one entry host.
 
-    ``reported`` counts running and waiting requests in the engine's last report; ``own_unreported``
-    those that this entry host sent since. ``matched_blocks`` is the cached part of the prompt.
+    ``reported`` is the number of running and waiting requests in the engine's last report, and
+    ``own_unreported`` the number that this entry host has sent since. ``matched_blocks`` is the
+    number of leading blocks of the prompt that the engine has cached.
     """
 
     group_id: GroupId
@@ -58,33 +62,36 @@
     matched_blocks: int
 
     def load(self, entry_hosts: int) -> int:
-        """Requests that the group is believed to hold, if others sent as many as this one."""
+        """Estimate the requests in the group.
+
+        Assumes that every other entry host has sent as many unreported requests as this one.
+        """
         return self.reported + self.own_unreported * entry_hosts
 
 
 @value_class
 class Route:
-    """The chosen group and why, for the log."""
+    """The chosen group, and the reason for the log."""
 
     group_id: GroupId
     reason: str
 
 
 def default_routing() -> ScoreRouting:
-    """Return the routing of a policy that names none."""
+    """Return the routing used for policies that do not specify one."""
     routing = ScoreRouting()
     apply_defaults(routing)
     return routing
 
 
 class TurnCounter:
-    """Counts turns for round-robin routing."""
+    """The counter of round-robin routing."""
 
     def __init__(self) -> None:
         self._turn = 0
 
     def next_turn(self) -> int:
-        """Return the number of this turn and go on to the next."""
+        """Increment the counter and return it."""
         self._turn += 1
         return self._turn
 
@@ -96,9 +103,9 @@
     rng: random.Random,
     turns: TurnCounter,
 ) -> Route | None:
-    """Choose a group for a request, or none if no group is open.
+    """Choose a group for a request; return None if there are no candidates.
 
-    Groups that the request already failed on are chosen only if there is no other.
+    Groups on which the request has failed are chosen only if there is no other.
     """
     fresh = [c for c in candidates if c.group_id not in request.avoid]
     usable = sorted(fresh or candidates, key=lambda candidate: candidate.group_id)
@@ -149,30 +156,35 @@
     turns: TurnCounter,
 ) -> Route:
     compared = _sample(policy, candidates, request.data_centre, rng)
-    scored = [(estimate_s(policy, request, c), c.group_id, c) for c in compared]
+    scored = [(estimate_first_token_s(policy, request, c), c.group_id, c) for c in compared]
     cost_s, _, chosen = min(scored)
     load = chosen.load(request.entry_hosts)
     return Route(
         chosen.group_id,
-        f"score {cost_s * 1000:.0f} ms of {len(compared)} compared, "
+        f"estimated {cost_s * 1000:.0f} ms, longest_match of {len(compared)} compared, "
         f"load {load}/{chosen.capacity}, {chosen.matched_blocks} blocks cached",
     )
 
 
-def estimate_s(policy: ScoreRouting, request: RouteRequest, candidate: Candidate) -> float:
-    """Estimate the time to the first token in seconds: queue, prefill left, load and distance."""
+def estimate_first_token_s(
+    policy: ScoreRouting, request: RouteRequest, candidate: Candidate
+) -> float:
+    """Estimate the time to the first token, plus penalties for load and distance.
+
+    The estimate consists of the wait in the engine's queue and the prefill of uncached tokens.
+    """
     capacity = max(candidate.capacity, 1)
     load = candidate.load(request.entry_hosts)
     queued = max(0, load + 1 - capacity)
-    busy = min(load / capacity, 1.0)
-    prompt_tokens = request.prompt_characters / CHARACTERS_A_TOKEN
-    cached_tokens = candidate.matched_blocks * BLOCK_CHARACTERS / CHARACTERS_A_TOKEN
-    left_tokens = prompt_tokens - policy.prefix_weight * cached_tokens
-    prefill_s = left_tokens * policy.prefill_us_a_token / 1_000_000
+    utilization = min(load / capacity, 1.0)
+    prompt_tokens = request.prompt_characters / CHARACTERS_PER_TOKEN
+    cached_tokens = candidate.matched_blocks * BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN
+    uncached_tokens = prompt_tokens - policy.prefix_weight * cached_tokens
+    prefill_s = uncached_tokens * policy.prefill_us_a_token / 1_000_000
     remote = candidate.data_centre != request.data_centre
-    distance_s = policy.distance_weight * REMOTE_DISTANCE_S if remote else 0.0
+    distance_s = policy.distance_weight * REMOTE_PENALTY_S if remote else 0.0
     queue_s = queued / capacity * policy.service_time_ms / 1000
-    return queue_s + prefill_s + busy * BUSY_S + distance_s
+    return queue_s + prefill_s + utilization * FULL_LOAD_PENALTY_S + distance_s
 
 
 def _sample(
@@ -181,13 +193,13 @@
     data_centre: DataCentreId,
     rng: random.Random,
 ) -> list[Candidate]:
-    """Return some random local groups, one remote one, and the one with the longest prefix."""
+    """Return random local groups, a random remote one, and the one with the longest prefix."""
     local = [c for c in candidates if c.data_centre == data_centre]
     remote = [c for c in candidates if c.data_centre != data_centre]
     compared = rng.sample(local, min(max(policy.choices, 1), len(local))) + rng.sample(
         remote, min(1, len(remote))
     )
-    best = max(candidates, key=lambda candidate: candidate.matched_blocks)
-    if best.matched_blocks and best not in compared:
-        compared.append(best)
+    longest_match = max(candidates, key=lambda candidate: candidate.matched_blocks)
+    if longest_match.matched_blocks and longest_match not in compared:
+        compared.append(longest_match)
     return compared
--- a/yewloom/service_dispatch.py
+++ b/yewloom/service_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of calls to plain services, of which some may not be repeated."""
+"""Dispatch of calls to plain services; unsafe calls are not retried if they may have run."""
 
 import structlog
 import trio
@@ -18,7 +18,7 @@
 
 
 class ServiceDispatcher:
-    """Dispatches the calls of plain services at one entry host."""
+    """Dispatches the calls to plain services of one entry host."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._budget = budget
 
     async def call_service(self, request: ServiceRequest) -> HttpAnswer:
-        """Return a plain service's answer; raises Problem if there is none."""
+        """Return a plain service's answer; raise Problem if there is none."""
         share = self._share_of(request.customer, request.customer_row)
         arrival = to_arrival(request, 1.0, share, trio.current_time())
         async with self._places.hold(arrival):
@@ -61,9 +61,9 @@
     def _choose_service(
         self, request: ServiceRequest, avoid: set[HostId], outcome: Outcome
     ) -> tuple[HostId, str]:
-        """Choose a plain service's endpoint, a local one if there is one."""
-        open_now = self._node.fleet.open_services(request.service, trio.current_time())
-        usable = [entry for entry in open_now if entry[1].host_id not in avoid]
+        """Choose a random open endpoint of a service, preferring the local data centre."""
+        open_endpoints = self._node.fleet.open_services(request.service, trio.current_time())
+        usable = [entry for entry in open_endpoints if entry[1].host_id not in avoid]
         local = [entry for entry in usable if entry[0] == self._node.data_centre]
         if not usable:
             raise unavailable(f"No endpoint of {request.service} is open now.", outcome)
--- a/yewloom/tests/test_dispatch.py
+++ b/yewloom/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Tests of dispatch: whole answers, honest outcomes, at most one run of an unsafe request."""
+"""Tests of dispatch: complete answers, true outcomes, at most one run of an unsafe request."""
 
 import random
 import unittest
@@ -60,10 +60,10 @@
 
 
 def _node(groups: int) -> Node:
-    """Return an entry host that sees so many open groups and two service endpoints."""
+    """Return an entry host with so many placed_groups groups and two service endpoints."""
     node = build_node(_settings(), random.Random(1), 1)
     node.table.apply(VersionedRow(name="policy/p", version=1, row=Row(policy=make_policy())))
-    placed = [
+    placed_groups = [
         Group(
             id=f"g{i}",
             policy="p",
@@ -76,12 +76,12 @@
     ]
     services = [ServiceEndpoint(service="s", host_id=f"s{i}", address=f"s{i}:1") for i in range(2)]
     node.fleet.apply_placement(
-        Placement(data_centre="hall-a", generation=1, groups=placed, services=services)
+        Placement(data_centre="hall-a", generation=1, groups=placed_groups, services=services)
     )
     return node
 
 
-def _see_all(node: Node) -> None:
+def _report_all(node: Node) -> None:
     now_s = trio.current_time()
     for _, group in list(node.fleet.groups()):
         report = HostReport(
@@ -100,8 +100,8 @@
     ended_s: float
 
 
-class _Trial:
-    """One dispatcher over fake engines; runs on the mock clock."""
+class _Harness:
+    """A dispatcher with fake engines, run on the mock clock."""
 
     def __init__(self, engines: FakeEngines, groups: int = 2, places: int = 8) -> None:
         self.engines = engines
@@ -120,15 +120,15 @@
             self.node, self.places, self.engines, _share_of, RetryBudget(0.1, 10)
         )
 
-    async def keep_seeing(self) -> None:
+    async def report_periodically(self) -> None:
         while True:
-            _see_all(self.node)
+            _report_all(self.node)
             await trio.sleep(0.2)
 
     def generate(self, is_unsafe: bool = False) -> _Result:
         async def scenario() -> _Result:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.keep_seeing)
+                nursery.start_soon(self.report_periodically)
                 await trio.sleep(0.01)
                 tokens: list[str] = []
                 problem = None
@@ -161,7 +161,7 @@
 
 
 class TestGenerate(unittest.TestCase):
-    """Model requests, with any faults one after the other."""
+    """Model requests under any sequence of faults."""
 
     @settings(max_examples=200)
     @given(st.lists(st.sampled_from(list(CallFault)), max_size=8), st.booleans())
@@ -169,7 +169,7 @@
         self, faults: list[CallFault], is_unsafe: bool
     ) -> None:
         engines = FakeEngines(ANSWER, faults)
-        result = _Trial(engines).generate(is_unsafe)
+        result = _Harness(engines).generate(is_unsafe)
         self.assertEqual(result.tokens, ANSWER[: len(result.tokens)])
         if result.problem is None:
             self.assertEqual(result.tokens, ANSWER)
@@ -180,51 +180,51 @@
 
     def test_a_broken_stream_is_resumed_where_it_broke(self) -> None:
         engines = FakeEngines(ANSWER, [CallFault.BREAK_LATER, CallFault.BREAK_LATER])
-        result = _Trial(engines).generate(is_unsafe=True)
+        result = _Harness(engines).generate(is_unsafe=True)
         self.assertEqual(result.tokens, ANSWER)
         self.assertEqual(engines.runs["r1"], 1)
 
-    def test_a_lost_replica_is_followed_by_another_group(self) -> None:
+    def test_a_request_moves_to_another_group_after_a_replica_is_lost(self) -> None:
         engines = FakeEngines(ANSWER, [CallFault.LOSE_STATE])
-        result = _Trial(engines).generate()
+        result = _Harness(engines).generate()
         self.assertEqual(result.tokens, ANSWER)
         self.assertEqual(engines.runs["r1"], 2)
 
-    def test_an_unsafe_request_on_a_lost_replica_is_told_as_unknown(self) -> None:
+    def test_an_unsafe_request_on_a_lost_replica_has_an_unknown_outcome(self) -> None:
         engines = FakeEngines(ANSWER, [CallFault.LOSE_STATE])
-        result = _Trial(engines).generate(is_unsafe=True)
+        result = _Harness(engines).generate(is_unsafe=True)
         assert result.problem is not None
         self.assertEqual(result.problem.outcome, Outcome.UNKNOWN)
 
-    def test_a_request_given_up_is_answered_at_once_with_the_time_to_come_back(self) -> None:
+    def test_a_request_given_up_is_answered_immediately_with_retry_after(self) -> None:
         engines = FakeEngines(ANSWER, [CallFault.FAIL])
-        result = _Trial(engines).generate(is_unsafe=True)
+        result = _Harness(engines).generate(is_unsafe=True)
         assert result.problem is not None
         self.assertLess(result.ended_s, 0.5)
         self.assertIsNotNone(result.problem.retry_after_s)
 
-    def test_no_open_group_is_told_as_not_run_at_once(self) -> None:
-        result = _Trial(FakeEngines(ANSWER), groups=0).generate()
+    def test_without_an_open_group_not_run_is_reported_immediately(self) -> None:
+        result = _Harness(FakeEngines(ANSWER), groups=0).generate()
         assert result.problem is not None
         self.assertEqual(result.problem.outcome, Outcome.NOT_RUN)
         self.assertLess(result.ended_s, 0.5)
 
     def test_retries_stop_when_the_budget_is_spent(self) -> None:
         engines = FakeEngines(ANSWER, [CallFault.REFUSE] * 100)
-        result = _Trial(engines).generate()
+        result = _Harness(engines).generate()
         assert result.problem is not None
         self.assertGreater(len(engines.faults), 80)
         self.assertEqual(result.problem.outcome, Outcome.NOT_RUN)
 
-    def test_a_caller_that_goes_has_its_stream_cancelled_after_the_grace(self) -> None:
+    def test_the_stream_of_a_disconnected_caller_is_cancelled_after_the_grace_period(self) -> None:
         engines = FakeEngines(ANSWER)
-        trial = _Trial(engines)
+        harness = _Harness(engines)
 
         async def scenario() -> tuple[int, int]:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(trial.keep_seeing)
+                nursery.start_soon(harness.report_periodically)
                 await trio.sleep(0.01)
-                async with aclosing(trial.dispatcher(nursery).generate(_request())) as stream:
+                async with aclosing(harness.dispatcher(nursery).generate(_request())) as stream:
                     await anext(stream)
                 await trio.sleep(0.5)
                 before = len(engines.cancelled)
@@ -233,20 +233,20 @@
             return before, len(engines.cancelled)
 
         self.assertEqual(run_on_mock_clock(scenario), (0, 1))
-        self.assertEqual(trial.places.admission.in_flight, 0)
+        self.assertEqual(harness.places.admission.in_flight, 0)
 
     def test_a_stream_is_resumed_at_another_entry_host(self) -> None:
         engines = FakeEngines(ANSWER)
         engines.running.add(("h1:1", "r0"))
-        trial = _Trial(engines)
+        harness = _Harness(engines)
 
         async def scenario() -> list[str]:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(trial.keep_seeing)
+                nursery.start_soon(harness.report_periodically)
                 await trio.sleep(0.01)
-                group = next(g for _, g in trial.node.fleet.groups() if g.id == "g1")
+                group = next(g for _, g in harness.node.fleet.groups() if g.id == "g1")
                 position = StreamPosition(group.id, 1, RequestId("r0"), 2)  # type: ignore[arg-type]
-                stream = trial.dispatcher(nursery).resume(_request(), position)
+                stream = harness.dispatcher(nursery).resume(_request(), position)
                 tokens = [token async for part in stream for token in part.tokens]
                 nursery.cancel_scope.cancel()
             return tokens
@@ -256,7 +256,7 @@
 
 
 class TestCallService(unittest.TestCase):
-    """Plain services, whose unsafe calls may not be repeated."""
+    """Calls to plain services, of which unsafe ones may not be repeated."""
 
     @settings(max_examples=100)
     @given(st.lists(st.sampled_from(list(CallFault)), max_size=5), st.booleans())
@@ -264,11 +264,11 @@
         self, faults: list[CallFault], is_unsafe: bool
     ) -> None:
         engines = FakeEngines(ANSWER, faults)
-        trial = _Trial(engines)
+        harness = _Harness(engines)
 
         async def scenario() -> Outcome:
             async with trio.open_nursery():
-                _see_all(trial.node)
+                _report_all(harness.node)
                 request = ServiceRequest(
                     request_id=RequestId("r"),
                     customer=CustomerId("c"),
@@ -279,7 +279,7 @@
                     is_unsafe=is_unsafe,
                 )
                 try:
-                    await trial.service_dispatcher().call_service(request)
+                    await harness.service_dispatcher().call_service(request)
                 except Problem as problem:
                     return problem.outcome
                 return Outcome.ANSWERED
--- a/yewloom/tests/test_retries.py
+++ b/yewloom/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retries: what is known after failures, and how many are allowed."""
+"""Tests of retries: the outcome after failures, and the retry budget."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    """Retries as a share of successes."""
+    """Retries are limited to a fraction of the successes."""
 
     @given(st.lists(st.booleans(), max_size=200))
     def test_retries_never_exceed_the_burst_and_the_share_of_successes(
@@ -36,7 +36,7 @@
 
 
 class TestAttemptTracker(unittest.TestCase):
-    """The step after each failure, and what may be told."""
+    """The next step and the outcome after each failure."""
 
     @given(st.lists(st.sampled_from(list(CallFailure)), min_size=1, max_size=12), st.booleans())
     def test_not_run_is_told_only_while_no_call_may_have_run(
@@ -51,7 +51,7 @@
             if may_have_run:
                 self.assertIsNot(step, NextStep.REROUTE)
 
-    def test_a_stream_is_resumed_a_few_times_before_another_group_is_asked(self) -> None:
+    def test_a_stream_is_resumed_a_few_times_before_another_group_is_tried(self) -> None:
         tracker = AttemptTracker(False, True, RetryBudget(0.1, 10))
         steps = [tracker.on_failure(CallFailure.BROKEN, 0.0, 9.0) for _ in range(MAX_RESUMES + 1)]
         self.assertEqual(steps, [NextStep.RESUME] * MAX_RESUMES + [NextStep.REROUTE])
--- a/yewloom/tests/test_routing.py
+++ b/yewloom/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routing and of the prefix index that it uses."""
+"""Tests of routing and of the prefix index."""
 
 import random
 import unittest
@@ -13,70 +13,72 @@
 from yewloom.schema.table_pb2 import LeastLoadRouting, RoundRobinRouting
 
 SCORE = default_routing()
-HERE, THERE = DataCentreId("a"), DataCentreId("b")
+LOCAL, REMOTE = DataCentreId("a"), DataCentreId("b")
 GROUP = GroupId("g")
 
 
 def _candidate(
-    name: str, load: int = 0, own: int = 0, blocks: int = 0, place: DataCentreId = HERE
+    name: str, load: int = 0, own: int = 0, blocks: int = 0, place: DataCentreId = LOCAL
 ) -> Candidate:
     return Candidate(GroupId(name), place, load, 8, own, blocks)
 
 
 def _choose(policy: object, candidates: list[Candidate], avoid: str = "") -> str | None:
-    request = RouteRequest(ModelName("m"), HERE, 4000, frozenset({GroupId(avoid)}))
+    request = RouteRequest(ModelName("m"), LOCAL, 4000, frozenset({GroupId(avoid)}))
     route = choose_group(policy, request, candidates, random.Random(1), TurnCounter())  # type: ignore[arg-type]
     return route.group_id if route is not None else None
 
 
 class TestChooseGroup(unittest.TestCase):
-    """Which group gets a request."""
+    """The choice of a group for a request."""
 
-    def test_no_group_gives_no_route(self) -> None:
+    def test_no_candidates_give_no_route(self) -> None:
         self.assertIsNone(_choose(SCORE, []))
 
     def test_the_less_loaded_of_two_is_chosen(self) -> None:
         self.assertEqual(_choose(SCORE, [_candidate("x", load=20), _candidate("y")]), "y")
 
-    def test_own_requests_count_before_the_report_tells_of_them(self) -> None:
+    def test_own_requests_count_before_they_are_reported(self) -> None:
         self.assertEqual(_choose(SCORE, [_candidate("x", own=20), _candidate("y", load=9)]), "y")
 
-    def test_a_cached_prefix_draws_a_request(self) -> None:
+    def test_a_group_with_a_cached_prefix_is_preferred(self) -> None:
         self.assertEqual(_choose(SCORE, [_candidate("x"), _candidate("y", blocks=40)]), "y")
 
-    def test_a_full_group_loses_a_request_though_it_has_the_prefix(self) -> None:
-        busy = _candidate("y", load=30, blocks=40)
-        self.assertEqual(_choose(SCORE, [_candidate("x"), busy]), "x")
+    def test_a_full_group_is_not_chosen_for_its_cached_prefix(self) -> None:
+        full = _candidate("y", load=30, blocks=40)
+        self.assertEqual(_choose(SCORE, [_candidate("x"), full]), "x")
 
-    def test_a_local_group_is_chosen_until_it_is_crowded(self) -> None:
-        remote = _candidate("y", place=THERE)
+    def test_a_local_group_is_chosen_until_requests_would_queue(self) -> None:
+        remote = _candidate("y", place=REMOTE)
         self.assertEqual(_choose(SCORE, [_candidate("x", load=4), remote]), "x")
         self.assertEqual(_choose(SCORE, [_candidate("x", load=24), remote]), "y")
 
     def test_a_group_that_failed_is_avoided_unless_it_is_the_only_one(self) -> None:
-        both = [_candidate("x"), _candidate("y", load=30)]
-        self.assertEqual(_choose(SCORE, both, avoid="x"), "y")
-        self.assertEqual(_choose(SCORE, both[:1], avoid="x"), "x")
+        candidates = [_candidate("x"), _candidate("y", load=30)]
+        self.assertEqual(_choose(SCORE, candidates, avoid="x"), "y")
+        self.assertEqual(_choose(SCORE, candidates[:1], avoid="x"), "x")
 
-    def test_the_baselines_do_as_they_are_named(self) -> None:
-        both = [_candidate("x", load=9, own=0), _candidate("y", load=3, own=30)]
-        self.assertEqual(_choose(LeastLoadRouting(), both), "y")
+    def test_least_load_and_round_robin_ignore_unreported_requests(self) -> None:
+        candidates = [_candidate("x", load=9, own=0), _candidate("y", load=3, own=30)]
+        self.assertEqual(_choose(LeastLoadRouting(), candidates), "y")
         turns, rng = TurnCounter(), random.Random(1)
-        request = RouteRequest(ModelName("m"), HERE, 0)
-        routes = [choose_group(RoundRobinRouting(), request, both, rng, turns) for _ in range(4)]
+        request = RouteRequest(ModelName("m"), LOCAL, 0)
+        routes = [
+            choose_group(RoundRobinRouting(), request, candidates, rng, turns) for _ in range(4)
+        ]
         self.assertEqual([r.group_id for r in routes if r], ["y", "x", "y", "x"])
 
     @given(st.lists(st.integers(0, 40), min_size=1, max_size=12), st.integers(0, 99))
     def test_the_choice_is_always_a_candidate(self, loads: list[int], seed: int) -> None:
         candidates = [_candidate(str(i), load) for i, load in enumerate(loads)]
-        request = RouteRequest(ModelName("m"), HERE, 100)
+        request = RouteRequest(ModelName("m"), LOCAL, 100)
         route = choose_group(SCORE, request, candidates, random.Random(seed), TurnCounter())
         assert route is not None
         self.assertIn(route.group_id, {c.group_id for c in candidates})
 
 
 class TestPrefixIndex(unittest.TestCase):
-    """Cache events that come late and with gaps."""
+    """Cache events that are late or lost."""
 
     def test_equal_prefixes_have_equal_hashes(self) -> None:
         prompt = "x" * (3 * BLOCK_CHARACTERS)
@@ -87,7 +89,10 @@
     def test_after_any_gap_no_removed_block_is_believed_cached(
         self, order: list[int], lost: set[int]
     ) -> None:
-        """Block 1 enters first and leaves with event 4; what is claimed after must be true."""
+        """Guards against matching evicted blocks when events are lost or reordered.
+
+        Event 1 adds block 1 and event 4 removes it.
+        """
         events = {
             number: CacheEvent(sequence=number, added=[number], removed=[1] if number == 4 else [])
             for number in range(1, 7)
