--- a/tools/mutations_limits.py
+++ b/tools/mutations_limits.py
@@ -27,7 +27,7 @@
     Mutation(
         "named limits: few hosts send to an endpoint",
         "endpoint_limits",
-        "senders = min(len(hosts), int(at_once))",
+        "senders = min(len(hosts), int(total_burst))",
         "senders = len(hosts)",
         "test_endpoint_limits",
     ),
@@ -41,14 +41,14 @@
     Mutation(
         "named limits: an older word of a peer changes nothing",
         "endpoint_limits",
-        "if known is None else said_s > known.said_s",
+        "if known is None else announced_s > known.announced_s",
         "if known is None else True",
         "test_endpoint_limits",
     ),
     Mutation(
         "named limits: hosts that have not heard one learn of it",
         "limit_messages",
-        "self._limits.take(_word(message), came_s)",
+        "self._limits.apply(_from_message(message), came_s)",
         "pass",
         "test_peer_reports",
     ),
--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -238,15 +238,15 @@
     Mutation(
         "limits: a loan counts at the lender",
         "limits",
-        "kept = self._own_part(customer) - _sum(self._lent, customer, now_s)",
-        "kept = self._own_part(customer)",
+        "kept = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)",
+        "kept = self._own_limit(customer)",
         "test_limits",
     ),
     Mutation(
         "limits: the borrower counts from before it asked",
         "limits",
-        "transfer = _Transfer(loan.amount, asked_s + loan.duration_ms / 1000)",
-        "transfer = _Transfer(loan.amount, asked_s + 2 * loan.duration_ms / 1000)",
+        "active_loan = _ActiveLoan(loan.amount, asked_s + loan.duration_ms / 1000)",
+        "active_loan = _ActiveLoan(loan.amount, asked_s + 2 * loan.duration_ms / 1000)",
         "test_limits",
     ),
     Mutation(
--- a/yewloom/limit_messages.py
+++ b/yewloom/limit_messages.py
@@ -1,34 +1,34 @@
-"""What entry hosts tell each other of the limits that endpoints name, as messages."""
+"""Converts the limits that endpoints announce to and from messages between entry hosts."""
 
 import math
 
-from yewloom.endpoint_limits import EndpointLimits, LimitWord
+from yewloom.endpoint_limits import EndpointLimits, LimitReport
 from yewloom.ids import HostId
 from yewloom.schema.entry_pb2 import EntryState, NamedLimit
 
 
 class LimitMessages:
-    """Adds to a message what endpoints told this host, and takes in what they told peers."""
+    """Adds limits announced to this host to messages, and applies those in peers' messages."""
 
     def __init__(self, limits: EndpointLimits) -> None:
         self._limits = limits
 
     def write(self, state: EntryState, now_s: float) -> None:
-        """Add the limits to a message; usually there are none."""
+        """Add the recently announced limits to a message; usually there are none."""
         if self._limits.has_any:
-            state.limits.extend(_message(word) for word in self._limits.words(now_s))
+            state.limits.extend(_to_message(report) for report in self._limits.reports(now_s))
 
     def take(self, state: EntryState, came_s: float, now_s: float) -> None:
-        """Take in a message that came at ``came_s`` at the earliest."""
+        """Apply a message that was received no earlier than ``came_s``."""
         for message in state.limits:
-            self._limits.take(_word(message), came_s)
+            self._limits.apply(_from_message(message), came_s)
 
 
-def _message(word: LimitWord) -> NamedLimit:
-    age_ms = max(0, math.ceil(word.age_s * 1000))
-    return NamedLimit(endpoint=word.endpoint, per_s=word.per_s, age_ms=age_ms)
+def _to_message(report: LimitReport) -> NamedLimit:
+    age_ms = max(0, math.ceil(report.age_s * 1000))
+    return NamedLimit(endpoint=report.endpoint, per_s=report.per_s, age_ms=age_ms)
 
 
-def _word(message: NamedLimit) -> LimitWord:
+def _from_message(message: NamedLimit) -> LimitReport:
     per_s = message.per_s if message.HasField("per_s") else None
-    return LimitWord(HostId(message.endpoint), per_s, message.age_ms / 1000)
+    return LimitReport(HostId(message.endpoint), per_s, message.age_ms / 1000)
--- a/yewloom/limits.py
+++ b/yewloom/limits.py
@@ -1,16 +1,19 @@
-"""Limits of customers, shared among entry hosts and never exceeded in sum, also when parted.
-
-A limit is divided among the data centres by a fixed rule, so that regions need not agree. Within a
-data centre one platform record grants each entry host a part. A part is lowered in two steps: the
-record sets a lower target, and only when the host has said that it obeys it may another get the
-difference. Between changes of the record, hosts lend each other what they do not use, for a time
-that the borrower counts from before it asked and the lender from when it answered.
-
-A host keeps its part until the platform's list no longer shows the host, or until a later process
-of the same host is heard of: silence alone proves nothing, and the platform's word is the only one
-that all go by. So a platform outage or a cut changes no part, and what a dead host held lies idle
-until the list tells.
-Times are seconds of the caller's monotonic clock.
+"""Customer limits, divided among entry hosts so that their sum never exceeds the limit.
+
+This also holds during a network partition. A limit is divided among the data centres by a fixed
+rule, so that they need no agreement. Within a data centre a record in the platform grants each
+entry host a share. A share is lowered in two steps: the record sets a lower target, and the
+difference is granted to another host only after the first one has confirmed that it obeys the
+target. Between changes of the record, hosts lend each other the capacity that they do not use. The
+borrower counts the duration of a loan from before its request, the lender from its answer, so the
+lender never takes the capacity back too early.
+
+A host keeps its share until the platform no longer lists it, or until a later process of the same
+host is seen. Missing messages alone do not prove that a host has stopped, and the platform's list
+is the only source that all hosts share. So a platform outage or a network partition changes no
+share, and the share of a host that has died stays unused until the host is removed from the list.
+
+Times are in seconds of the caller's monotonic clock.
 """
 
 from collections import defaultdict
@@ -21,45 +24,45 @@
 from yewloom.schema.records_pb2 import CustomerShare, ShareHolder, Shares
 from yewloom.values import value_class
 
-LEAST_USABLE = 2
-"""Requests of each customer that an entry host asks to be lent even before it needs them."""
+MIN_USABLE = 2
+"""Requests per customer that an entry host borrows capacity for even before it needs it."""
 
-_LENT_PART = 0.5
-"""Part of what a host does not use that it lends at once."""
+_LENT_FRACTION = 0.5
+"""Fraction of the unused capacity that a host lends per request for a loan."""
 
 
 def part_of(limit: int, data_centre: DataCentreId, data_centres: Sequence[str]) -> int:
-    """Return a data centre's part of a limit; the parts add up to the limit."""
+    """Return a data centre's share of a limit; the shares add up to the limit."""
     if data_centre not in data_centres:
         return 0
-    whole, rest = divmod(limit, len(data_centres))
-    return whole + (data_centres.index(data_centre) < rest)
+    quotient, remainder = divmod(limit, len(data_centres))
+    return quotient + (data_centres.index(data_centre) < remainder)
 
 
 @value_class
-class _Transfer:
+class _ActiveLoan:
     amount: int
     until_s: float
 
 
 class ShareBook:
-    """What one entry host may use of each limit: its part, less loans given, plus loans taken."""
+    """The capacity that one entry host may use: its shares, minus loans given, plus loans taken."""
 
     def __init__(self, instance: str, loan_s: float) -> None:
         self.instance = instance
         self._loan_s = loan_s
         self._shares = Shares()
-        self._lent: dict[CustomerId, list[_Transfer]] = {}
-        self._borrowed: dict[CustomerId, list[_Transfer]] = {}
-        self._obeyed = 0
+        self._lent: dict[CustomerId, list[_ActiveLoan]] = {}
+        self._borrowed: dict[CustomerId, list[_ActiveLoan]] = {}
+        self._obeyed_generation = 0
 
     @property
     def shares(self) -> Shares:
-        """The newest record known."""
+        """The newest known record."""
         return self._shares
 
     def apply(self, shares: Shares) -> bool:
-        """Take in the record if it is newer; tell whether it was."""
+        """Apply the record if it is newer; return whether it was."""
         if shares.generation <= self._shares.generation:
             return False
         self._shares = shares
@@ -67,8 +70,8 @@
 
     def usable(self, customer: CustomerId, now_s: float) -> int:
         """Return how many requests of a customer may be in progress here."""
-        kept = self._own_part(customer) - _sum(self._lent, customer, now_s)
-        return max(0, kept) + _sum(self._borrowed, customer, now_s)
+        kept = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)
+        return max(0, kept) + _sum_current(self._borrowed, customer, now_s)
 
     def state(
         self,
@@ -76,48 +79,53 @@
         demand: Mapping[CustomerId, int],
         now_s: float,
     ) -> ShareState:
-        """Return what the other side of an exchange should know; ``demand`` is what is needed."""
-        if self._obeys(in_flight, now_s):
-            self._obeyed = self._shares.generation
+        """Return the state that is sent to other entry hosts.
+
+        ``demand`` is the number of requests that each customer needs capacity for.
+        """
+        if self._meets_targets(in_flight, now_s):
+            self._obeyed_generation = self._shares.generation
         return ShareState(
             instance=self.instance,
-            obeyed_generation=self._obeyed,
-            demands=list(self._lacks(demand, now_s)),
+            obeyed_generation=self._obeyed_generation,
+            demands=list(self._shortfalls(demand, now_s)),
         )
 
-    def _lacks(self, demand: Mapping[CustomerId, int], now_s: float) -> Iterable[CustomerDemand]:
+    def _shortfalls(
+        self, demand: Mapping[CustomerId, int], now_s: float
+    ) -> Iterable[CustomerDemand]:
         for customer, needed in demand.items():
             usable = self.usable(customer, now_s)
-            lack = max(needed, LEAST_USABLE) - usable
-            if lack > 0:
-                yield CustomerDemand(customer=customer, demand=lack)
+            shortfall = max(needed, MIN_USABLE) - usable
+            if shortfall > 0:
+                yield CustomerDemand(customer=customer, demand=shortfall)
 
     def lend(
-        self, asked: ShareState, in_flight: Mapping[CustomerId, int], now_s: float
+        self, peer_state: ShareState, in_flight: Mapping[CustomerId, int], now_s: float
     ) -> list[Loan]:
-        """Lend an entry host what it lacks and this one does not use."""
-        if asked.instance == self.instance:
+        """Lend another entry host capacity that it lacks and this one does not use."""
+        if peer_state.instance == self.instance:
             return []
         loans = []
-        for entry in asked.demands:
+        for entry in peer_state.demands:
             customer = CustomerId(entry.customer)
-            spare = self._own_part(customer) - _sum(self._lent, customer, now_s)
+            spare = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)
             spare -= in_flight.get(customer, 0)
-            amount = min(int(spare * _LENT_PART), entry.demand)
+            amount = min(int(spare * _LENT_FRACTION), entry.demand)
             if amount > 0:
-                transfer = _Transfer(amount, now_s + self._loan_s)
-                self._lent.setdefault(customer, []).append(transfer)
+                active_loan = _ActiveLoan(amount, now_s + self._loan_s)
+                self._lent.setdefault(customer, []).append(active_loan)
                 duration_ms = round(self._loan_s * 1000)
                 loans.append(Loan(customer=customer, amount=amount, duration_ms=duration_ms))
         return loans
 
     def borrow(self, loans: Iterable[Loan], asked_s: float) -> None:
-        """Take in what a peer lent; ``asked_s`` is from before it was asked."""
+        """Add the loans of a peer; ``asked_s`` is the time before they were requested."""
         for loan in loans:
-            transfer = _Transfer(loan.amount, asked_s + loan.duration_ms / 1000)
-            self._borrowed.setdefault(CustomerId(loan.customer), []).append(transfer)
+            active_loan = _ActiveLoan(loan.amount, asked_s + loan.duration_ms / 1000)
+            self._borrowed.setdefault(CustomerId(loan.customer), []).append(active_loan)
 
-    def _own_part(self, customer: CustomerId) -> int:
+    def _own_limit(self, customer: CustomerId) -> int:
         for share in self._own_shares():
             if share.customer == customer:
                 return min(share.granted, share.target)
@@ -128,56 +136,62 @@
             if holder.instance == self.instance:
                 yield from holder.shares
 
-    def _obeys(self, in_flight: Mapping[CustomerId, int], now_s: float) -> bool:
-        """Tell whether what runs here and what is lent fits the newest targets."""
+    def _meets_targets(self, in_flight: Mapping[CustomerId, int], now_s: float) -> bool:
+        """Return whether requests in progress plus loans given fit the newest targets."""
         targets = {CustomerId(share.customer): share.target for share in self._own_shares()}
         customers = set(in_flight) | set(self._lent)
         return all(
-            in_flight.get(customer, 0) + _sum(self._lent, customer, now_s)
-            <= targets.get(customer, 0) + _sum(self._borrowed, customer, now_s)
+            in_flight.get(customer, 0) + _sum_current(self._lent, customer, now_s)
+            <= targets.get(customer, 0) + _sum_current(self._borrowed, customer, now_s)
             for customer in customers
         )
 
 
-def _sum(book: dict[CustomerId, list[_Transfer]], customer: CustomerId, now_s: float) -> int:
-    """Sum up the loans of a customer that have not run out, and forget those that have."""
-    current = [transfer for transfer in book.get(customer, []) if transfer.until_s > now_s]
-    if customer in book:
-        book[customer] = current
-    return sum(transfer.amount for transfer in current)
+def _sum_current(
+    loans_by_customer: dict[CustomerId, list[_ActiveLoan]], customer: CustomerId, now_s: float
+) -> int:
+    """Return the sum of a customer's current loans; drop expired ones."""
+    current = [
+        active_loan
+        for active_loan in loans_by_customer.get(customer, [])
+        if active_loan.until_s > now_s
+    ]
+    if customer in loans_by_customer:
+        loans_by_customer[customer] = current
+    return sum(active_loan.amount for active_loan in current)
 
 
 def plan_shares(
     current: Shares,
-    parts: Mapping[CustomerId, int],
+    limits: Mapping[CustomerId, int],
     alive: Collection[str],
     gone: Collection[str],
     obeyed: Mapping[str, int],
     attempt: AttemptId,
 ) -> Shares | None:
-    """Return the record that should follow, or None if nothing changes.
+    """Return the next record, or None if nothing changes.
 
-    ``parts`` are the data centre's parts of the limits; ``alive`` are the instances that should
-    share them equally, ``gone`` those known to run no more; ``obeyed`` is the generation that each
-    instance said it obeys. What is granted never sums past a part, unless the part was lowered
-    and its holders have not obeyed yet.
+    ``limits`` are the data centre's shares of the customers' limits. They are divided equally among
+    the instances in ``alive``; those in ``gone`` are known to have ended. ``obeyed`` is the
+    generation that each instance has confirmed to obey. The sum of the granted shares never exceeds
+    the data centre's share, unless that was lowered and its holders have not confirmed this yet.
     """
     following = Shares()
     following.CopyFrom(current)
     following.generation = current.generation + 1
     following.attempt_id = attempt
-    _settle_targets(following, obeyed)
-    _reclaim(following, alive, gone)
+    _lower_grants(following, obeyed)
+    _remove_holders(following, alive, gone)
     _add_holders(following, alive)
-    _set_targets(following, parts, alive)
-    _grant(following, parts)
+    _set_targets(following, limits, alive)
+    _raise_grants(following, limits)
     if list(following.holders) == list(current.holders):
         return None
     return following
 
 
-def _settle_targets(shares: Shares, obeyed: Mapping[str, int]) -> None:
-    """Free what holders have given up, once they have said that they obey."""
+def _lower_grants(shares: Shares, obeyed: Mapping[str, int]) -> None:
+    """Lower grants to their targets where the holder has confirmed that it obeys them."""
     for holder in shares.holders:
         if obeyed.get(holder.instance, -1) < holder.changed_generation:
             continue
@@ -185,8 +199,8 @@
             share.granted = min(share.granted, share.target)
 
 
-def _reclaim(shares: Shares, alive: Collection[str], gone: Collection[str]) -> None:
-    """Remove holders that are gone, and those not alive that hold nothing."""
+def _remove_holders(shares: Shares, alive: Collection[str], gone: Collection[str]) -> None:
+    """Remove holders that have ended, and those not alive that hold nothing."""
     kept = [
         holder
         for holder in shares.holders
@@ -203,39 +217,41 @@
         shares.holders.append(ShareHolder(instance=instance))
 
 
-def _set_targets(shares: Shares, parts: Mapping[CustomerId, int], alive: Collection[str]) -> None:
-    """Aim at equal parts for live holders and none for the others."""
-    living = sorted(holder.instance for holder in shares.holders if holder.instance in alive)
-    places = {instance: place for place, instance in enumerate(living)}
+def _set_targets(shares: Shares, limits: Mapping[CustomerId, int], alive: Collection[str]) -> None:
+    """Set equal targets for live holders, and zero for the others."""
+    live_instances = sorted(
+        holder.instance for holder in shares.holders if holder.instance in alive
+    )
+    positions = {instance: position for position, instance in enumerate(live_instances)}
     for holder in shares.holders:
         by_customer = {share.customer: share for share in holder.shares}
-        for customer in sorted(set(parts) | set(by_customer)):
+        for customer in sorted(set(limits) | set(by_customer)):
             share = by_customer.get(customer)
             if share is None:
                 share = holder.shares.add(customer=customer)
-            target = _equal_part(parts.get(CustomerId(customer), 0), holder.instance, places)
+            target = _equal_share(limits.get(CustomerId(customer), 0), holder.instance, positions)
             if target < min(share.target, share.granted):
                 holder.changed_generation = shares.generation
             share.target = target
 
 
-def _equal_part(part: int, instance: str, places: Mapping[str, int]) -> int:
-    """Return the part of one of several instances, of which some get one more."""
-    if instance not in places:
+def _equal_share(limit: int, instance: str, positions: Mapping[str, int]) -> int:
+    """Return the share of an instance; a remainder goes to the first instances, one each."""
+    if instance not in positions:
         return 0
-    whole, rest = divmod(part, len(places))
-    return whole + (places[instance] < rest)
+    quotient, remainder = divmod(limit, len(positions))
+    return quotient + (positions[instance] < remainder)
 
 
-def _grant(shares: Shares, parts: Mapping[CustomerId, int]) -> None:
-    """Raise holders below their targets from what is granted to nobody."""
-    held: defaultdict[str, list[CustomerShare]] = defaultdict(list)
+def _raise_grants(shares: Shares, limits: Mapping[CustomerId, int]) -> None:
+    """Raise grants towards their targets with capacity that is not granted to any holder."""
+    shares_by_customer: defaultdict[str, list[CustomerShare]] = defaultdict(list)
     for holder in shares.holders:
         for share in holder.shares:
-            held[share.customer].append(share)
-    for customer, part in parts.items():
-        free = part - sum(share.granted for share in held[customer])
-        for share in held[customer]:
-            raised = min(max(0, share.target - share.granted), max(0, free))
-            share.granted += raised
-            free -= raised
+            shares_by_customer[share.customer].append(share)
+    for customer, limit in limits.items():
+        free = limit - sum(share.granted for share in shares_by_customer[customer])
+        for share in shares_by_customer[customer]:
+            increase = min(max(0, share.target - share.granted), max(0, free))
+            share.granted += increase
+            free -= increase
--- a/yewloom/tests/test_limits.py
+++ b/yewloom/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of shared limits: what hosts may use never sums past a limit, whatever is cut or lost."""
+"""Tests of shared limits: the usable sum never exceeds a limit, whatever messages are lost."""
 
 import unittest
 
@@ -18,10 +18,10 @@
 
 
 class SharesMachine(RuleBasedStateMachine):
-    """Entry hosts that start, die, are cut off, lend, and see the record late.
+    """Entry hosts that start, die, lose messages, lend, and read the record late.
 
-    A live host keeps within what it may use, except that what runs already runs on. Any host may
-    write the record; the platform's list tells of dead ones late.
+    A live host starts requests only within its usable capacity, but requests in progress continue
+    when that shrinks. Any host may write the record. The platform lists dead hosts for a while.
     """
 
     def __init__(self) -> None:
@@ -67,19 +67,21 @@
 
     @rule(data=st.data(), is_answer_lost=st.booleans())
     def exchange(self, data: st.DataObject, is_answer_lost: bool) -> None:
-        asker, answerer = self._draw(data), self._draw(data)
-        if not asker or not answerer or asker == answerer:
+        borrower_name, lender_name = self._draw(data), self._draw(data)
+        if not borrower_name or not lender_name or borrower_name == lender_name:
             return
-        asked = self._state(asker)
-        asked.demands.add(customer=CUSTOMER, demand=4)
-        self._hear(answerer, asked)
-        lent = self.books[answerer].lend(asked, {CUSTOMER: self.in_flight[answerer]}, self.now_s)
+        request_state = self._state(borrower_name)
+        request_state.demands.add(customer=CUSTOMER, demand=4)
+        self._record_obeyed(lender_name, request_state)
+        loans = self.books[lender_name].lend(
+            request_state, {CUSTOMER: self.in_flight[lender_name]}, self.now_s
+        )
         if is_answer_lost:
             return
-        told = self._state(answerer)
-        self._hear(asker, told)
-        self.books[asker].apply(self.books[answerer].shares)
-        self.books[asker].borrow(lent, self.now_s)
+        answer_state = self._state(lender_name)
+        self._record_obeyed(borrower_name, answer_state)
+        self.books[borrower_name].apply(self.books[lender_name].shares)
+        self.books[borrower_name].borrow(loans, self.now_s)
 
     @rule(data=st.data())
     def work(self, data: st.DataObject) -> None:
@@ -96,7 +98,7 @@
 
     @rule(data=st.data())
     def rebalance(self, data: st.DataObject) -> None:
-        """Let one host write the record; it hears what it hears."""
+        """Let one host write the record with its own view of who is alive."""
         name = self._draw(data)
         if not name:
             return
@@ -112,11 +114,11 @@
     def _state(self, name: str) -> ShareState:
         return self.books[name].state({CUSTOMER: self.in_flight[name]}, {}, self.now_s)
 
-    def _hear(self, name: str, state: ShareState) -> None:
+    def _record_obeyed(self, name: str, state: ShareState) -> None:
         self.obeyed[name][state.instance] = state.obeyed_generation
 
     def _settle_in_flight(self) -> None:
-        """Requests end in time; none outlasts a loan here."""
+        """Let requests end when the usable capacity shrinks; none outlasts a loan here."""
         for name, book in self.books.items():
             self.in_flight[name] = min(self.in_flight[name], book.usable(CUSTOMER, self.now_s))
 
@@ -139,12 +141,14 @@
 
 
 class TestPartOf(unittest.TestCase):
-    """Parts of data centres."""
+    """Shares of data centres."""
 
     @given(st.integers(0, 1000), st.integers(1, 23))
     def test_parts_add_up_to_the_limit(self, limit: int, count: int) -> None:
-        places = [f"dc{i}" for i in range(count)]
-        parts = [part_of(limit, DataCentreId(place), places) for place in places]
+        data_centres = [f"dc{i}" for i in range(count)]
+        parts = [
+            part_of(limit, DataCentreId(data_centre), data_centres) for data_centre in data_centres
+        ]
         self.assertEqual(sum(parts), limit)
         self.assertLessEqual(max(parts) - min(parts), 1)
 
@@ -157,50 +161,54 @@
     """Single steps of granting and lending."""
 
     def _plan(self, current: Shares, alive: list[str], obeyed: int) -> Shares:
-        said = dict.fromkeys(alive, obeyed)
-        planned = plan_shares(current, {CUSTOMER: LIMIT}, alive, [], said, AttemptId("a"))
+        obeyed_by_instance = dict.fromkeys(alive, obeyed)
+        planned = plan_shares(
+            current, {CUSTOMER: LIMIT}, alive, [], obeyed_by_instance, AttemptId("a")
+        )
         return planned if planned is not None else current
 
-    def test_a_newcomer_gets_its_part_only_after_the_holder_obeyed(self) -> None:
+    def test_a_new_host_gets_its_share_only_after_the_holder_obeyed(self) -> None:
         first = self._plan(Shares(), ["e0"], 0)
         book = ShareBook("e1", LOAN_S)
         second = self._plan(first, ["e0", "e1"], first.generation)
         book.apply(second)
         self.assertEqual(book.usable(CUSTOMER, 1.0), 0)
-        unheard = self._plan(second, ["e0", "e1"], first.generation)
-        book.apply(unheard)
+        unconfirmed = self._plan(second, ["e0", "e1"], first.generation)
+        book.apply(unconfirmed)
         self.assertEqual(book.usable(CUSTOMER, 1.5), 0)
         third = self._plan(second, ["e0", "e1"], second.generation)
         book.apply(third)
         self.assertEqual(book.usable(CUSTOMER, 2.0), LIMIT // 2)
 
-    def test_a_silent_host_keeps_its_part_until_it_is_known_to_be_gone(self) -> None:
+    def test_a_silent_host_keeps_its_share_until_it_is_known_to_have_ended(self) -> None:
         shares = self._plan(Shares(), ["e0", "e1"], 0)
         shares = self._plan(shares, ["e0"], 0)
         self.assertEqual({holder.instance for holder in shares.holders}, {"e0", "e1"})
-        said = {"e0": shares.generation}
-        later = plan_shares(shares, {CUSTOMER: LIMIT}, ["e0"], ["e1"], said, AttemptId("a"))
+        obeyed_by_instance = {"e0": shares.generation}
+        later = plan_shares(
+            shares, {CUSTOMER: LIMIT}, ["e0"], ["e1"], obeyed_by_instance, AttemptId("a")
+        )
         assert later is not None
         self.assertEqual([h.shares[0].granted for h in later.holders], [LIMIT])
 
-    def test_a_loan_moves_and_comes_back(self) -> None:
+    def test_a_loan_is_usable_by_the_borrower_until_it_expires(self) -> None:
         lender, borrower = (ShareBook(name, LOAN_S) for name in ("e0", "e1"))
         lender.apply(self._plan(Shares(), ["e0"], 0))
-        asked = ShareState(instance="e1")
-        asked.demands.add(customer=CUSTOMER, demand=3)
-        borrower.borrow(lender.lend(asked, {}, 1.0), 1.0)
+        request_state = ShareState(instance="e1")
+        request_state.demands.add(customer=CUSTOMER, demand=3)
+        borrower.borrow(lender.lend(request_state, {}, 1.0), 1.0)
         self.assertEqual(borrower.usable(CUSTOMER, 1.0), 3)
         self.assertEqual(lender.usable(CUSTOMER, 1.0), LIMIT - 3)
         self.assertEqual(borrower.usable(CUSTOMER, 4.1), 0)
         self.assertEqual(lender.usable(CUSTOMER, 4.1), LIMIT)
 
-    def test_a_loan_is_counted_against_the_targets_that_a_host_obeys(self) -> None:
+    def test_a_target_is_obeyed_only_once_requests_and_loans_fit_it(self) -> None:
         lender = ShareBook("e0", LOAN_S)
         shares = self._plan(Shares(), ["e0"], 0)
         lender.apply(shares)
-        asked = ShareState(instance="e1")
-        asked.demands.add(customer=CUSTOMER, demand=5)
-        lender.lend(asked, {}, 0.0)
+        request_state = ShareState(instance="e1")
+        request_state.demands.add(customer=CUSTOMER, demand=5)
+        lender.lend(request_state, {}, 0.0)
         lowered = self._plan(shares, ["e0", "e1"], shares.generation)
         lender.apply(lowered)
         self.assertEqual(lender.state({CUSTOMER: 4}, {}, 1.0).obeyed_generation, 0)
