--- a/yewloom/crash_checks.py
+++ b/yewloom/crash_checks.py
@@ -1,9 +1,9 @@
-"""Whether an endpoint's process ended when it cut an exchange off.
+"""Checks whether an endpoint's process crashed when it closed a connection during an exchange.
 
-A cut by itself proves nothing: connections are reset, and endpoints cut answers and live on. A port
-that refuses connections right behind it does, and so does an entry in the store that shows a later
-start. An endpoint that said before that it leaves, or that is listed no more, has ended as planned.
-Silence proves nothing.
+A closed connection alone does not show a crash: connections are reset, and endpoints abort answers
+and keep running. A crash is shown by a port that refuses connections right after, or by an entry in
+the store with a later start time. An endpoint that has announced that it leaves, or that is no
+longer listed, has ended as planned. An endpoint that does not answer is not taken as crashed.
 """
 
 from dataclasses import dataclass, field
@@ -20,37 +20,43 @@
 )
 from yewloom.ids import Fingerprint, HostId
 
-LOOK_PAUSES_S = (0.0, 0.3)
-"""Pauses before the looks at an endpoint's port. A process that ends may close its port a moment
-after its connections; one that is started again is not there yet by the second look."""
+PROBE_PAUSES_S = (0.0, 0.3)
+"""Pauses before the two probes of an endpoint's port.
 
-STORE_S = 15.0
-"""Time for which an entry of the store may still show that the process had ended."""
+A process that ends may close its port a moment after its connections. The second probe is early
+enough that a restarted process does not listen on the port yet.
+"""
+
+RESTART_EVIDENCE_S = 15.0
+"""Time after an aborted exchange within which a restart is taken as evidence of a crash."""
 
 
 @dataclass
-class _Cut:
-    """Exchanges that one process cut off, while it is looked at."""
+class _PendingCheck:
+    """A check of one process, with the requests whose exchanges it has aborted.
+
+    ``is_probed`` is set after the first probe.
+    """
 
     process: EndpointProcess
-    began_s: float
+    started_s: float
     requests: set[Fingerprint] = field(default_factory=set)
-    is_looked_at: trio.Event = field(default_factory=trio.Event)
+    is_probed: trio.Event = field(default_factory=trio.Event)
 
 
 class CrashChecks:
-    """Looks at endpoints that cut exchanges off, and reports those whose processes ended."""
+    """Probes endpoints that have aborted exchanges, and records those that have crashed."""
 
     def __init__(self, record: CrashRecord, directory: EndpointDirectory) -> None:
         self._record = record
         self._directory = directory
-        self._cuts: dict[EndpointProcess, _Cut] = {}
-        self._unproved: dict[HostId, _Cut] = {}
+        self._pending_checks: dict[EndpointProcess, _PendingCheck] = {}
+        self._inconclusive: dict[HostId, _PendingCheck] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Look at endpoints until cancelled."""
-        self._cuts.clear()
+        """Run checks until cancelled."""
+        self._pending_checks.clear()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
@@ -59,59 +65,61 @@
                 self._nursery = None
 
     async def note_cut(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
-        """Take in that an endpoint cut the exchange of a request off.
+        """Start a check of an endpoint that has aborted the exchange of a request.
 
-        The request of which another process had ended waits for the first look, a round trip, so
-        that it goes nowhere else if it is guilty.
+        A request that is suspected already waits for the first probe, which takes a round trip, so
+        that it is not sent to another endpoint if it is found to be the cause.
         """
-        if self._nursery is None or not self._ends_unplanned(endpoint):
+        if self._nursery is None or not self._is_expected_to_run(endpoint):
             return
         process = EndpointProcess(endpoint.id, endpoint.started_unix_ms)
         if self._record.has_crash(process):
             self._record.note_crash(process, [fingerprint], trio.current_time())
             return
-        cut = self._cuts.get(process)
-        if cut is None:
-            cut = self._cuts[process] = _Cut(process, trio.current_time())
-            self._nursery.start_soon(self._look, endpoint, cut)
-        cut.requests.add(fingerprint)
+        check = self._pending_checks.get(process)
+        if check is None:
+            check = self._pending_checks[process] = _PendingCheck(process, trio.current_time())
+            self._nursery.start_soon(self._probe, endpoint, check)
+        check.requests.add(fingerprint)
         if self._record.is_suspect(fingerprint):
-            await cut.is_looked_at.wait()
+            await check.is_probed.wait()
 
     def on_started_again(self, endpoint: HostId) -> None:
-        """Take in that the store shows a later start of an endpoint that had cut exchanges off."""
-        cut, now_s = self._unproved.pop(endpoint, None), trio.current_time()
-        if cut is not None and now_s - cut.began_s < STORE_S:
-            self._record.note_crash(cut.process, cut.requests, now_s)
+        """Record a crash if an endpoint that the store shows as restarted had aborted exchanges."""
+        check, now_s = self._inconclusive.pop(endpoint, None), trio.current_time()
+        if check is not None and now_s - check.started_s < RESTART_EVIDENCE_S:
+            self._record.note_crash(check.process, check.requests, now_s)
 
-    def _ends_unplanned(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint that ends now does so without having said it."""
+    def _is_expected_to_run(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint is listed and has not announced that it leaves."""
         listed = self._directory.by_id.get(endpoint.id)
         return listed is not None and not listed.is_leaving
 
-    async def _look(self, endpoint: Endpoint, cut: _Cut) -> None:
-        """Look whether a process still has its port."""
+    async def _probe(self, endpoint: Endpoint, check: _PendingCheck) -> None:
+        """Probe whether a process still listens on its port."""
         try:
-            for pause_s in LOOK_PAUSES_S:
+            for pause_s in PROBE_PAUSES_S:
                 await trio.sleep(pause_s)
-                if await _refuses(endpoint):
-                    self._record.note_crash(cut.process, cut.requests, trio.current_time())
+                if await _refuses_connections(endpoint):
+                    self._record.note_crash(check.process, check.requests, trio.current_time())
                     return
-                cut.is_looked_at.set()
+                check.is_probed.set()
         finally:
-            cut.is_looked_at.set()
-            self._cuts.pop(cut.process, None)
-        self._keep_unproved(cut)
+            check.is_probed.set()
+            self._pending_checks.pop(check.process, None)
+        self._keep_inconclusive(check)
 
-    def _keep_unproved(self, cut: _Cut) -> None:
-        """Keep a cut that the store may still explain."""
+    def _keep_inconclusive(self, check: _PendingCheck) -> None:
+        """Keep a check, as the store may still show a restart."""
         now_s = trio.current_time()
-        kept = {h: c for h, c in self._unproved.items() if now_s - c.began_s < STORE_S}
-        self._unproved = kept | {cut.process.endpoint: cut}
+        kept = {
+            h: c for h, c in self._inconclusive.items() if now_s - c.started_s < RESTART_EVIDENCE_S
+        }
+        self._inconclusive = kept | {check.process.endpoint: check}
 
 
-async def _refuses(endpoint: Endpoint) -> bool:
-    """Tell whether nobody listens at an endpoint's address; silence does not say so."""
+async def _refuses_connections(endpoint: Endpoint) -> bool:
+    """Return whether an endpoint's address refuses connections; a timeout does not count."""
     try:
         async with open_exchange(endpoint.address, CONNECT_TIMEOUT_S):
             return False
--- a/yewloom/crash_messages.py
+++ b/yewloom/crash_messages.py
@@ -1,10 +1,10 @@
-"""What entry hosts tell each other of requests that end endpoints, as messages."""
+"""Converts crashes and quarantined requests to and from messages between entry hosts."""
 
 import math
 
-from yewloom.crash_record import AnswerWord, CrashRecord, CrashWord, EndpointProcess
+from yewloom.crash_record import AnswerReport, CrashRecord, CrashReport, EndpointProcess
 from yewloom.ids import Fingerprint, HostId
-from yewloom.quarantine import Quarantine, QuarantineWord
+from yewloom.quarantine import Quarantine, QuarantineReport
 from yewloom.schema.entry_pb2 import (
     AnsweredRequest,
     CrashedProcess,
@@ -12,67 +12,71 @@
     QuarantinedRequest,
 )
 
-MOST_QUARANTINED = 32
-"""Most quarantined requests in one message: those that were found last."""
+MAX_QUARANTINED = 32
+"""Most quarantined requests in one message; the newest are sent."""
 
 
 class CrashMessages:
-    """Adds to a message what this host knows, and takes in what peers tell."""
+    """Adds this host's reports to messages, and applies those in peers' messages."""
 
     def __init__(self, record: CrashRecord, quarantine: Quarantine) -> None:
         self._record = record
         self._quarantine = quarantine
 
     def write(self, state: EntryState, now_s: float) -> None:
-        """Add what peers should know to a message; usually that is nothing."""
+        """Add this host's reports to a message; usually there are none."""
         if not self._record.has_any:
             return
-        state.crashed.extend(_crashed(word) for word in self._record.crash_words(now_s))
-        state.answered.extend(_answered(word) for word in self._record.answer_words(now_s))
-        words = self._quarantine.words(now_s, MOST_QUARANTINED)
-        state.quarantined.extend(_quarantined(word) for word in words)
+        state.crashed.extend(
+            _to_crashed_process(report) for report in self._record.crash_reports(now_s)
+        )
+        state.answered.extend(
+            _to_answered_request(report) for report in self._record.answer_reports(now_s)
+        )
+        reports = self._quarantine.reports(now_s, MAX_QUARANTINED)
+        state.quarantined.extend(_to_quarantined_request(report) for report in reports)
 
     def take(self, state: EntryState, came_s: float, now_s: float) -> None:
-        """Take in a message that came at ``came_s`` at the earliest."""
+        """Apply a message that was received no earlier than ``came_s``."""
         for quarantined in state.quarantined:
-            self._quarantine.take(_quarantine_word(quarantined), came_s)
+            self._quarantine.apply(_to_quarantine_report(quarantined), came_s)
         for answered in state.answered:
-            word = AnswerWord(Fingerprint(answered.fingerprint), answered.age_ms / 1000)
-            self._record.take_answer(word, came_s)
+            report = AnswerReport(Fingerprint(answered.fingerprint), answered.age_ms / 1000)
+            self._record.apply_answer(report, came_s)
         for crashed in state.crashed:
-            self._record.take_crash(_crash_word(crashed), came_s, now_s)
+            self._record.apply_crash(_to_crash_report(crashed), came_s, now_s)
 
 
-def _crashed(word: CrashWord) -> CrashedProcess:
+def _to_crashed_process(report: CrashReport) -> CrashedProcess:
     return CrashedProcess(
-        endpoint=word.process.endpoint,
-        started_unix_ms=word.process.started_unix_ms,
-        age_ms=_ms(word.age_s),
-        fingerprints=word.requests,
+        endpoint=report.process.endpoint,
+        started_unix_ms=report.process.started_unix_ms,
+        age_ms=_to_ms(report.age_s),
+        fingerprints=report.requests,
     )
 
 
-def _crash_word(message: CrashedProcess) -> CrashWord:
+def _to_crash_report(message: CrashedProcess) -> CrashReport:
     process = EndpointProcess(HostId(message.endpoint), message.started_unix_ms)
     requests = tuple(Fingerprint(number) for number in message.fingerprints)
-    return CrashWord(process, requests, message.age_ms / 1000)
+    return CrashReport(process, requests, message.age_ms / 1000)
 
 
-def _answered(word: AnswerWord) -> AnsweredRequest:
-    return AnsweredRequest(fingerprint=word.fingerprint, age_ms=_ms(word.age_s))
+def _to_answered_request(report: AnswerReport) -> AnsweredRequest:
+    return AnsweredRequest(fingerprint=report.fingerprint, age_ms=_to_ms(report.age_s))
 
 
-def _quarantined(word: QuarantineWord) -> QuarantinedRequest:
+def _to_quarantined_request(report: QuarantineReport) -> QuarantinedRequest:
     return QuarantinedRequest(
-        fingerprint=word.fingerprint,
-        count=word.count,
-        is_lifted=word.is_lifted,
-        age_ms=_ms(word.age_s),
+        fingerprint=report.fingerprint,
+        count=report.count,
+        is_lifted=report.is_lifted,
+        age_ms=_to_ms(report.age_s),
     )
 
 
-def _quarantine_word(message: QuarantinedRequest) -> QuarantineWord:
-    return QuarantineWord(
+def _to_quarantine_report(message: QuarantinedRequest) -> QuarantineReport:
+    return QuarantineReport(
         Fingerprint(message.fingerprint),
         message.count,
         message.is_lifted,
@@ -80,5 +84,5 @@
     )
 
 
-def _ms(seconds: float) -> int:
+def _to_ms(seconds: float) -> int:
     return max(0, math.ceil(seconds * 1000))
--- a/yewloom/crash_parts.py
+++ b/yewloom/crash_parts.py
@@ -1,4 +1,4 @@
-"""The parts by which an entry host finds and holds requests that end endpoints, wired together."""
+"""Creates the objects by which an entry host detects and quarantines crashing requests."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,17 +12,17 @@
 
 
 class CrashParts:
-    """Wires them; ``on_news`` is called when peers should hear soon of what they found."""
+    """Connects these objects; ``on_change`` is called when peers should soon be notified."""
 
     def __init__(
         self,
         me: EntryHostId,
         known_hosts: Callable[[], Iterable[EntryHostId]],
         directory: EndpointDirectory,
-        on_news: Callable[[], None] = lambda: None,
+        on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self.quarantine = Quarantine(me, known_hosts, on_news)
-        self.record = CrashRecord(self.quarantine, on_news)
+        self.quarantine = Quarantine(me, known_hosts, on_change)
+        self.record = CrashRecord(self.quarantine, on_change)
         self.checks = CrashChecks(self.record, directory)
         self.messages = CrashMessages(self.record, self.quarantine)
         self.page = QuarantinePage(self.quarantine)
--- a/yewloom/fingerprints.py
+++ b/yewloom/fingerprints.py
@@ -1,30 +1,34 @@
-"""Names for requests by what they ask, so that one that comes again is known by every entry host.
+"""Fingerprints of requests, by which every entry host recognizes a request that is sent again.
 
-A request's id tells one try from another. Its fingerprint is the same for each try: it is drawn
-from the host name and the target, the customer and the body, which is whole by the time that a
-request is forwarded. No customer's request can share the fingerprint of another customer's.
+A request id differs between attempts; the fingerprint is the same for all of them. It is a hash of
+the host name, the target, the customer and the body, which has been received completely before a
+request is forwarded. The customer is included so that customers cannot affect each other's
+requests.
 """
 
 import hashlib
 
 from yewloom.ids import CustomerId, Fingerprint
 
-_BYTES = 8
-"""Length of a fingerprint: two of a million requests share one with a chance of 1 in 10 million."""
+_LENGTH_BYTES = 8
+"""Length in bytes; the chance that any two of a million requests collide is 1 in 10 million."""
 
 
 def fingerprint_of(
     host: str, target: bytes, customer: CustomerId | None, body: bytes
 ) -> Fingerprint:
-    """Return the fingerprint of a request; some 2 us, and 1 us for each kilobyte of its body."""
-    digest = hashlib.blake2b(digest_size=_BYTES)
+    """Return the fingerprint of a request.
+
+    It takes about 2 us, plus 1 us for each kilobyte of the body.
+    """
+    digest = hashlib.blake2b(digest_size=_LENGTH_BYTES)
     for part in (host.encode("latin-1"), target, (customer or "").encode()):
-        digest.update(len(part).to_bytes(_BYTES, "big"))
+        digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(part)
     digest.update(body)
     return Fingerprint(int.from_bytes(digest.digest(), "big"))
 
 
 def fingerprint_text(fingerprint: Fingerprint) -> str:
-    """Return a fingerprint as operators read and write it: 16 hexadecimal digits."""
+    """Format a fingerprint for operators, as 16 hexadecimal digits."""
     return f"{fingerprint:016x}"
--- a/yewloom/quarantine.py
+++ b/yewloom/quarantine.py
@@ -1,15 +1,17 @@
-"""Requests that go to no endpoint for a time, because they ended the processes that ran them.
+"""Quarantine of requests that crash endpoints: they are not forwarded for some time.
 
-A request is held for ``FIRST_HOLD_S``, and twice as long each time it ends another endpoint. Behind
-that it may be tried again, by one host after the other: the hosts take turns by a hash of the
-request and their names, so that a request that still ends endpoints ends one, not one for each
-host. A good answer lifts the quarantine, and so does an operator.
+A request is quarantined for ``INITIAL_HOLD_S``, and for twice as long each time that it crashes
+another endpoint. After that it may be tried again, by one host after the other: the hosts take
+turns in the order of a hash of the request and their names, so that a request that still crashes
+endpoints crashes one, not one per host. A successful answer lifts the quarantine, and so does an
+operator.
 
-Hosts pass on the whole of what they know. The word with the higher count is the later one, and of
-two with the same count the one that lifts; so all hosts agree in the end, whatever the order and
-the number of their messages, and a word that is passed on in circles never grows younger.
+Hosts send each other all that they know. Of two reports about a request the one with the higher
+count is newer, and with equal counts the one that lifts the quarantine. So all hosts converge to
+the same state, whatever the order and number of their messages. Reports carry their age, so one
+that is passed on repeatedly does not extend a quarantine.
 
-Times are seconds of the runtime's clock.
+Times are in seconds of Trio's clock.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,26 +26,28 @@
 
 logger = structlog.get_logger(__name__)
 
-FIRST_HOLD_S = 600.0
-"""First time for which a request is held: a new version of the endpoints takes some minutes."""
+INITIAL_HOLD_S = 600.0
+"""Duration of the first quarantine; rolling out a fixed endpoint takes some minutes."""
 
-LONGEST_HOLD_S = 4 * 3600.0
-"""Longest time for which a request is held, so that somebody's mend is noticed the same day."""
+MAX_HOLD_S = 4 * 3600.0
+"""Longest duration of a quarantine, so that a fix is noticed on the same day."""
 
-MOST_DOUBLINGS = 16
-"""Most times by which the first time is doubled, well beyond the longest one."""
+MAX_DOUBLINGS = 16
+"""Most times that the initial duration is doubled; ``MAX_HOLD_S`` is reached well before."""
 
-TRIAL_STEP_S = 5.0
-"""Time by which one host may try a request before the next: what becomes of the trial is known to
-all by then."""
+TRIAL_INTERVAL_S = 5.0
+"""Interval between the trials of a request by one host and the next.
 
-MOST_ENTRIES = 256
-"""Most requests that are kept; beyond that the one whose time is over first is forgotten."""
+All hosts know the result of a trial within this time.
+"""
+
+MAX_ENTRIES = 256
+"""Most requests that are kept; beyond that the one whose quarantine ends first is dropped."""
 
 
 @value_class
-class QuarantineWord:
-    """What is known of a request: how often it was quarantined, and how long ago the last time."""
+class QuarantineReport:
+    """The number of quarantines of a request, and the time since the last one began."""
 
     fingerprint: Fingerprint
     count: int
@@ -60,107 +64,112 @@
 
     @property
     def ends_s(self) -> float:
-        """Return when the request may be tried again."""
-        doubled_s = FIRST_HOLD_S * (1 << min(self.count - 1, MOST_DOUBLINGS))
-        return self.since_s + min(doubled_s, LONGEST_HOLD_S)
+        """The time from which the request may be tried again."""
+        duration_s = INITIAL_HOLD_S * (1 << min(self.count - 1, MAX_DOUBLINGS))
+        return self.since_s + min(duration_s, MAX_HOLD_S)
 
 
 class Quarantine:
-    """Keeps the requests that are held, and decides when one may be tried again.
+    """Stores the quarantined requests, and decides when one may be tried again.
 
-    ``known_hosts`` returns all entry hosts that were ever known, this one included; ``on_news`` is
-    called when peers should hear soon of a change.
+    ``known_hosts`` returns all entry hosts that were ever known, including this one; ``on_change``
+    is called when peers should soon be sent a change.
     """
 
     def __init__(
         self,
         me: EntryHostId,
         known_hosts: Callable[[], Iterable[EntryHostId]],
-        on_news: Callable[[], None] = lambda: None,
+        on_change: Callable[[], None] = lambda: None,
     ) -> None:
         self._me = me
         self._known_hosts = known_hosts
-        self._on_news = on_news
+        self._on_change = on_change
         self._entries: dict[Fingerprint, _Entry] = {}
-        self.changes = 0
-        """Changes of what is known, so that others can tell whether there was one."""
+        self.change_count = 0
+        """Number of changes so far, by which others can detect a change."""
 
     @property
     def has_any(self) -> bool:
-        """Tell whether any request is or was held."""
+        """Return whether any quarantine is known, including lifted ones."""
         return bool(self._entries)
 
     def add(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Hold a request, which ended endpoints, from now on."""
+        """Quarantine a request, which has crashed endpoints, from now on."""
         entry = self._entries.get(fingerprint)
         count = entry.count + 1 if entry is not None else 1
-        self._put(fingerprint, _Entry(count, False, now_s))
+        self._store(fingerprint, _Entry(count, False, now_s))
 
     def lift(self, fingerprint: Fingerprint) -> bool:
-        """Hold a request no more, which an endpoint answered or an operator lets go.
+        """Lift the quarantine of a request, after a successful answer or for an operator.
 
-        Return whether it was held.
+        Return whether it was quarantined.
         """
         entry = self._entries.get(fingerprint)
         if entry is None or entry.is_lifted:
             return False
-        self._put(fingerprint, _Entry(entry.count, True, entry.since_s))
+        self._store(fingerprint, _Entry(entry.count, True, entry.since_s))
         return True
 
-    def take(self, word: QuarantineWord, came_s: float) -> None:
-        """Take in the word of a peer that came at ``came_s`` at the earliest."""
-        known = self._entries.get(word.fingerprint)
-        if known is None or (word.count, word.is_lifted) > (known.count, known.is_lifted):
-            self._put(word.fingerprint, _Entry(word.count, word.is_lifted, came_s - word.age_s))
+    def apply(self, report: QuarantineReport, received_s: float) -> None:
+        """Apply a report of a peer, which was received no earlier than ``received_s``."""
+        current = self._entries.get(report.fingerprint)
+        if current is None or (report.count, report.is_lifted) > (current.count, current.is_lifted):
+            self._store(
+                report.fingerprint,
+                _Entry(report.count, report.is_lifted, received_s - report.age_s),
+            )
 
-    def words(self, now_s: float, most: int = MOST_ENTRIES) -> list[QuarantineWord]:
-        """Return what is known of so many requests, those that were held last."""
-        latest = sorted(self._entries.items(), key=lambda item: item[1].since_s)[-most:]
-        return [QuarantineWord(f, e.count, e.is_lifted, now_s - e.since_s) for f, e in latest]
+    def reports(self, now_s: float, max_count: int = MAX_ENTRIES) -> list[QuarantineReport]:
+        """Return reports about the ``max_count`` most recently quarantined requests."""
+        newest = sorted(self._entries.items(), key=lambda item: item[1].since_s)[-max_count:]
+        return [QuarantineReport(f, e.count, e.is_lifted, now_s - e.since_s) for f, e in newest]
 
     def count_of(self, fingerprint: Fingerprint) -> int:
-        """Return how often a request was quarantined."""
+        """Return how many times a request was quarantined."""
         entry = self._entries.get(fingerprint)
         return entry.count if entry is not None else 0
 
-    def is_held(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request was quarantined and not lifted, whether or not it may be tried."""
+    def is_quarantined(self, fingerprint: Fingerprint) -> bool:
+        """Return whether a request is quarantined; it may be due for a trial."""
         entry = self._entries.get(fingerprint)
         return entry is not None and not entry.is_lifted
 
-    def was_over(self, fingerprint: Fingerprint, at_s: float) -> bool:
-        """Tell whether a request that is held could be tried again at a time."""
-        return self.is_held(fingerprint) and at_s >= self._entries[fingerprint].ends_s
+    def was_trial_due(self, fingerprint: Fingerprint, at_s: float) -> bool:
+        """Return whether a request is quarantined and was due for a trial at ``at_s``."""
+        return self.is_quarantined(fingerprint) and at_s >= self._entries[fingerprint].ends_s
 
     def wait_s(self, fingerprint: Fingerprint, now_s: float) -> float:
-        """Return for how long this host sends a request nowhere; 0 if it may send it now."""
+        """Return the time until this host may forward a request; 0 if it may do so now."""
         entry = self._entries.get(fingerprint)
         if entry is None or entry.is_lifted:
             return 0.0
         due_s = entry.ends_s
         if now_s >= due_s:
-            due_s = max(due_s + self._turn(fingerprint) * TRIAL_STEP_S, entry.next_trial_s)
+            due_s = max(
+                due_s + self._hosts_before(fingerprint) * TRIAL_INTERVAL_S, entry.next_trial_s
+            )
         return max(0.0, due_s - now_s)
 
     def note_trial(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Take in that a request that was held is tried; the next trial here comes later."""
-        if self.is_held(fingerprint):
-            self._entries[fingerprint].next_trial_s = now_s + TRIAL_STEP_S
+        """Record a trial of a quarantined request, which delays the next trial on this host."""
+        if self.is_quarantined(fingerprint):
+            self._entries[fingerprint].next_trial_s = now_s + TRIAL_INTERVAL_S
 
-    def _turn(self, fingerprint: Fingerprint) -> int:
+    def _hosts_before(self, fingerprint: Fingerprint) -> int:
         """Return how many hosts may try a request before this one."""
         return turn_among(str(fingerprint), self._me, self._known_hosts())
 
-    def _put(self, fingerprint: Fingerprint, entry: _Entry) -> None:
-        self.changes += 1
+    def _store(self, fingerprint: Fingerprint, entry: _Entry) -> None:
+        self.change_count += 1
         self._entries[fingerprint] = entry
-        if len(self._entries) > MOST_ENTRIES:
-            first = min(self._entries, key=lambda f: self._entries[f].ends_s)
-            del self._entries[first]
+        if len(self._entries) > MAX_ENTRIES:
+            first_to_end = min(self._entries, key=lambda f: self._entries[f].ends_s)
+            del self._entries[first_to_end]
         logger.warning(
             "request let go" if entry.is_lifted else "request quarantined",
             fingerprint=fingerprint_text(fingerprint),
             count=entry.count,
             hold_s=round(entry.ends_s - entry.since_s),
         )
-        self._on_news()
+        self._on_change()
--- a/yewloom/quarantine_page.py
+++ b/yewloom/quarantine_page.py
@@ -1,7 +1,7 @@
-"""How operators see the requests that are held, and let one go, at the port of the metrics.
+"""Operator interface of the quarantine, on the metrics port.
 
-``GET /quarantine`` lists them; ``POST /quarantine/FINGERPRINT/lift`` lets one go, at this host at
-once and at the others as soon as they hear of it.
+``GET /quarantine`` lists the quarantined requests. ``POST /quarantine/FINGERPRINT/lift`` lifts the
+quarantine of one, immediately on this host and on the others as soon as they are notified.
 """
 
 import json
@@ -13,27 +13,27 @@
 from yewloom.ids import Fingerprint
 from yewloom.quarantine import Quarantine
 
-PREFIX = "/quarantine"
-"""Path of the list; the paths below it name one request each."""
+PATH = "/quarantine"
+"""Path of the list; each path below it is for one request."""
 
 _JSON = [(b"content-type", b"application/json")]
-_HEXADECIMAL = 16
+_HEXADECIMAL_BASE = 16
 
 
 class QuarantinePage:
-    """Answers what operators ask of the quarantine."""
+    """Answers the operators' requests about the quarantine."""
 
     def __init__(self, quarantine: Quarantine) -> None:
         self._quarantine = quarantine
 
     def answers(self, request: CallerRequest) -> bool:
-        """Tell whether a request asks for something here."""
-        return request.path == PREFIX or request.path.startswith(f"{PREFIX}/")
+        """Return whether the path of a request belongs to this page."""
+        return request.path == PATH or request.path.startswith(f"{PATH}/")
 
     async def answer(self, request: CallerRequest, reply: Reply) -> None:
-        """Answer with the list, or let a request go."""
-        if request.method == b"GET" and request.path == PREFIX:
-            await reply.send_whole(200, _JSON, self._list())
+        """Answer with the list, or lift the quarantine of a request."""
+        if request.method == b"GET" and request.path == PATH:
+            await reply.send_whole(200, _JSON, self._list_as_json())
             return
         fingerprint = _fingerprint_to_lift(request)
         if request.method != b"POST" or fingerprint is None:
@@ -42,28 +42,28 @@
         is_lifted = self._quarantine.lift(fingerprint)
         await reply.send_whole(200 if is_lifted else 404, [], b"")
 
-    def _list(self) -> bytes:
+    def _list_as_json(self) -> bytes:
         now_s = trio.current_time()
-        held = [word for word in self._quarantine.words(now_s) if not word.is_lifted]
+        quarantined = [report for report in self._quarantine.reports(now_s) if not report.is_lifted]
         return json.dumps(
             [
                 {
-                    "fingerprint": fingerprint_text(word.fingerprint),
-                    "count": word.count,
-                    "age_s": round(word.age_s),
-                    "wait_s": round(self._quarantine.wait_s(word.fingerprint, now_s)),
+                    "fingerprint": fingerprint_text(report.fingerprint),
+                    "count": report.count,
+                    "age_s": round(report.age_s),
+                    "wait_s": round(self._quarantine.wait_s(report.fingerprint, now_s)),
                 }
-                for word in held
+                for report in quarantined
             ]
         ).encode()
 
 
 def _fingerprint_to_lift(request: CallerRequest) -> Fingerprint | None:
-    """Return the request that a path names, or None if it names none."""
-    name, _, action = request.path.removeprefix(f"{PREFIX}/").partition("/")
+    """Return the fingerprint in the path of a lift request, or None for any other path."""
+    name, _, action = request.path.removeprefix(f"{PATH}/").partition("/")
     if action != "lift":
         return None
     try:
-        return Fingerprint(int(name, _HEXADECIMAL))
+        return Fingerprint(int(name, _HEXADECIMAL_BASE))
     except ValueError:
         return None
--- a/yewloom/quarantine_store.py
+++ b/yewloom/quarantine_store.py
@@ -1,8 +1,9 @@
-"""The quarantine as the platform's store keeps it, so that it outlasts the hosts.
+"""Persists the quarantine in the platform's store, so that it survives a restart of all hosts.
 
-All hosts may go at once, and a request that ends endpoints would take as many again until they have
-found it anew. One object holds all of them. A host that starts reads it. What changes is written by
-the first of a few hosts that take turns, each of which looks whether another one has written it.
+Otherwise, after all hosts have restarted at once, a request that crashes endpoints would crash as
+many again before it is detected anew. One object contains all quarantined requests. A host reads it
+when it starts. Changes are written by the first of a few hosts that take turns, each of which first
+checks whether another one has written them.
 """
 
 import time
@@ -15,7 +16,7 @@
 from yewloom.hashing import turn_among
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.platforms import Platform, StoredObject
-from yewloom.quarantine import LONGEST_HOLD_S, Quarantine, QuarantineWord
+from yewloom.quarantine import MAX_HOLD_S, Quarantine, QuarantineReport
 from yewloom.schema.entry_pb2 import KeptRequest, QuarantineRecord
 from yewloom.values import value_class
 from yewloom.writes import RecordError, parse_record, to_json
@@ -24,28 +25,28 @@
 
 KEY = "yewloom-quarantine/requests"
 
-LOOK_S = 1.0
-"""Pause between two looks for changes, and between the turns of two hosts that may write them."""
+POLL_INTERVAL_S = 1.0
+"""Interval between checks for changes, and between the turns of hosts that may write them."""
 
-WRITERS = 4
-"""Hosts that take turns: one of them reaches the store unless all are cut off from it."""
+MAX_WRITERS = 4
+"""Hosts that take turns; one of them can write unless all are disconnected from the store."""
 
-KEPT_S = 2 * LONGEST_HOLD_S
-"""Time for which the store keeps a request that was held."""
+RETENTION_S = 2 * MAX_HOLD_S
+"""Time for which a quarantined request is kept in the store."""
 
 
 @value_class
 class _StoredRecord:
-    """The store's object, and its version, which is 0 if there is none."""
+    """The record in the store and its version, which is 0 if there is none."""
 
     record: QuarantineRecord
     version: int
 
 
 class QuarantineStore:
-    """Reads the quarantine at the start, and writes what changes.
+    """Reads the quarantine from the store on start, and writes changes to it.
 
-    ``unix_s`` returns the time of day, by which the store's object counts.
+    ``unix_s`` returns the Unix time; the store contains Unix times, as hosts share no other clock.
     """
 
     def __init__(
@@ -65,50 +66,50 @@
         self._unix_s = unix_s
 
     async def run(self) -> None:
-        """Read what is kept, then write changes, until cancelled."""
-        while await self._read(self._stale_platform) is None:  # noqa: ASYNC110 - the store tells nobody that it is back
-            await trio.sleep(LOOK_S)
-        written = 0
+        """Read the stored quarantine, then write changes, until cancelled."""
+        while await self._read(self._stale_platform) is None:  # noqa: ASYNC110 - the store sends no event when it is back
+            await trio.sleep(POLL_INTERVAL_S)
+        written_count = 0
         while True:
-            await trio.sleep(LOOK_S)
-            changes = self._quarantine.changes
-            if changes == written:
+            await trio.sleep(POLL_INTERVAL_S)
+            change_count = self._quarantine.change_count
+            if change_count == written_count:
                 continue
             turn = turn_among(KEY, self._me, self._known_hosts())
-            if turn >= WRITERS:
-                written = changes
+            if turn >= MAX_WRITERS:
+                written_count = change_count
                 continue
-            await trio.sleep(turn * LOOK_S)
+            await trio.sleep(turn * POLL_INTERVAL_S)
             if await self._write():
-                written = changes
+                written_count = change_count
 
     async def _read(self, platform: Platform) -> _StoredRecord | None:
-        """Return what the store keeps, and take it in; None if it does not answer."""
+        """Read the stored record and apply it; return None if the store does not answer."""
         match await platform.get(KEY):
             case Ok(stored):
-                kept = _StoredRecord(
+                current = _StoredRecord(
                     self._decode(stored), stored.version if stored is not None else 0
                 )
-                self._take(kept.record)
-                return kept
+                self._apply(current.record)
+                return current
             case Err(error):
-                logger.info("quarantine not read", reason=str(error))
+                logger.info("could not read quarantine", reason=str(error))
                 return None
 
     async def _write(self) -> bool:
-        """Write what the store lacks; tell whether it has all of it now."""
-        kept = await self._read(self._platform)
-        if kept is None:
+        """Write the quarantine if it differs; return whether the store is now up to date."""
+        current = await self._read(self._platform)
+        if current is None:
             return False
         record = self._record()
-        if _says(record) == _says(kept.record):
+        if _content(record) == _content(current.record):
             return True
-        match await self._platform.update(KEY, to_json(record), kept.version):
+        match await self._platform.update(KEY, to_json(record), current.version):
             case Ok(_):
-                logger.info("quarantine written", count=len(record.requests))
+                logger.info("wrote quarantine", count=len(record.requests))
                 return True
             case Err(error):
-                logger.info("quarantine not written", reason=str(error))
+                logger.info("could not write quarantine", reason=str(error))
                 return False
 
     def _decode(self, stored: StoredObject | None) -> QuarantineRecord:
@@ -120,34 +121,39 @@
             logger.error("record unreadable", reason=str(error))
             return QuarantineRecord()
 
-    def _take(self, record: QuarantineRecord) -> None:
-        """Take in what is kept and not too old; a clock that was set back makes nothing younger."""
+    def _apply(self, record: QuarantineRecord) -> None:
+        """Apply the stored requests that have not expired.
+
+        Ages are not negative, so a clock that was set back does not extend a quarantine.
+        """
         now_s = trio.current_time()
         for kept in record.requests:
             age_s = max(0.0, self._unix_s() - kept.since_unix_ms / 1000)
-            if age_s < KEPT_S:
-                self._quarantine.take(_word(kept, age_s), now_s)
+            if age_s < RETENTION_S:
+                self._quarantine.apply(_to_report(kept, age_s), now_s)
 
     def _record(self) -> QuarantineRecord:
-        """Return what is to be kept."""
-        words, unix_s = self._quarantine.words(trio.current_time()), self._unix_s()
-        requests = [_request(word, unix_s) for word in words if word.age_s < KEPT_S]
+        """Return the record to be stored."""
+        reports, unix_s = self._quarantine.reports(trio.current_time()), self._unix_s()
+        requests = [
+            _to_kept_request(report, unix_s) for report in reports if report.age_s < RETENTION_S
+        ]
         return QuarantineRecord(requests=requests)
 
 
-def _says(record: QuarantineRecord) -> set[tuple[int, int, bool]]:
-    """Return what a record says of its requests; hosts differ in when they heard of it."""
+def _content(record: QuarantineRecord) -> set[tuple[int, int, bool]]:
+    """Return a record's content without its times, which differ between hosts."""
     return {(kept.fingerprint, kept.count, kept.is_lifted) for kept in record.requests}
 
 
-def _word(kept: KeptRequest, age_s: float) -> QuarantineWord:
-    return QuarantineWord(Fingerprint(kept.fingerprint), kept.count, kept.is_lifted, age_s)
+def _to_report(kept: KeptRequest, age_s: float) -> QuarantineReport:
+    return QuarantineReport(Fingerprint(kept.fingerprint), kept.count, kept.is_lifted, age_s)
 
 
-def _request(word: QuarantineWord, unix_s: float) -> KeptRequest:
+def _to_kept_request(report: QuarantineReport, unix_s: float) -> KeptRequest:
     return KeptRequest(
-        fingerprint=word.fingerprint,
-        count=word.count,
-        is_lifted=word.is_lifted,
-        since_unix_ms=round((unix_s - word.age_s) * 1000),
+        fingerprint=report.fingerprint,
+        count=report.count,
+        is_lifted=report.is_lifted,
+        since_unix_ms=round((unix_s - report.age_s) * 1000),
     )
--- a/yewloom/tests/test_crash_checks.py
+++ b/yewloom/tests/test_crash_checks.py
@@ -1,4 +1,4 @@
-"""Tests of what proves that an endpoint's process ended."""
+"""Tests of the checks whether an endpoint has crashed."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from yewloom.crash_checks import LOOK_PAUSES_S, STORE_S, CrashChecks
+from yewloom.crash_checks import PROBE_PAUSES_S, RESTART_EVIDENCE_S, CrashChecks
 from yewloom.crash_record import CRASHES, CrashRecord
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.ids import EntryHostId, Fingerprint
@@ -21,12 +21,12 @@
 
 F = Fingerprint(7)
 ME = EntryHostId("me")
-LOOKED_S = sum(LOOK_PAUSES_S) + 0.5
-"""Time after which all looks are over."""
+PROBED_S = sum(PROBE_PAUSES_S) + 0.5
+"""Time after which all probes are finished."""
 
 
 class World:
-    """Checks that run, before endpoints whose ports are open or closed."""
+    """Crash checks, with endpoints whose ports are open or closed."""
 
     def __init__(self) -> None:
         self.directory = EndpointDirectory()
@@ -34,14 +34,14 @@
         self.checks = CrashChecks(self.record, self.directory)
 
     def list_endpoint(self, address: str, is_leaving: bool = False) -> Endpoint:
-        """List an endpoint and return it."""
+        """Add an endpoint to the directory and return it."""
         endpoint = replace(make_plain("p", address), is_leaving=is_leaving)
         self.directory.put(endpoint)
         return endpoint
 
 
-def play(test: Callable[[World], Awaitable[None]], autojump: bool = False) -> None:
-    """Run a test while checks run."""
+def run_with_world(test: Callable[[World], Awaitable[None]], autojump: bool = False) -> None:
+    """Run a test while the crash checks run."""
 
     async def main() -> None:
         world = World()
@@ -56,18 +56,18 @@
 
 
 class TestCrashChecks(unittest.TestCase):
-    """Ended or not."""
+    """Evidence that a process has crashed."""
 
-    def test_a_port_that_refuses_shows_that_the_process_ended(self) -> None:
+    def test_a_port_that_refuses_connections_shows_a_crash(self) -> None:
         async def test(world: World) -> None:
             await world.checks.note_cut(world.list_endpoint(free_address()), F)
-            await trio.sleep(LOOKED_S)
+            await trio.sleep(PROBED_S)
             self.assertTrue(world.record.is_suspect(F))
 
-        play(test)
+        run_with_world(test)
 
-    def test_an_endpoint_that_cuts_and_lives_on_has_not_ended(self) -> None:
-        """Guards against guilt by resets, cuts and endpoints that break answers off."""
+    def test_an_endpoint_that_aborts_an_exchange_and_keeps_running_has_not_crashed(self) -> None:
+        """Guards against suspecting requests because of resets and aborted answers."""
 
         async def test(world: World) -> None:
             async with trio.open_nursery() as nursery:
@@ -75,66 +75,68 @@
                 nursery.start_soon(trio.serve_listeners, _hold, listeners)
                 port = listeners[0].socket.getsockname()[1]
                 await world.checks.note_cut(world.list_endpoint(f"127.0.0.1:{port}"), F)
-                await trio.sleep(LOOKED_S)
+                await trio.sleep(PROBED_S)
                 nursery.cancel_scope.cancel()
             self.assertFalse(world.record.is_suspect(F))
 
-        play(test)
+        run_with_world(test)
 
-    def test_silence_shows_nothing(self) -> None:
-        async def silent(*where: object, **options: object) -> None:
+    def test_a_connection_timeout_does_not_show_a_crash(self) -> None:
+        async def never_connect(*where: object, **options: object) -> None:
             await trio.sleep_forever()
 
         async def test(world: World) -> None:
-            with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", silent):
+            with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", never_connect):
                 await world.checks.note_cut(world.list_endpoint(free_address()), F)
-                await trio.sleep(2 * LOOKED_S)
+                await trio.sleep(2 * PROBED_S)
             self.assertFalse(world.record.is_suspect(F))
 
-        play(test, autojump=True)
+        run_with_world(test, autojump=True)
 
-    def test_a_later_start_in_the_store_shows_it_too(self) -> None:
-        """Guards against a process that is there again before anybody looks."""
+    def test_a_later_start_in_the_store_shows_a_crash(self) -> None:
+        """Guards against missing a process that is restarted before the first probe."""
 
         async def test(world: World) -> None:
             endpoint = world.list_endpoint(free_address())
-            with mock.patch("yewloom.crash_checks._refuses", _lives):
+            with mock.patch("yewloom.crash_checks._refuses_connections", _accepts_connections):
                 await world.checks.note_cut(endpoint, F)
-                await trio.sleep(LOOKED_S)
+                await trio.sleep(PROBED_S)
             self.assertFalse(world.record.is_suspect(F))
             world.checks.on_started_again(endpoint.id)
             self.assertTrue(world.record.is_suspect(F))
 
-        play(test, autojump=True)
+        run_with_world(test, autojump=True)
 
-    def test_a_start_long_after_a_cut_shows_nothing(self) -> None:
+    def test_a_start_long_after_an_aborted_exchange_does_not_show_a_crash(self) -> None:
         async def test(world: World) -> None:
             endpoint = world.list_endpoint(free_address())
-            with mock.patch("yewloom.crash_checks._refuses", _lives):
+            with mock.patch("yewloom.crash_checks._refuses_connections", _accepts_connections):
                 await world.checks.note_cut(endpoint, F)
-                await trio.sleep(STORE_S + LOOKED_S)
+                await trio.sleep(RESTART_EVIDENCE_S + PROBED_S)
             world.checks.on_started_again(endpoint.id)
             self.assertFalse(world.record.is_suspect(F))
 
-        play(test, autojump=True)
+        run_with_world(test, autojump=True)
 
-    def test_an_end_that_was_announced_is_no_crash(self) -> None:
+    def test_an_announced_end_is_not_a_crash(self) -> None:
         async def test(world: World) -> None:
             await world.checks.note_cut(world.list_endpoint(free_address(), is_leaving=True), F)
             unlisted = make_plain("other", free_address())
             await world.checks.note_cut(unlisted, F)
-            await trio.sleep(LOOKED_S)
+            await trio.sleep(PROBED_S)
             self.assertFalse(world.record.is_suspect(F))
 
-        play(test)
+        run_with_world(test)
 
 
 class TestForwardingOfSuspects(unittest.TestCase):
-    """What callers get, and endpoints don't."""
+    """Forwarding of requests that crash endpoints."""
 
-    def test_a_request_that_ends_endpoints_reaches_three_and_is_then_refused_at_once(self) -> None:
+    def test_a_request_that_crashes_endpoints_reaches_three_and_is_then_refused(self) -> None:
         async def test(fixture: Fixture) -> None:
-            endpoints = [await _crashing(fixture, f"p{number}") for number in range(CRASHES + 3)]
+            endpoints = [
+                await _add_crashing_endpoint(fixture, f"p{number}") for number in range(CRASHES + 3)
+            ]
             statuses = [(await fixture.ask("/r/1")).status for _ in range(4)]
             self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), CRASHES)
             self.assertEqual(statuses, [502, 502, 503, 503])
@@ -143,8 +145,8 @@
 
         run(test)
 
-    def test_a_stream_that_ends_leaders_reaches_three_and_is_then_refused_at_once(self) -> None:
-        """Guards against a stream that takes one group after the other with it."""
+    def test_a_stream_that_crashes_leaders_reaches_three_and_is_then_refused(self) -> None:
+        """Guards against a stream that crashes one group after the other."""
 
         async def test(fixture: Fixture) -> None:
             leaders = [ScriptedEndpoint(_cut_stream) for _ in range(CRASHES + 3)]
@@ -160,7 +162,7 @@
     def test_other_requests_of_the_same_caller_are_served_meanwhile(self) -> None:
         async def test(fixture: Fixture) -> None:
             for number in range(CRASHES):
-                await _crashing(fixture, f"p{number}")
+                await _add_crashing_endpoint(fixture, f"p{number}")
             for _ in range(2):
                 await fixture.ask("/r/1")
             await fixture.add_plain("well", ScriptedEndpoint(answer_ok))
@@ -169,7 +171,7 @@
 
         run(test)
 
-    def test_a_request_whose_connections_are_cut_by_endpoints_that_live_is_never_held(self) -> None:
+    def test_a_request_aborted_by_endpoints_that_keep_running_is_never_quarantined(self) -> None:
         async def test(fixture: Fixture) -> None:
             for number in range(4):
                 await fixture.add_plain(f"p{number}", ScriptedEndpoint(close_without_answer))
@@ -180,8 +182,8 @@
         run(test)
 
 
-async def _crashing(fixture: Fixture, name: str) -> ScriptedEndpoint:
-    """List an endpoint whose process ends when it gets a request."""
+async def _add_crashing_endpoint(fixture: Fixture, name: str) -> ScriptedEndpoint:
+    """Add an endpoint whose process ends when it receives a request."""
     endpoint = ScriptedEndpoint(close_without_answer)
     await fixture.add_plain(name, endpoint, ends_with_a_request=True)
     return endpoint
@@ -197,6 +199,6 @@
     await trio.sleep_forever()
 
 
-async def _lives(endpoint: Endpoint) -> bool:
+async def _accepts_connections(endpoint: Endpoint) -> bool:
     await trio.lowlevel.checkpoint()
     return False
--- a/yewloom/tests/test_crashing_request.py
+++ b/yewloom/tests/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""A request that ends each endpoint that runs it, before entry hosts as processes."""
+"""Tests of a request that crashes every endpoint it reaches, with entry hosts as processes."""
 
 import unittest
 from functools import partial
@@ -8,34 +8,40 @@
 from yewloom.tests.soak.fragile import EndpointLedger
 from yewloom.tests.soak.fragile_play import play_fragile
 
-OTHER_PAUSE_S = 0.04
-"""Pause between two of all other requests."""
+OTHER_REQUEST_PAUSE_S = 0.04
+"""Pause between two requests other than the crashing one."""
 
-PLAY_S = 12.0
-"""Time for which both come."""
+DURATION_S = 12.0
+"""Time for which the crashing and the other requests are sent."""
 
-CONTACT_S = 3.0
-"""Time from the third end on after which every host must know of it."""
+PROPAGATION_S = 3.0
+"""Time after the third crash within which every host must know of the quarantine."""
 
-MOST_LATER = 3
-"""Endpoints that the request may reach from then on."""
+MAX_LATER = 3
+"""Endpoints that the request may reach after that."""
 
 
 class TestCrashingRequest(unittest.TestCase):
-    """One request must not end one endpoint after the other."""
+    """A request must not crash one endpoint after the other."""
 
-    def test_restarts_of_all_hosts_let_it_end_few_more(self) -> None:
-        """Guards against a request that ends three again each time that all hosts went at once."""
-        play = partial(play_fragile, PLAY_S / 2, OTHER_PAUSE_S, is_crashing=True, restarts=2)
+    def test_it_crashes_few_more_endpoints_after_restarts_of_all_hosts(self) -> None:
+        """Guards against three more crashes each time that all hosts restart at once."""
+        play = partial(
+            play_fragile, DURATION_S / 2, OTHER_REQUEST_PAUSE_S, is_crashing=True, restarts=2
+        )
         self._check(trio.run(play).seen)
 
-    def test_a_request_that_ended_three_endpoints_reaches_few_more(self) -> None:
-        """Guards against a request that comes again and ends whatever endpoint it is sent to."""
-        self._check(trio.run(partial(play_fragile, PLAY_S, OTHER_PAUSE_S, is_crashing=True)).seen)
+    def test_a_request_that_crashed_three_endpoints_reaches_few_more(self) -> None:
+        """Guards against a repeated request that crashes every endpoint it is sent to."""
+        self._check(
+            trio.run(
+                partial(play_fragile, DURATION_S, OTHER_REQUEST_PAUSE_S, is_crashing=True)
+            ).seen
+        )
 
     def _check(self, seen: EndpointLedger) -> None:
-        """Check how many endpoints the request reached after it was known."""
+        """Check how many endpoints the request reached after all hosts knew of it."""
         self.assertGreaterEqual(len(seen.ended_s), 3)
-        known_s = seen.ended_s[2] + CONTACT_S
-        later = [arrived_s for arrived_s in seen.arrived_s if arrived_s > known_s]
-        self.assertLessEqual(len(later), MOST_LATER, f"{len(seen.ended_s)} ended in all")
+        known_everywhere_s = seen.ended_s[2] + PROPAGATION_S
+        later = [arrived_s for arrived_s in seen.arrived_s if arrived_s > known_everywhere_s]
+        self.assertLessEqual(len(later), MAX_LATER, f"{len(seen.ended_s)} ended in all")
--- a/yewloom/tests/test_fingerprints.py
+++ b/yewloom/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Tests of the names by which a request is known when it comes again."""
+"""Tests of request fingerprints."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class TestFingerprints(unittest.TestCase):
-    """A fingerprint tells requests apart by all that they ask, and by nothing else."""
+    """Equal requests have equal fingerprints, and different ones differ."""
 
     @given(REQUESTS, REQUESTS)
     def test_two_requests_share_a_fingerprint_only_if_they_ask_the_same(
@@ -29,5 +29,5 @@
         same = fingerprint_of(*one) == fingerprint_of(*other)
         self.assertEqual(same, one == other)
 
-    def test_operators_read_sixteen_digits(self) -> None:
+    def test_a_fingerprint_is_formatted_as_sixteen_digits(self) -> None:
         self.assertEqual(fingerprint_text(Fingerprint(255)), "00000000000000ff")
--- a/yewloom/tests/test_quarantine_page.py
+++ b/yewloom/tests/test_quarantine_page.py
@@ -1,4 +1,4 @@
-"""Tests of the page by which operators see requests that are held, and let one go."""
+"""Tests of the page where operators list quarantined requests and lift a quarantine."""
 
 import json
 import unittest
@@ -8,25 +8,25 @@
 
 from yewloom.caller_messages import CallerRequest
 from yewloom.ids import EntryHostId, Fingerprint
-from yewloom.quarantine import FIRST_HOLD_S, Quarantine
+from yewloom.quarantine import INITIAL_HOLD_S, Quarantine
 from yewloom.quarantine_page import QuarantinePage
 
 F = Fingerprint(0xAB)
 
 
 class _Reply:
-    """Keeps what is answered."""
+    """Records the answer."""
 
     def __init__(self) -> None:
         self.status, self.body = 0, b""
 
     async def send_whole(self, status: int, headers: object, body: bytes) -> None:
-        """Keep an answer."""
+        """Record an answer."""
         self.status, self.body = status, body
 
 
 class TestQuarantinePage(unittest.TestCase):
-    """The list, and letting go."""
+    """Listing and lifting."""
 
     def setUp(self) -> None:
         self.quarantine = Quarantine(EntryHostId("me"), list)
@@ -43,17 +43,22 @@
         trio.run(main)
         return reply.status, json.loads(reply.body) if reply.body else None
 
-    def test_it_lists_what_is_held(self) -> None:
+    def test_it_lists_quarantined_requests(self) -> None:
         status, listed = self._ask(b"GET", b"/quarantine")
         self.assertEqual(status, 200)
-        held = {"fingerprint": "00000000000000ab", "count": 1, "age_s": 0, "wait_s": FIRST_HOLD_S}
-        self.assertEqual(listed, [held])
-
-    def test_a_request_is_let_go_by_its_fingerprint(self) -> None:
+        quarantined = {
+            "fingerprint": "00000000000000ab",
+            "count": 1,
+            "age_s": 0,
+            "wait_s": INITIAL_HOLD_S,
+        }
+        self.assertEqual(listed, [quarantined])
+
+    def test_a_quarantine_is_lifted_by_fingerprint(self) -> None:
         self.assertEqual(self._ask(b"POST", b"/quarantine/00000000000000ab/lift")[0], 200)
-        self.assertFalse(self.quarantine.is_held(F))
+        self.assertFalse(self.quarantine.is_quarantined(F))
 
-    def test_what_names_no_request_that_is_held_changes_nothing(self) -> None:
+    def test_requests_for_other_fingerprints_or_paths_change_nothing(self) -> None:
         for method, path in (
             (b"POST", b"/quarantine/00000000000000ac/lift"),
             (b"POST", b"/quarantine/oops/lift"),
@@ -61,8 +66,8 @@
             (b"GET", b"/quarantine/00000000000000ab/lift"),
         ):
             self.assertEqual(self._ask(method, path)[0], 404)
-            self.assertTrue(self.quarantine.is_held(F))
+            self.assertTrue(self.quarantine.is_quarantined(F))
 
-    def test_other_paths_are_left_to_the_metrics(self) -> None:
+    def test_other_paths_do_not_belong_to_the_page(self) -> None:
         request = CallerRequest(b"GET", b"/metrics", [], b"", 0.0, 0.0, 1, None)
         self.assertFalse(QuarantinePage(self.quarantine).answers(request))
