--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -125,7 +125,7 @@
     Mutation(
         "claims: a key is known by its hash when its claim is gone",
         "claims",
-        "if earlier is None and hash64(claim.key) in known:",
+        "if earlier is None and hash64(claim.key) in known_hashes:",
         "if False:",
         "test_claims",
     ),
--- a/yewloom/claim_writer.py
+++ b/yewloom/claim_writer.py
@@ -1,4 +1,4 @@
-"""Writes claims to the platform in groups: all that wait for one shard go in one update."""
+"""Writes claims to the platform in batches: one update for all pending claims of a shard."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -31,23 +31,23 @@
 
 logger = structlog.get_logger(__name__)
 
-CLAIM_PREFIX = "claims/"
+CLAIM_KEY_PREFIX = "claims/"
 MAX_CONFLICTS = 20
-"""Conflicts after which a batch is given up."""
+"""Write conflicts after which a batch fails."""
 
 RETRY_PAUSE_S = 2.0
-"""Pause before results that could not be stored are tried again."""
+"""Pause before storing results is retried."""
 
 
 @value_class
 class ClaimUnavailable:
-    """The platform could not take a claim, so its request must not run."""
+    """A claim could not be stored in the platform, so its request must not run."""
 
     detail: str
 
 
 @dataclass
-class _Waiting:
+class _PendingClaim:
     claim: ClaimRequest
     done: trio.Event = field(default_factory=trio.Event)
     answer: Result[ClaimAnswer, ClaimUnavailable] | None = None
@@ -56,20 +56,20 @@
 @dataclass
 class _Shard:
     key: str
-    waiting: list[_Waiting] = field(default_factory=list)
+    pending: list[_PendingClaim] = field(default_factory=list)
     results: list[ClaimResult] = field(default_factory=list)
     record: ClaimShard = field(default_factory=ClaimShard)
     version: int = 0
     is_writing: bool = False
 
-    def take_in(self, stored: StoredObject | None) -> None:
-        """Go on from what stands in the platform."""
-        self.record = ClaimShard() if stored is None else _parse(stored)
+    def adopt(self, stored: StoredObject | None) -> None:
+        """Continue from the record that is stored in the platform."""
+        self.record = ClaimShard() if stored is None else _parse_shard(stored)
         self.version = 0 if stored is None else stored.version
 
 
 class ClaimWriter:
-    """Claims idempotency keys and stores results; its writes are tasks of the starter given."""
+    """Claims idempotency keys and stores results, in tasks of the given ``TaskStarter``."""
 
     def __init__(
         self,
@@ -86,36 +86,36 @@
         self._retention_ms = retention_ms
         self._timeout_s = timeout_s
         self._unix_ms = unix_ms
-        self._shards = [_Shard(f"{CLAIM_PREFIX}{number}") for number in range(shards)]
+        self._shards = [_Shard(f"{CLAIM_KEY_PREFIX}{number}") for number in range(shards)]
 
     async def claim(self, claim: ClaimRequest) -> Result[ClaimAnswer, ClaimUnavailable]:
-        """Claim a key; an error means that the claim does not stand and nothing may run."""
+        """Claim a key; on an error the request must not run."""
         if self._platform.is_down:
             return Err(ClaimUnavailable("the platform does not answer"))
-        waiting = _Waiting(claim)
+        pending = _PendingClaim(claim)
         shard = self._shards[shard_of(claim.key, self._shard_count)]
-        shard.waiting.append(waiting)
+        shard.pending.append(pending)
         self._start_writing(shard)
         try:
-            await waiting.done.wait()
+            await pending.done.wait()
         except trio.Cancelled:
-            self._withdraw(shard, waiting)
+            self._withdraw(shard, pending)
             raise
-        assert waiting.answer is not None
-        return waiting.answer
+        assert pending.answer is not None
+        return pending.answer
 
     def store(self, result: ClaimResult) -> None:
-        """Store what became of a claimed request with the next write of its shard."""
+        """Store the result of a claimed request with the next write of its shard."""
         shard = self._shards[shard_of(result.key, self._shard_count)]
         shard.results.append(result)
         self._start_writing(shard)
 
-    def _withdraw(self, shard: _Shard, waiting: _Waiting) -> None:
-        """Take back the claim of a caller that has gone, wherever the claim stands."""
-        if waiting in shard.waiting:
-            shard.waiting.remove(waiting)
+    def _withdraw(self, shard: _Shard, pending: _PendingClaim) -> None:
+        """Withdraw the claim of a disconnected caller, or release it if it is being written."""
+        if pending in shard.pending:
+            shard.pending.remove(pending)
         else:
-            self.store(_release(waiting.claim))
+            self.store(_released_result(pending.claim))
 
     def _start_writing(self, shard: _Shard) -> None:
         if not shard.is_writing:
@@ -123,33 +123,33 @@
             self._tasks.start_soon(self._write_shard, shard)
 
     async def _write_shard(self, shard: _Shard) -> None:
-        """Write batch after batch until nothing waits or the platform fails."""
+        """Write batches until nothing is pending or the platform fails."""
         try:
-            while shard.waiting or shard.results:
-                batch, shard.waiting = shard.waiting, []
+            while shard.pending or shard.results:
+                batch, shard.pending = shard.pending, []
                 results, shard.results = shard.results, []
-                unavailable = await self._try_batch(shard, batch, results)
+                unavailable = await self._try_write_batch(shard, batch, results)
                 if unavailable is not None:
-                    self._give_up(shard, batch, results, unavailable)
-                    if not shard.waiting:
+                    self._fail_batch(shard, batch, results, unavailable)
+                    if not shard.pending:
                         return
         finally:
             shard.is_writing = False
 
-    async def _try_batch(
-        self, shard: _Shard, batch: list[_Waiting], results: list[ClaimResult]
+    async def _try_write_batch(
+        self, shard: _Shard, batch: list[_PendingClaim], results: list[ClaimResult]
     ) -> ClaimUnavailable | None:
-        """Write one batch; a record that can't be decoded counts as unavailable."""
+        """Write one batch; a record that cannot be decoded counts as unavailable."""
         try:
             return await self._write_batch(shard, batch, results)
         except RecordError as error:
             return ClaimUnavailable(str(error))
 
     async def _write_batch(
-        self, shard: _Shard, batch: list[_Waiting], results: list[ClaimResult]
+        self, shard: _Shard, batch: list[_PendingClaim], results: list[ClaimResult]
     ) -> ClaimUnavailable | None:
-        """Write one batch and answer its claims; return why it could not be written, if so."""
-        claims = [waiting.claim for waiting in batch]
+        """Write one batch and answer its claims; return an error if it could not be written."""
+        claims = [pending.claim for pending in batch]
         is_read = False
         for _ in range(MAX_CONFLICTS):
             record, answers = add_claims(
@@ -170,20 +170,20 @@
     async def _write(
         self, shard: _Shard, record: ClaimShard, attempts: set[AttemptId]
     ) -> ClaimUnavailable | None:
-        """Write a shard's record and take in what stands then."""
+        """Write the record of a shard, and adopt the record that is stored afterwards."""
         written = await write_settled(
             self._platform,
             shard.key,
             record,
             shard.version,
-            lambda stored: any(c.attempt_id in attempts for c in _parse(stored).claims),
+            lambda stored: any(c.attempt_id in attempts for c in _parse_shard(stored).claims),
             self._timeout_s,
         )
         match written:
             case Ok(stored):
-                shard.take_in(stored)
+                shard.adopt(stored)
             case Err(WriteConflict(current)):
-                shard.take_in(current)
+                shard.adopt(current)
             case Err(WriteNotApplied(detail) | WriteUnsettled(detail)):
                 return ClaimUnavailable(detail)
         return None
@@ -191,26 +191,26 @@
     async def _read(self, shard: _Shard) -> ClaimUnavailable | None:
         match await self._platform.get(shard.key):
             case Ok(stored):
-                shard.take_in(stored)
+                shard.adopt(stored)
             case Err(error):
                 return ClaimUnavailable(error.detail)
         return None
 
-    def _give_up(
+    def _fail_batch(
         self,
         shard: _Shard,
-        batch: list[_Waiting],
+        batch: list[_PendingClaim],
         results: list[ClaimResult],
         unavailable: ClaimUnavailable,
     ) -> None:
-        """Fail a batch; its claims are released later, should their write still take effect."""
+        """Fail a batch; its claims are released later, in case the write still takes effect."""
         logger.warning(
-            "claims not written", shard=shard.key, claims=len(batch), reason=unavailable.detail
+            "could not write claims", shard=shard.key, claims=len(batch), reason=unavailable.detail
         )
-        for waiting in batch:
-            waiting.answer = Err(unavailable)
-            waiting.done.set()
-        released = [_release(waiting.claim) for waiting in batch]
+        for pending in batch:
+            pending.answer = Err(unavailable)
+            pending.done.set()
+        released = [_released_result(pending.claim) for pending in batch]
         shard.results = [*results, *released, *shard.results]
         self._tasks.start_soon(self._write_later, shard)
 
@@ -220,15 +220,15 @@
             self._start_writing(shard)
 
 
-def _release(claim: ClaimRequest) -> ClaimResult:
+def _released_result(claim: ClaimRequest) -> ClaimResult:
     return ClaimResult(claim.key, claim.attempt, ClaimState.RELEASED)
 
 
-def _parse(stored: StoredObject) -> ClaimShard:
+def _parse_shard(stored: StoredObject) -> ClaimShard:
     return parse_record(stored, ClaimShard())
 
 
-def _answer_all(batch: list[_Waiting], answers: dict[AttemptId, ClaimAnswer]) -> None:
-    for waiting in batch:
-        waiting.answer = Ok(answers[waiting.claim.attempt])
-        waiting.done.set()
+def _answer_all(batch: list[_PendingClaim], answers: dict[AttemptId, ClaimAnswer]) -> None:
+    for pending in batch:
+        pending.answer = Ok(answers[pending.claim.attempt])
+        pending.done.set()
--- a/yewloom/claims.py
+++ b/yewloom/claims.py
@@ -1,14 +1,15 @@
-"""Claims: an unsafe request runs at most once across entry hosts and callers' retries.
+"""Claims: they let an unsafe request run at most once across entry hosts and callers' retries.
 
-A request's idempotency key is claimed in the platform before its first byte goes to an endpoint.
-Claims of one shard share a record that changes by conditional update, so of two entry hosts that
-claim one key, one sees the other's claim, whoever writes. Claims that wait while a write is in
-flight go together in the next one.
+The idempotency key of a request is claimed in the platform before the first byte is sent to an
+endpoint. The claims of a shard are stored in one record, which is changed by conditional updates:
+if two entry hosts claim the same key, one of them sees the other's claim. Claims that arrive while
+a write is in progress are batched into the next one.
 
-A record keeps the latest claims whole. Of older ones it keeps a hash of the key, which is enough to
-never run them again. Hashes are kept for the retention time at least, and for twice that at most.
+A record contains the newest claims in full. Of older claims it contains a hash of the key, which is
+enough to never run them again. Hashes are kept for at least the retention time, and for at most
+twice that.
 
-Times here are Unix milliseconds, since the records outlive every process.
+Times are in Unix milliseconds, since the records outlive every process.
 """
 
 from dataclasses import replace
@@ -21,17 +22,17 @@
 from yewloom.values import value_class
 
 MAX_STORED_BODY_BYTES = 2048
-"""Largest answer that is kept with its claim."""
+"""Size of the largest answer body that is stored with its claim."""
 
-MAX_WHOLE_CLAIMS = 128
-"""Claims that one shard's record keeps whole."""
+MAX_FULL_CLAIMS = 128
+"""Claims that the record of a shard contains in full."""
 
 MAX_HASHES = 30_000
-"""Hashes of keys in one shard's record, which keeps it below the platform's largest value."""
+"""Key hashes in the record of a shard, which keep it below the platform's maximum size."""
 
 
 class Verdict(Enum):
-    """What a claim's holder may do."""
+    """The decision on a claim."""
 
     RUN = "run"
     ANSWERED = "answered"
@@ -41,7 +42,7 @@
 
 @value_class
 class ClaimRequest:
-    """A wish to run an unsafe request."""
+    """An attempt to claim an idempotency key before an unsafe request is run."""
 
     key: IdempotencyKey
     attempt: AttemptId
@@ -50,7 +51,7 @@
 
 @value_class
 class ClaimResult:
-    """The answer kept with a claim, so that a repeated request gets it again."""
+    """The result of a claimed request, stored so that a repeated request gets the same answer."""
 
     key: IdempotencyKey
     attempt: AttemptId
@@ -60,13 +61,13 @@
     body: bytes = b""
 
     def without_body(self) -> "ClaimResult":
-        """Return the result without its answer."""
+        """Return the result without the body of the answer."""
         return replace(self, body=b"", content_type="")
 
 
 @value_class
 class ClaimAnswer:
-    """The verdict on a claim, with the earlier claim where there is one."""
+    """The verdict on a claim, with the earlier claim of the same key if there is one."""
 
     verdict: Verdict
     earlier: Claim | None = None
@@ -84,27 +85,29 @@
     now_unix_ms: int,
     retention_ms: int,
 ) -> tuple[ClaimShard, dict[AttemptId, ClaimAnswer]]:
-    """Return the record with results and new claims put in, and the answer to each claim.
+    """Return the record with the results and claims added, and the answer to each claim.
 
-    The answers count only once the record has been written. A claim that is already in the record
-    under the same attempt may run: it is the claimant's own write whose answer was lost.
+    The answers are valid only after the record has been written. A claim that is already in the
+    record with the same attempt id may run: it was written earlier by the same attempt, which did
+    not get the answer to that write.
     """
-    following = ClaimShard()
-    following.CopyFrom(record)
-    _rotate(following, now_unix_ms, retention_ms)
-    by_key = {IdempotencyKey(claim.key): claim for claim in following.claims}
+    updated = ClaimShard()
+    updated.CopyFrom(record)
+    _rotate(updated, now_unix_ms, retention_ms)
+    claims_by_key = {IdempotencyKey(claim.key): claim for claim in updated.claims}
     for result in results:
-        _store_result(by_key, result)
-    known = {*following.recent_hashes, *following.earlier_hashes}
+        _store_result(claims_by_key, result)
+    known_hashes = {*updated.recent_hashes, *updated.earlier_hashes}
     answers = {
-        claim.attempt: _add_claim(following, by_key, known, claim, now_unix_ms) for claim in claims
+        claim.attempt: _add_claim(updated, claims_by_key, known_hashes, claim, now_unix_ms)
+        for claim in claims
     }
-    _compact(following)
-    return following, answers
+    _compact(updated)
+    return updated, answers
 
 
 def _rotate(record: ClaimShard, now_unix_ms: int, retention_ms: int) -> None:
-    """Drop the hashes that are older than the retention time."""
+    """Drop the earlier hashes if they are older than the retention time."""
     if not record.rotated_unix_ms:
         record.rotated_unix_ms = now_unix_ms
     if now_unix_ms - record.rotated_unix_ms <= retention_ms:
@@ -116,51 +119,53 @@
 
 
 def _compact(record: ClaimShard) -> None:
-    """Keep only hashes of the oldest claims, and nothing of those that did not run."""
-    surplus = len(record.claims) - MAX_WHOLE_CLAIMS
+    """Replace the oldest claims by hashes, and drop those of requests that have not run."""
+    surplus = len(record.claims) - MAX_FULL_CLAIMS
     if surplus <= 0:
         return
     oldest = list(record.claims[:surplus])
     del record.claims[:surplus]
-    ran = (claim for claim in oldest if claim.state != ClaimState.RELEASED.value)
-    record.recent_hashes.extend(hash64(claim.key) for claim in ran)
+    claims_run = (claim for claim in oldest if claim.state != ClaimState.RELEASED.value)
+    record.recent_hashes.extend(hash64(claim.key) for claim in claims_run)
 
 
-def _store_result(by_key: dict[IdempotencyKey, Claim], result: ClaimResult) -> None:
-    claim = by_key.get(result.key)
+def _store_result(claims_by_key: dict[IdempotencyKey, Claim], result: ClaimResult) -> None:
+    claim = claims_by_key.get(result.key)
     if claim is None or claim.attempt_id != result.attempt:
         return
-    kept = result if len(result.body) <= MAX_STORED_BODY_BYTES else result.without_body()
-    claim.state = kept.state.value
-    claim.status = kept.status
-    claim.content_type = kept.content_type
-    claim.body = kept.body
+    stored = result if len(result.body) <= MAX_STORED_BODY_BYTES else result.without_body()
+    claim.state = stored.state.value
+    claim.status = stored.status
+    claim.content_type = stored.content_type
+    claim.body = stored.body
 
 
 def _add_claim(
     record: ClaimShard,
-    by_key: dict[IdempotencyKey, Claim],
-    known: set[int],
+    claims_by_key: dict[IdempotencyKey, Claim],
+    known_hashes: set[int],
     claim: ClaimRequest,
     now_unix_ms: int,
 ) -> ClaimAnswer:
-    earlier = by_key.get(claim.key)
-    if earlier is None and hash64(claim.key) in known:
+    earlier = claims_by_key.get(claim.key)
+    if earlier is None and hash64(claim.key) in known_hashes:
         return ClaimAnswer(Verdict.TAKEN, Claim(key=claim.key, state=ClaimState.DONE.value))
     if earlier is not None and earlier.attempt_id == claim.attempt:
         return ClaimAnswer(Verdict.RUN)
     if earlier is None or earlier.state == ClaimState.RELEASED.value:
-        if earlier is None and len(known) >= MAX_HASHES:
+        if earlier is None and len(known_hashes) >= MAX_HASHES:
             return ClaimAnswer(Verdict.FULL)
-        by_key[claim.key] = _put(record, earlier, claim, now_unix_ms)
+        claims_by_key[claim.key] = _insert(record, earlier, claim, now_unix_ms)
         return ClaimAnswer(Verdict.RUN)
     if earlier.state == ClaimState.DONE.value and earlier.body:
         return ClaimAnswer(Verdict.ANSWERED, earlier)
     return ClaimAnswer(Verdict.TAKEN, earlier)
 
 
-def _put(record: ClaimShard, earlier: Claim | None, claim: ClaimRequest, now_unix_ms: int) -> Claim:
-    """Put a claim into a record, in place of an earlier one that did not run."""
+def _insert(
+    record: ClaimShard, earlier: Claim | None, claim: ClaimRequest, now_unix_ms: int
+) -> Claim:
+    """Add a claim to a record, replacing an earlier one of a request that has not run."""
     if earlier is not None:
         record.claims.remove(earlier)
     return record.claims.add(
--- a/yewloom/idempotency.py
+++ b/yewloom/idempotency.py
@@ -1,4 +1,4 @@
-"""Runs unsafe requests at most once, by a claim on the idempotency key before the first byte."""
+"""Runs unsafe requests at most once, by claiming the idempotency key before sending them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,7 +15,7 @@
 
 @value_class
 class KeptAnswer:
-    """A whole answer that can be given again."""
+    """A complete answer that can be returned again for the same key."""
 
     status: int
     content_type: str
@@ -23,7 +23,7 @@
 
 
 class IdempotentRunner:
-    """Runs each idempotency key at most once in the fleet."""
+    """Runs the request of each idempotency key at most once in the fleet."""
 
     def __init__(
         self, claims: ClaimWriter, holder: EntryHostId, new_attempt: Callable[[], AttemptId]
@@ -35,7 +35,7 @@
     async def run(
         self, key: IdempotencyKey, run: Callable[[], Awaitable[KeptAnswer]]
     ) -> KeptAnswer:
-        """Run a request or return the answer of its earlier run; raises Problem."""
+        """Run a request, or return the stored answer of its earlier run; may raise Problem."""
         claim = ClaimRequest(key, self._new_attempt(), self._holder)
         earlier = await self.claim(claim)
         if earlier is not None:
@@ -50,7 +50,10 @@
         return answer
 
     async def claim(self, claim: ClaimRequest) -> KeptAnswer | None:
-        """Claim a key; return the kept answer if it has run. Raises Problem if it must not run."""
+        """Claim a key; return the stored answer if its request has already run.
+
+        Raise Problem if the request must not run.
+        """
         match await self._claims.claim(claim):
             case Ok(answer):
                 return _check_verdict(answer)
@@ -64,7 +67,7 @@
     def finish(
         self, claim: ClaimRequest, state: ClaimState, answer: KeptAnswer | None = None
     ) -> None:
-        """Record what became of a claimed request."""
+        """Store the result of a claimed request."""
         result = ClaimResult(claim.key, claim.attempt, state)
         if answer is not None:
             result = ClaimResult(
@@ -81,10 +84,10 @@
     assert answer.earlier is not None
     if answer.verdict is Verdict.ANSWERED:
         return KeptAnswer(answer.earlier.status, answer.earlier.content_type, answer.earlier.body)
-    raise _taken(answer.earlier)
+    raise _conflict_problem(answer.earlier)
 
 
-def _taken(earlier: Claim) -> Problem:
+def _conflict_problem(earlier: Claim) -> Problem:
     if earlier.state == ClaimState.DONE.value:
         detail = "An earlier request with this key has run; its answer was not kept."
     else:
--- a/yewloom/tests/test_claims.py
+++ b/yewloom/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims: an unsafe request runs at most once, whatever the platform and hosts do."""
+"""Tests of claims: an unsafe request runs at most once, however the platform and hosts fail."""
 
 import unittest
 from collections import Counter
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewloom.claim_writer import CLAIM_PREFIX, ClaimWriter
+from yewloom.claim_writer import CLAIM_KEY_PREFIX, ClaimWriter
 from yewloom.claims import (
+    MAX_FULL_CLAIMS,
     MAX_HASHES,
-    MAX_WHOLE_CLAIMS,
     ClaimRequest,
     ClaimResult,
     Verdict,
@@ -29,35 +29,35 @@
 
 
 @dataclass(frozen=True)
-class _Sending:
-    """One sending of a key to one entry host; the caller may go before it is answered."""
+class _Submission:
+    """A request with a key to an entry host; the caller disconnects after ``timeout_s``."""
 
     key: IdempotencyKey
     entry: int
     start_s: float
-    patience_s: float
+    timeout_s: float
     is_refused: bool
 
 
-_SENDINGS = st.builds(
-    _Sending,
+_SUBMISSIONS = st.builds(
+    _Submission,
     key=st.sampled_from([IdempotencyKey("k1"), IdempotencyKey("k2")]),
     entry=st.integers(0, 2),
     start_s=st.floats(0, 3),
-    patience_s=st.sampled_from([0.05, 1.0, 30.0]),
+    timeout_s=st.sampled_from([0.05, 1.0, 30.0]),
     is_refused=st.booleans(),
 )
 _FAULTS = st.lists(st.sampled_from(list(Fault)), max_size=12)
 _TIMES = st.lists(st.floats(0, 4), max_size=3)
 
 
-class _Trial:
-    """Entry hosts that share one platform, and the endpoint that counts what runs."""
+class _Harness:
+    """Entry hosts that share a platform, and an endpoint that counts runs by key."""
 
     def __init__(self, platform: FakePlatform) -> None:
         self.platform = platform
         self.runs: Counter[IdempotencyKey] = Counter()
-        self.told: list[tuple[IdempotencyKey, Outcome]] = []
+        self.outcomes: list[tuple[IdempotencyKey, Outcome]] = []
         self.attempts = 0
 
     def new_attempt(self) -> AttemptId:
@@ -68,139 +68,141 @@
         writer = ClaimWriter(self.platform, nursery, 1, RETENTION_MS, 0.5, lambda: 0)
         return IdempotentRunner(writer, EntryHostId(name), self.new_attempt)
 
-    async def send(self, runner: IdempotentRunner, sending: _Sending) -> None:
+    async def send(self, runner: IdempotentRunner, submission: _Submission) -> None:
         async def run() -> KeptAnswer:
-            if sending.is_refused:
+            if submission.is_refused:
                 raise unavailable("refused", Outcome.NOT_RUN)
-            self.runs[sending.key] += 1
+            self.runs[submission.key] += 1
             await trio.sleep(0.2)
             return KeptAnswer(200, "text/plain", b"done")
 
-        await trio.sleep(sending.start_s)
-        with trio.move_on_after(sending.patience_s):
+        await trio.sleep(submission.start_s)
+        with trio.move_on_after(submission.timeout_s):
             try:
-                await runner.run(sending.key, run)
-                self.told.append((sending.key, Outcome.ANSWERED))
+                await runner.run(submission.key, run)
+                self.outcomes.append((submission.key, Outcome.ANSWERED))
             except Problem as problem:
-                self.told.append((sending.key, problem.outcome))
+                self.outcomes.append((submission.key, problem.outcome))
 
 
 class TestAtMostOnce(unittest.TestCase):
-    """Two or more sendings of one key, over several entry hosts, with failures doubled."""
+    """Repeated requests with one key to several entry hosts, with combined failures."""
 
     @settings(max_examples=150)
-    @given(st.lists(_SENDINGS, min_size=2, max_size=6), _FAULTS, _TIMES, _TIMES, _TIMES)
+    @given(st.lists(_SUBMISSIONS, min_size=2, max_size=6), _FAULTS, _TIMES, _TIMES, _TIMES)
     def test_a_key_runs_at_most_once(
         self,
-        sendings: list[_Sending],
+        submissions: list[_Submission],
         faults: list[Fault],
         outages: list[float],
         late_times: list[float],
         kills: list[float],
     ) -> None:
-        async def scenario() -> _Trial:
+        async def scenario() -> _Harness:
             platform = FakePlatform()
             platform.faults = list(faults)
-            trial = _Trial(platform)
+            harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
                 for outage_s in outages:
                     nursery.start_soon(_outage, platform, outage_s)
                 for late_s in late_times:
                     nursery.start_soon(_apply_late, platform, late_s)
                 for entry in range(3):
-                    own = [sending for sending in sendings if sending.entry == entry]
+                    own = [submission for submission in submissions if submission.entry == entry]
                     kill_s = kills[entry] if entry < len(kills) else 60.0
-                    nursery.start_soon(_entry_host, trial, entry, own, kill_s)
-            return trial
+                    nursery.start_soon(_entry_host, harness, entry, own, kill_s)
+            return harness
 
-        trial = run_on_mock_clock(scenario)
-        for key, count in trial.runs.items():
+        harness = run_on_mock_clock(scenario)
+        for key, count in harness.runs.items():
             self.assertLessEqual(count, 1, f"{key} ran {count} times")
-        answered = {key for key, outcome in trial.told if outcome is Outcome.ANSWERED}
-        self.assertLessEqual(answered, set(trial.runs))
+        answered = {key for key, outcome in harness.outcomes if outcome is Outcome.ANSWERED}
+        self.assertLessEqual(answered, set(harness.runs))
 
-    def test_a_repeat_gets_the_kept_answer_at_another_entry_host(self) -> None:
-        async def scenario() -> _Trial:
-            trial = _Trial(FakePlatform())
+    def test_a_repeat_at_another_entry_host_gets_the_stored_answer(self) -> None:
+        async def scenario() -> _Harness:
+            harness = _Harness(FakePlatform())
             async with trio.open_nursery() as nursery:
                 for name in ("e0", "e1"):
-                    runner = trial.runner(name, nursery)
-                    sending = _Sending(IdempotencyKey("k"), 0, 0, 30, False)
-                    await trial.send(runner, sending)
+                    runner = harness.runner(name, nursery)
+                    submission = _Submission(IdempotencyKey("k"), 0, 0, 30, False)
+                    await harness.send(runner, submission)
                     await trio.sleep(1)
-            return trial
+            return harness
 
-        trial = run_on_mock_clock(scenario)
-        self.assertEqual(trial.runs[IdempotencyKey("k")], 1)
-        self.assertEqual([outcome for _, outcome in trial.told], [Outcome.ANSWERED] * 2)
+        harness = run_on_mock_clock(scenario)
+        self.assertEqual(harness.runs[IdempotencyKey("k")], 1)
+        self.assertEqual([outcome for _, outcome in harness.outcomes], [Outcome.ANSWERED] * 2)
 
-    def test_an_outage_is_told_as_not_run_at_once(self) -> None:
-        async def scenario() -> tuple[_Trial, float]:
+    def test_during_an_outage_not_run_is_reported_immediately(self) -> None:
+        async def scenario() -> tuple[_Harness, float]:
             platform = FakePlatform()
             platform.is_refusing = True
-            trial = _Trial(platform)
+            harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
-                runner = trial.runner("e0", nursery)
-                await trial.send(runner, _Sending(IdempotencyKey("k"), 0, 0, 30, False))
+                runner = harness.runner("e0", nursery)
+                await harness.send(runner, _Submission(IdempotencyKey("k"), 0, 0, 30, False))
                 waited_s = trio.current_time()
                 nursery.cancel_scope.cancel()
-            return trial, waited_s
+            return harness, waited_s
 
-        trial, waited_s = run_on_mock_clock(scenario)
-        self.assertEqual(trial.told, [("k", Outcome.NOT_RUN)])
-        self.assertEqual(trial.runs[IdempotencyKey("k")], 0)
+        harness, waited_s = run_on_mock_clock(scenario)
+        self.assertEqual(harness.outcomes, [("k", Outcome.NOT_RUN)])
+        self.assertEqual(harness.runs[IdempotencyKey("k")], 0)
         self.assertLess(waited_s, 0.1)
 
-    def test_while_the_platform_is_known_down_no_claim_waits_for_it(self) -> None:
+    def test_no_claim_waits_for_a_platform_that_is_known_to_be_down(self) -> None:
         async def scenario() -> tuple[list[tuple[IdempotencyKey, Outcome]], int]:
             platform = FakePlatform()
             platform.is_down = True
-            trial = _Trial(platform)
+            harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
-                runner = trial.runner("e0", nursery)
-                await trial.send(runner, _Sending(IdempotencyKey("k"), 0, 0, 30, False))
-            return trial.told, platform.calls.total()
+                runner = harness.runner("e0", nursery)
+                await harness.send(runner, _Submission(IdempotencyKey("k"), 0, 0, 30, False))
+            return harness.outcomes, platform.calls.total()
 
-        told, calls = run_on_mock_clock(scenario)
-        self.assertEqual(told, [(IdempotencyKey("k"), Outcome.NOT_RUN)])
+        outcomes, calls = run_on_mock_clock(scenario)
+        self.assertEqual(outcomes, [(IdempotencyKey("k"), Outcome.NOT_RUN)])
         self.assertEqual(calls, 0)
 
-    def test_a_record_that_cannot_be_decoded_is_told_as_not_run(self) -> None:
-        async def scenario() -> _Trial:
+    def test_with_a_record_that_cannot_be_decoded_not_run_is_reported(self) -> None:
+        async def scenario() -> _Harness:
             platform = FakePlatform()
-            key = f"{CLAIM_PREFIX}0"
+            key = f"{CLAIM_KEY_PREFIX}0"
             platform.objects[key] = StoredObject(key, 1, '{"claims": 7}')
-            trial = _Trial(platform)
+            harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
-                runner = trial.runner("e0", nursery)
-                await trial.send(runner, _Sending(IdempotencyKey("k"), 0, 0, 30, False))
+                runner = harness.runner("e0", nursery)
+                await harness.send(runner, _Submission(IdempotencyKey("k"), 0, 0, 30, False))
                 nursery.cancel_scope.cancel()
-            return trial
+            return harness
 
-        self.assertEqual(run_on_mock_clock(scenario).told, [("k", Outcome.NOT_RUN)])
+        self.assertEqual(run_on_mock_clock(scenario).outcomes, [("k", Outcome.NOT_RUN)])
 
     def test_a_refused_request_may_be_sent_again(self) -> None:
-        async def scenario() -> _Trial:
-            trial = _Trial(FakePlatform())
+        async def scenario() -> _Harness:
+            harness = _Harness(FakePlatform())
             async with trio.open_nursery() as nursery:
-                runner = trial.runner("e0", nursery)
+                runner = harness.runner("e0", nursery)
                 for is_refused in (True, False):
-                    await trial.send(runner, _Sending(IdempotencyKey("k"), 0, 0, 30, is_refused))
-            return trial
+                    await harness.send(
+                        runner, _Submission(IdempotencyKey("k"), 0, 0, 30, is_refused)
+                    )
+            return harness
 
-        trial = run_on_mock_clock(scenario)
-        outcomes = [outcome for _, outcome in trial.told]
+        harness = run_on_mock_clock(scenario)
+        outcomes = [outcome for _, outcome in harness.outcomes]
         self.assertEqual(outcomes, [Outcome.NOT_RUN, Outcome.ANSWERED])
 
-    def test_claims_that_wait_together_go_in_one_write(self) -> None:
+    def test_pending_claims_are_written_in_batches(self) -> None:
         async def scenario() -> FakePlatform:
             platform = FakePlatform()
-            trial = _Trial(platform)
+            harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
-                runner = trial.runner("e0", nursery)
+                runner = harness.runner("e0", nursery)
                 for number in range(50):
                     key = IdempotencyKey(f"k{number}")
-                    nursery.start_soon(trial.send, runner, _Sending(key, 0, 0, 30, False))
+                    nursery.start_soon(harness.send, runner, _Submission(key, 0, 0, 30, False))
             return platform
 
         platform = run_on_mock_clock(scenario)
@@ -208,24 +210,24 @@
 
 
 class TestAddClaims(unittest.TestCase):
-    """Single changes of a record."""
+    """Single updates of a record."""
 
     def _claim(self, key: str, attempt: str) -> ClaimRequest:
         return ClaimRequest(IdempotencyKey(key), AttemptId(attempt), EntryHostId("e"))
 
-    def test_a_full_record_takes_no_more_claims(self) -> None:
+    def test_a_full_record_rejects_claims(self) -> None:
         record = ClaimShard(recent_hashes=range(MAX_HASHES), rotated_unix_ms=1)
         _, answers = add_claims(record, [self._claim("k", "a")], [], 1, RETENTION_MS)
         self.assertIs(answers[AttemptId("a")].verdict, Verdict.FULL)
 
-    @given(st.lists(st.integers(0, 3 * MAX_WHOLE_CLAIMS), max_size=20))
+    @given(st.lists(st.integers(0, 3 * MAX_FULL_CLAIMS), max_size=20))
     def test_no_key_runs_again_however_many_came_since(self, repeats: list[int]) -> None:
         record = ClaimShard()
-        for number in range(3 * MAX_WHOLE_CLAIMS + 1):
+        for number in range(3 * MAX_FULL_CLAIMS + 1):
             claim = self._claim(f"k{number}", f"a{number}")
             record, answers = add_claims(record, [claim], [], 1, RETENTION_MS)
             self.assertIs(answers[claim.attempt].verdict, Verdict.RUN)
-        self.assertEqual(len(record.claims), MAX_WHOLE_CLAIMS)
+        self.assertEqual(len(record.claims), MAX_FULL_CLAIMS)
         for number in repeats:
             claim = self._claim(f"k{number}", "again")
             record, answers = add_claims(record, [claim], [], 1, RETENTION_MS)
@@ -234,29 +236,29 @@
     def test_a_released_claim_may_run_again_after_it_was_compacted(self) -> None:
         record, _ = add_claims(ClaimShard(), [self._claim("k", "a")], [], 1, RETENTION_MS)
         released = ClaimResult(IdempotencyKey("k"), AttemptId("a"), ClaimState.RELEASED)
-        others = [self._claim(f"k{i}", f"a{i}") for i in range(MAX_WHOLE_CLAIMS)]
+        others = [self._claim(f"k{i}", f"a{i}") for i in range(MAX_FULL_CLAIMS)]
         record, _ = add_claims(record, others, [released], 1, RETENTION_MS)
         _, answers = add_claims(record, [self._claim("k", "b")], [], 1, RETENTION_MS)
         self.assertIs(answers[AttemptId("b")].verdict, Verdict.RUN)
 
     def test_a_result_of_another_attempt_is_not_stored(self) -> None:
         record, _ = add_claims(ClaimShard(), [self._claim("k", "a1")], [], 0, RETENTION_MS)
-        stray = ClaimResult(IdempotencyKey("k"), AttemptId("a2"), ClaimState.RELEASED)
-        record, _ = add_claims(record, [], [stray], 0, RETENTION_MS)
+        other_result = ClaimResult(IdempotencyKey("k"), AttemptId("a2"), ClaimState.RELEASED)
+        record, _ = add_claims(record, [], [other_result], 0, RETENTION_MS)
         self.assertEqual(record.claims[0].state, ClaimState.CLAIMED.value)
 
-    def test_a_large_answer_is_not_kept_but_the_claim_is(self) -> None:
+    def test_a_large_answer_is_not_stored_but_the_claim_is(self) -> None:
         record, _ = add_claims(ClaimShard(), [self._claim("k", "a1")], [], 0, RETENTION_MS)
-        big = ClaimResult(
+        large = ClaimResult(
             IdempotencyKey("k"), AttemptId("a1"), ClaimState.DONE, 200, "text/plain", b"x" * 9999
         )
-        record, _ = add_claims(record, [], [big], 0, RETENTION_MS)
+        record, _ = add_claims(record, [], [large], 0, RETENTION_MS)
         _, answers = add_claims(record, [self._claim("k", "a2")], [], 0, RETENTION_MS)
         self.assertEqual(answers[AttemptId("a2")].verdict, Verdict.TAKEN)
 
-    def test_hashes_outlast_the_retention_and_go_after_twice_that(self) -> None:
-        old = [self._claim(f"k{i}", f"a{i}") for i in range(MAX_WHOLE_CLAIMS + 1)]
-        record, _ = add_claims(ClaimShard(), old, [], 1, RETENTION_MS)
+    def test_hashes_are_kept_for_the_retention_time_and_dropped_after_twice_that(self) -> None:
+        claims = [self._claim(f"k{i}", f"a{i}") for i in range(MAX_FULL_CLAIMS + 1)]
+        record, _ = add_claims(ClaimShard(), claims, [], 1, RETENTION_MS)
         record, answers = add_claims(
             record, [self._claim("k0", "b")], [], RETENTION_MS + 2, RETENTION_MS
         )
@@ -265,14 +267,16 @@
         self.assertEqual([*record.recent_hashes, *record.earlier_hashes], [])
 
 
-async def _entry_host(trial: _Trial, entry: int, sendings: list[_Sending], kill_s: float) -> None:
-    """Run one entry host until its sendings are answered or it is killed."""
+async def _entry_host(
+    harness: _Harness, entry: int, submissions: list[_Submission], kill_s: float
+) -> None:
+    """Run one entry host until its submissions are answered or it is killed."""
     with trio.move_on_after(kill_s):
         async with trio.open_nursery() as nursery:
-            runner = trial.runner(f"e{entry}", nursery)
+            runner = harness.runner(f"e{entry}", nursery)
             async with trio.open_nursery() as senders:
-                for sending in sendings:
-                    senders.start_soon(trial.send, runner, sending)
+                for submission in submissions:
+                    senders.start_soon(harness.send, runner, submission)
             await trio.sleep(5)
             nursery.cancel_scope.cancel()
 
--- a/yewloom/tests/test_crash_record.py
+++ b/yewloom/tests/test_crash_record.py
@@ -106,9 +106,7 @@
         self._crash(CRASHES, CAUSE, at_s=RETENTION_S + CRASHES)
         self.assertEqual(self.host.quarantined(), set())
 
-    def test_a_trial_that_crashes_an_endpoint_starts_the_next_quarantine(
-        self,
-    ) -> None:
+    def test_a_trial_that_crashes_an_endpoint_starts_the_next_quarantine(self) -> None:
         for number in range(CRASHES):
             self._crash(number, CAUSE)
         trial_due_s = CRASHES - 1 + INITIAL_HOLD_S
