--- a/yewloom/retries.py
+++ b/yewloom/retries.py
@@ -84,7 +84,7 @@
         self.outcome = Outcome.NOT_RUN
 
     def on_tokens_received(self) -> None:
-        """Note that the stream has advanced: resumes are counted anew, and the call has started."""
+        """Record that tokens arrived: reset the resume count; the call may now have run."""
         self._resumes = 0
         self.outcome = Outcome.UNKNOWN
 
--- a/yewloom/routing.py
+++ b/yewloom/routing.py
@@ -161,7 +161,7 @@
     load = chosen.load(request.entry_hosts)
     return Route(
         chosen.group_id,
-        f"estimated {cost_s * 1000:.0f} ms, longest_match of {len(compared)} compared, "
+        f"estimated {cost_s * 1000:.0f} ms, best of {len(compared)} compared, "
         f"load {load}/{chosen.capacity}, {chosen.matched_blocks} blocks cached",
     )
 
--- a/yewloom/tests/test_admission.py
+++ b/yewloom/tests/test_admission.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.admission = Admission(SLOTS, max_queued=5)
-        self.places = SLOTS
+        self.slots = SLOTS
         self.now_s = 0.0
         self.count = 0
         self.customer: dict[RequestId, str] = {}
@@ -57,11 +57,11 @@
             del self.waiting[name]
             self.admission.withdraw(name)
 
-    @rule(places=st.integers(0, 5), seconds=st.floats(0, 5))
-    def change_places(self, places: int, seconds: float) -> None:
+    @rule(slots=st.integers(0, 5), seconds=st.floats(0, 5))
+    def change_slots(self, slots: int, seconds: float) -> None:
         self.now_s += seconds
-        self.places = places
-        self.admission.set_slots(places)
+        self.slots = slots
+        self.admission.set_slots(slots)
         self._apply(self.admission.advance(self.now_s))
 
     def _apply(self, decisions: list[Decision]) -> None:
@@ -69,7 +69,7 @@
             if isinstance(decision, Admitted):
                 self.waiting.pop(decision.request_id, None)
                 self.running.add(decision.request_id)
-                assert len(self.running) <= self.places
+                assert len(self.running) <= self.slots
             elif isinstance(decision, Shed):
                 self.waiting.pop(decision.request_id, None)
                 assert decision.retry_after_s > 0
--- a/yewloom/tests/test_dispatch.py
+++ b/yewloom/tests/test_dispatch.py
@@ -103,11 +103,11 @@
 class _Harness:
     """A dispatcher with fake engines, run on the mock clock."""
 
-    def __init__(self, engines: FakeEngines, groups: int = 2, places: int = 8) -> None:
+    def __init__(self, engines: FakeEngines, groups: int = 2, slots: int = 8) -> None:
         self.engines = engines
         self.groups = groups
         self.node = _node(groups)
-        self.node.admission = Admission(places, 10)
+        self.node.admission = Admission(slots, 10)
         self.places = Places(self.node.admission)
 
     def dispatcher(self, nursery: trio.Nursery) -> Dispatcher:
--- a/yewloom/tests/test_quarantine.py
+++ b/yewloom/tests/test_quarantine.py
@@ -18,7 +18,7 @@
 HOSTS = [EntryHostId(f"h{number}") for number in range(5)]
 F = Fingerprint(7)
 
-WORDS = st.builds(
+REPORTS = st.builds(
     QuarantineReport, st.just(F), st.integers(1, 3), st.booleans(), st.floats(0, INITIAL_HOLD_S)
 )
 
@@ -70,8 +70,8 @@
         quarantine.add(F, 1.0)
         self.assertEqual(quarantine.wait_s(F, 1.0), 2 * INITIAL_HOLD_S)
 
-    @given(st.permutations(list(range(6))), st.lists(WORDS, min_size=6, max_size=6))
-    def test_words_in_any_order_leave_the_same(
+    @given(st.permutations(list(range(6))), st.lists(REPORTS, min_size=6, max_size=6))
+    def test_reports_in_any_order_give_the_same_state(
         self, order: list[int], reports: list[QuarantineReport]
     ) -> None:
         one, other = _quarantine(), _quarantine()
--- a/yewloom/tests/test_routing.py
+++ b/yewloom/tests/test_routing.py
@@ -18,9 +18,9 @@
 
 
 def _candidate(
-    name: str, load: int = 0, own: int = 0, blocks: int = 0, place: DataCentreId = LOCAL
+    name: str, load: int = 0, own: int = 0, blocks: int = 0, data_centre: DataCentreId = LOCAL
 ) -> Candidate:
-    return Candidate(GroupId(name), place, load, 8, own, blocks)
+    return Candidate(GroupId(name), data_centre, load, 8, own, blocks)
 
 
 def _choose(policy: object, candidates: list[Candidate], avoid: str = "") -> str | None:
@@ -49,7 +49,7 @@
         self.assertEqual(_choose(SCORE, [_candidate("x"), full]), "x")
 
     def test_a_local_group_is_chosen_until_requests_would_queue(self) -> None:
-        remote = _candidate("y", place=REMOTE)
+        remote = _candidate("y", data_centre=REMOTE)
         self.assertEqual(_choose(SCORE, [_candidate("x", load=4), remote]), "x")
         self.assertEqual(_choose(SCORE, [_candidate("x", load=24), remote]), "y")
 
