--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -238,8 +238,8 @@
     Mutation(
         "limits: a loan counts at the lender",
         "limits",
-        "kept = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)",
-        "kept = self._own_limit(customer)",
+        "remaining = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)",
+        "remaining = self._own_limit(customer)",
         "test_limits",
     ),
     Mutation(
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -22,7 +22,7 @@
 from yewloom.problems import Problem, bad_request, unavailable
 from yewloom.progress import Progress
 from yewloom.recovery import next_step
-from yewloom.requests import ModelRequest, ShareOf, Tokens, to_arrival
+from yewloom.requests import ModelRequest, ShareLookup, Tokens, to_arrival
 from yewloom.retries import AttemptTracker, CallFailure, NextStep, RetryBudget
 from yewloom.routing import (
     Candidate,
@@ -51,7 +51,7 @@
         places: Places,
         endpoints: Endpoints,
         tasks: TaskStarter,
-        share_of: ShareOf,
+        share_of: ShareLookup,
         budget: RetryBudget,
     ) -> None:
         self._settings = node.settings
--- a/yewloom/limits.py
+++ b/yewloom/limits.py
@@ -70,8 +70,8 @@
 
     def usable(self, customer: CustomerId, now_s: float) -> int:
         """Return how many requests of a customer may be in progress here."""
-        kept = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)
-        return max(0, kept) + _sum_current(self._borrowed, customer, now_s)
+        remaining = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)
+        return max(0, remaining) + _sum_current(self._borrowed, customer, now_s)
 
     def state(
         self,
@@ -120,7 +120,7 @@
         return loans
 
     def borrow(self, loans: Iterable[Loan], asked_s: float) -> None:
-        """Add the loans of a peer; ``asked_s`` is the time before they were requested."""
+        """Add the loans of a peer; ``asked_s`` is a time before they were requested."""
         for loan in loans:
             active_loan = _ActiveLoan(loan.amount, asked_s + loan.duration_ms / 1000)
             self._borrowed.setdefault(CustomerId(loan.customer), []).append(active_loan)
@@ -165,29 +165,29 @@
     current: Shares,
     limits: Mapping[CustomerId, int],
     alive: Collection[str],
-    gone: Collection[str],
+    ended: Collection[str],
     obeyed: Mapping[str, int],
     attempt: AttemptId,
 ) -> Shares | None:
     """Return the next record, or None if nothing changes.
 
     ``limits`` are the data centre's shares of the customers' limits. They are divided equally among
-    the instances in ``alive``; those in ``gone`` are known to have ended. ``obeyed`` is the
+    the instances in ``alive``; those in ``ended`` are known to have ended. ``obeyed`` is the
     generation that each instance has confirmed to obey. The sum of the granted shares never exceeds
     the data centre's share, unless that was lowered and its holders have not confirmed this yet.
     """
-    following = Shares()
-    following.CopyFrom(current)
-    following.generation = current.generation + 1
-    following.attempt_id = attempt
-    _lower_grants(following, obeyed)
-    _remove_holders(following, alive, gone)
-    _add_holders(following, alive)
-    _set_targets(following, limits, alive)
-    _raise_grants(following, limits)
-    if list(following.holders) == list(current.holders):
+    next_record = Shares()
+    next_record.CopyFrom(current)
+    next_record.generation = current.generation + 1
+    next_record.attempt_id = attempt
+    _lower_grants(next_record, obeyed)
+    _remove_holders(next_record, alive, ended)
+    _add_holders(next_record, alive)
+    _set_targets(next_record, limits, alive)
+    _raise_grants(next_record, limits)
+    if list(next_record.holders) == list(current.holders):
         return None
-    return following
+    return next_record
 
 
 def _lower_grants(shares: Shares, obeyed: Mapping[str, int]) -> None:
@@ -199,16 +199,16 @@
             share.granted = min(share.granted, share.target)
 
 
-def _remove_holders(shares: Shares, alive: Collection[str], gone: Collection[str]) -> None:
+def _remove_holders(shares: Shares, alive: Collection[str], ended: Collection[str]) -> None:
     """Remove holders that have ended, and those not alive that hold nothing."""
-    kept = [
+    remaining = [
         holder
         for holder in shares.holders
-        if holder.instance not in gone
+        if holder.instance not in ended
         and (holder.instance in alive or any(share.granted for share in holder.shares))
     ]
     del shares.holders[:]
-    shares.holders.extend(kept)
+    shares.holders.extend(remaining)
 
 
 def _add_holders(shares: Shares, alive: Collection[str]) -> None:
--- a/yewloom/requests.py
+++ b/yewloom/requests.py
@@ -9,7 +9,7 @@
 from yewloom.streams import StreamPosition
 from yewloom.values import value_class
 
-ShareOf = Callable[[CustomerId, CustomerRow], int]
+ShareLookup = Callable[[CustomerId, CustomerRow], int]
 """Returns this entry host's share of a customer's limit."""
 
 
--- a/yewloom/service_dispatch.py
+++ b/yewloom/service_dispatch.py
@@ -10,7 +10,7 @@
 from yewloom.places import Places
 from yewloom.problems import unavailable
 from yewloom.recovery import next_step
-from yewloom.requests import ServiceRequest, ShareOf, to_arrival
+from yewloom.requests import ServiceRequest, ShareLookup, to_arrival
 from yewloom.retries import AttemptTracker, RetryBudget
 from yewloom.states import Outcome
 
@@ -25,7 +25,7 @@
         node: Node,
         places: Places,
         endpoints: Endpoints,
-        share_of: ShareOf,
+        share_of: ShareLookup,
         budget: RetryBudget,
     ) -> None:
         self._node = node
