--- a/yewloom/tests/test_admission.py
+++ b/yewloom/tests/test_admission.py
@@ -44,14 +44,14 @@
         self._apply([decision])
 
     @rule(data=st.data())
-    def end(self, data: st.DataObject) -> None:
+    def finish(self, data: st.DataObject) -> None:
         if self.running:
             name = data.draw(st.sampled_from(sorted(self.running)))
             self.running.discard(name)
             self._apply(self.admission.release(name, self.now_s))
 
     @rule(data=st.data())
-    def give_up_waiting(self, data: st.DataObject) -> None:
+    def withdraw(self, data: st.DataObject) -> None:
         if self.waiting:
             name = data.draw(st.sampled_from(sorted(self.waiting)))
             del self.waiting[name]
@@ -75,7 +75,7 @@
                 assert decision.retry_after_s > 0
 
     @invariant()
-    def counts_agree_and_shares_hold(self) -> None:
+    def counts_agree_and_shares_are_respected(self) -> None:
         assert self.admission.in_flight == len(self.running)
         assert self.admission.queued == len(self.waiting)
         used = Counter(self.customer[name] for name in self.running)
@@ -139,7 +139,7 @@
         decisions = admission.release(RequestId("1"), 5002.0)
         self.assertIsInstance(decisions[0], Shed)
 
-    def test_no_request_waits_longer_for_a_place_than_its_customer_allows(self) -> None:
+    def test_no_request_waits_longer_for_a_slot_than_its_customer_allows(self) -> None:
         admission = Admission(1, max_queued=100)
         admission.offer(_arrival("1", "a"), 0.0)
         bounded = replace(_arrival("2", "a"), start_by_s=1.0)
--- a/yewloom/tests/test_claims.py
+++ b/yewloom/tests/test_claims.py
@@ -221,7 +221,7 @@
         self.assertIs(answers[AttemptId("a")].verdict, Verdict.FULL)
 
     @given(st.lists(st.integers(0, 3 * MAX_FULL_CLAIMS), max_size=20))
-    def test_no_key_runs_again_however_many_came_since(self, repeats: list[int]) -> None:
+    def test_no_key_runs_again_however_many_claims_followed(self, repeats: list[int]) -> None:
         record = ClaimShard()
         for number in range(3 * MAX_FULL_CLAIMS + 1):
             claim = self._claim(f"k{number}", f"a{number}")
--- a/yewloom/tests/test_crash_checks.py
+++ b/yewloom/tests/test_crash_checks.py
@@ -72,7 +72,7 @@
         async def test(world: World) -> None:
             async with trio.open_nursery() as nursery:
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-                nursery.start_soon(trio.serve_listeners, _hold, listeners)
+                nursery.start_soon(trio.serve_listeners, _keep_open, listeners)
                 port = listeners[0].socket.getsockname()[1]
                 await world.checks.note_cut(world.list_endpoint(f"127.0.0.1:{port}"), F)
                 await trio.sleep(PROBED_S)
@@ -149,7 +149,7 @@
         """Guards against a stream that crashes one group after the other."""
 
         async def test(fixture: Fixture) -> None:
-            leaders = [ScriptedEndpoint(_cut_stream) for _ in range(CRASHES + 3)]
+            leaders = [ScriptedEndpoint(_abort_stream) for _ in range(CRASHES + 3)]
             for number, leader in enumerate(leaders):
                 await fixture.add_engine(f"e{number}", leader, ends_with_a_request=True)
             answers = [await fixture.ask("/s/1") for _ in range(3)]
@@ -189,13 +189,13 @@
     return endpoint
 
 
-async def _cut_stream(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
+async def _abort_stream(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Send the first event of a stream and end."""
     await endpoint.start(200)
     await endpoint.send(event(1))
 
 
-async def _hold(stream: trio.SocketStream) -> None:
+async def _keep_open(stream: trio.SocketStream) -> None:
     await trio.sleep_forever()
 
 
--- a/yewloom/tests/test_limited_endpoints.py
+++ b/yewloom/tests/test_limited_endpoints.py
@@ -37,7 +37,7 @@
 class TestLimitedEndpoints(unittest.TestCase):
     """The limit of an endpoint applies to all entry hosts together."""
 
-    def test_endpoints_get_no_more_than_the_limit_that_they_name(self) -> None:
+    def test_endpoints_get_no_more_requests_than_they_announce(self) -> None:
         """Guards against overloaded endpoints that get as many requests as all others."""
         limits = [f"{LIMIT_PER_S:g}"] * 4
         play = trio.run(partial(play_fragile, DURATION_S, REQUEST_PAUSE_S, limits))
--- a/yewloom/tests/test_limits.py
+++ b/yewloom/tests/test_limits.py
@@ -56,11 +56,11 @@
             del self.books[name], self.in_flight[name], self.obeyed[name]
 
     @rule()
-    def tell_of_dead_hosts(self) -> None:
+    def unlist_dead_hosts(self) -> None:
         self.listed = set(self.books)
 
     @rule(data=st.data())
-    def read_the_platform(self, data: st.DataObject) -> None:
+    def read_the_record(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
             self.books[name].apply(self.record)
@@ -84,14 +84,14 @@
         self.books[borrower_name].borrow(loans, self.now_s)
 
     @rule(data=st.data())
-    def work(self, data: st.DataObject) -> None:
+    def fill_capacity(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
             usable = self.books[name].usable(CUSTOMER, self.now_s)
             self.in_flight[name] = max(self.in_flight[name], usable)
 
     @rule(data=st.data())
-    def rest(self, data: st.DataObject) -> None:
+    def finish_all(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
             self.in_flight[name] = 0
--- a/yewloom/tests/test_retries.py
+++ b/yewloom/tests/test_retries.py
@@ -39,7 +39,7 @@
     """The next step and the outcome after each failure."""
 
     @given(st.lists(st.sampled_from(list(CallFailure)), min_size=1, max_size=12), st.booleans())
-    def test_not_run_is_told_only_while_no_call_may_have_run(
+    def test_not_run_is_reported_only_while_no_call_may_have_run(
         self, failures: list[CallFailure], can_resume: bool
     ) -> None:
         tracker = AttemptTracker(True, can_resume, RetryBudget(0.1, 100))
@@ -56,6 +56,6 @@
         steps = [tracker.on_failure(CallFailure.BROKEN, 0.0, 9.0) for _ in range(MAX_RESUMES + 1)]
         self.assertEqual(steps, [NextStep.RESUME] * MAX_RESUMES + [NextStep.REROUTE])
 
-    def test_nothing_is_tried_after_the_deadline(self) -> None:
+    def test_no_retry_after_the_deadline(self) -> None:
         tracker = AttemptTracker(False, True, RetryBudget(0.1, 10))
         self.assertIs(tracker.on_failure(CallFailure.CONNECT, 9.0, 9.0), NextStep.GIVE_UP)
