--- a/yewloom/admission.py
+++ b/yewloom/admission.py
@@ -149,7 +149,7 @@
         self._slots = slots
 
     def stop_by(self, stops_s: float) -> None:
-        """Stop admitting requests that are not expected to finish by then."""
+        """Reject requests that are not expected to finish by ``stops_s``, from now on."""
         self._stops_s = stops_s
 
     def offer(self, arrival: Arrival, now_s: float) -> Decision:
--- a/yewloom/crash_checks.py
+++ b/yewloom/crash_checks.py
@@ -33,7 +33,7 @@
 
 @dataclass
 class _PendingCheck:
-    """A check of one process, with the requests whose exchanges it has aborted.
+    """A check of one process, with the requests whose exchanges the process has aborted.
 
     ``is_probed`` is set after the first probe.
     """
--- a/yewloom/places.py
+++ b/yewloom/places.py
@@ -33,7 +33,7 @@
             self._apply_decisions(self.admission.release(arrival.request_id, trio.current_time()))
 
     def stop_by(self, stops_s: float) -> None:
-        """Reject requests that are not expected to finish by then, from now on."""
+        """Reject requests that are not expected to finish by ``stops_s``, from now on."""
         self.admission.stop_by(stops_s)
         self._apply_decisions(self.admission.advance(trio.current_time()))
 
