--- a/yewloom/admission.py
+++ b/yewloom/admission.py
@@ -21,7 +21,7 @@
 
 _SMOOTHING_FACTOR = 0.05
 _UPPER_BOUND_DEVIATIONS = 2.0
-"""Deviations above the mean at which the duration of a request is assumed to be bounded."""
+"""A request is expected to take at most this many deviations above the mean."""
 
 _MIN_RETRY_AFTER_S = 1.0
 
