--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -125,7 +125,7 @@
     Mutation(
         "claims: a key is known by its hash when its claim is gone",
         "claims",
-        "if earlier is None and hash64(claim.key) in known:",
+        "if earlier is None and hash64(claim.key) in known_hashes:",
         "if False:",
         "test_claims",
     ),
@@ -175,8 +175,8 @@
     Mutation(
         "requests: retries come from a budget",
         "retries",
-        "        if self._saved < 1:\n            return False",
-        "        if self._saved < 1:\n            return True",
+        "        if self._available < 1:\n            return False",
+        "        if self._available < 1:\n            return True",
         "test_retries",
     ),
     Mutation(
@@ -217,8 +217,8 @@
     Mutation(
         "admission: what can't end in time is not started",
         "admission",
-        "late = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]",
-        "late = [e for e in customer.waiting if e[1].deadline_s <= now_s]",
+        "expired = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]",
+        "expired = [e for e in customer.waiting if e[1].deadline_s <= now_s]",
         "test_admission",
     ),
     Mutation(
@@ -238,15 +238,15 @@
     Mutation(
         "limits: a loan counts at the lender",
         "limits",
-        "kept = self._own_part(customer) - _sum(self._lent, customer, now_s)",
-        "kept = self._own_part(customer)",
+        "remaining = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)",
+        "remaining = self._own_limit(customer)",
         "test_limits",
     ),
     Mutation(
         "limits: the borrower counts from before it asked",
         "limits",
-        "transfer = _Transfer(loan.amount, asked_s + loan.duration_ms / 1000)",
-        "transfer = _Transfer(loan.amount, asked_s + 2 * loan.duration_ms / 1000)",
+        "active_loan = _ActiveLoan(loan.amount, asked_s + loan.duration_ms / 1000)",
+        "active_loan = _ActiveLoan(loan.amount, asked_s + 2 * loan.duration_ms / 1000)",
         "test_limits",
     ),
     Mutation(
@@ -301,15 +301,15 @@
     Mutation(
         "planned stop: what is likely not to end in time is not begun",
         "admission",
-        "if now_s >= self._stop_start_s(arrival):",
+        "if now_s >= self._latest_start_before_stop_s(arrival):",
         "if False:",
         "test_work",
     ),
     Mutation(
         "planned stop: what waits and is likely not to end in time is told",
         "admission",
-        "return min(in_time_s, arrival.start_by_s, self._stop_start_s(arrival))",
-        "return min(in_time_s, arrival.start_by_s)",
+        "return min(by_deadline_s, arrival.start_by_s, self._latest_start_before_stop_s(arrival))",
+        "return min(by_deadline_s, arrival.start_by_s)",
         "test_work",
     ),
     Mutation(
