--- a/yewloom/http_calls.py
+++ b/yewloom/http_calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls by ``httpcore``, with its errors turned into kinds that say what may have happened."""
+"""HTTP calls over ``httpcore``; errors are classified by how far the call may have got."""
 
 import json
 import ssl
@@ -14,10 +14,10 @@
 from yewloom.values import value_class
 
 MAX_CONNECTIONS = 2048
-"""Connections to one host at once."""
+"""Maximum number of connections to one host."""
 
 KEEP_ALIVE_S = 10.0
-"""Time for which an idle connection is kept, unless the caller of this module says otherwise."""
+"""Default time for which an idle connection is kept."""
 
 _NEVER_SENT = (
     httpcore.ConnectError,
@@ -34,7 +34,7 @@
 
 
 class HttpFailure(Enum):
-    """How far a failed call may have come."""
+    """How far a failed call may have got."""
 
     NOT_SENT = "not_sent"
     MAYBE_SENT = "maybe_sent"
@@ -42,7 +42,7 @@
 
 
 class HttpCallError(Exception):
-    """A call got no whole answer."""
+    """A call got no complete response."""
 
     def __init__(self, failure: HttpFailure, detail: str) -> None:
         super().__init__(f"{failure.value}: {detail}")
@@ -51,47 +51,49 @@
 
 @value_class
 class HttpAnswer:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the body as decoded JSON; raises ValueError if it is none."""
+        """Return the body decoded as JSON; raises ValueError if it is not JSON."""
         return json.loads(self.body)
 
 
 @value_class
 class HttpStream:
-    """An answer whose body is read as it comes."""
+    """A response whose body is read as it arrives."""
 
     status: int
     chunks: AsyncIterator[bytes]
 
 
-class _Way:
-    """Whether a call went over a kept connection, for the log: one that is silent looks like a
-    server that is.
+class _ConnectionKind:
+    """Whether a call used a kept connection, for error messages.
+
+    A silent connection can't be told from a silent server.
     """
 
-    def __init__(self, is_kept: bool) -> None:
-        self._is_kept = is_kept
+    def __init__(self, is_reused: bool) -> None:
+        self._is_reused = is_reused
 
-    async def note(self, event: str, info: object) -> None:
-        """Take in what ``httpcore`` tells of a call."""
+    async def on_trace(self, event: str, info: object) -> None:
+        """Handle a trace event of ``httpcore``."""
         if event == "connection.connect_tcp.started":
-            self._is_kept = False
+            self._is_reused = False
 
     def __str__(self) -> str:
-        return "kept" if self._is_kept else "new"
+        return "kept" if self._is_reused else "new"
 
 
 class HttpCaller:
-    """Calls over kept connections.
+    """Makes calls over connections that are kept open.
 
-    Calls marked ``fresh`` never reuse a connection: on an old one a request may be lost without
-    a word whether it was read. After a call without an answer in time none is reused either.
+    Calls with ``fresh`` never reuse a connection: if a request on an old connection is lost,
+    nothing shows whether it was read. After a call that timed out, connections that were open then
+    are not reused either.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
         network: httpcore.AsyncNetworkBackend | None = None,
         keep_alive_s: float = KEEP_ALIVE_S,
     ) -> None:
-        """Take ``network`` in place of the system's sockets, if given."""
+        """Use ``network`` instead of the operating system's sockets, if given."""
         self._connect_timeout_s = connect_timeout_s
         self._options = PoolOptions(keep_alive_s, MAX_CONNECTIONS, tls, network)
         self._pools = HttpPools(self._options)
@@ -115,37 +117,37 @@
         headers: Mapping[str, str] | None = None,
         fresh: bool = False,
     ) -> HttpAnswer:
-        """Send a request and return its whole answer, or raise HttpCallError."""
-        way = _Way(is_kept=not fresh)
+        """Send a request and return its complete response; raises HttpCallError."""
+        connection_kind = _ConnectionKind(is_reused=not fresh)
         with trio.move_on_after(timeout_s):
             if fresh:
                 return await self._call_fresh(method, url, body, headers)
             async with self._pools.pool_for(url) as pool:
-                with _turned_errors():
+                with _converted_errors():
                     response = await pool.request(
                         method,
                         url,
                         headers=_header_list(headers),
                         content=body,
-                        extensions=self._extensions() | {"trace": way.note},
+                        extensions=self._extensions() | {"trace": connection_kind.on_trace},
                     )
-                    return _answer(response)
+                    return _to_answer(response)
         await self._pools.retire(url)
-        detail = f"{method} {url} after {timeout_s:g} s over a {way} connection"
+        detail = f"{method} {url} after {timeout_s:g} s over a {connection_kind} connection"
         raise HttpCallError(HttpFailure.TIMED_OUT, detail)
 
     @asynccontextmanager
     async def stream(
         self, method: str, url: str, body: bytes, read_timeout_s: float
     ) -> AsyncIterator[HttpStream]:
-        """Send a request and read the answer's body as it comes.
+        """Send a request and read the response body as it arrives.
 
-        ``read_timeout_s`` bounds each wait for more of the answer.
+        ``read_timeout_s`` timeouts each wait for more of the response.
         """
         extensions = self._extensions(read_timeout_s)
         try:
             async with self._pools.pool_for(url) as pool:
-                with _turned_errors():
+                with _converted_errors():
                     async with pool.stream(
                         method, url, content=body, extensions=extensions
                     ) as response:
@@ -156,7 +158,7 @@
             raise
 
     async def renew(self, url: str) -> None:
-        """Open new connections to a URL's host for all further calls."""
+        """Use new connections to a URL's host for all further calls."""
         await self._pools.retire(url)
 
     async def close(self) -> None:
@@ -167,40 +169,40 @@
         self, method: str, url: str, body: bytes, headers: Mapping[str, str] | None
     ) -> HttpAnswer:
         all_headers = [*_header_list(headers), (b"connection", b"close")]
-        with _turned_errors():
+        with _converted_errors():
             async with httpcore.AsyncConnectionPool(
                 ssl_context=self._options.tls, network_backend=self._options.network
             ) as pool:
                 response = await pool.request(
                     method, url, headers=all_headers, content=body, extensions=self._extensions()
                 )
-                return _answer(response)
+                return _to_answer(response)
 
     def _extensions(self, read_timeout_s: float | None = None) -> dict[str, Any]:
-        limits = {
+        timeouts = {
             "connect": self._connect_timeout_s,
             "pool": self._connect_timeout_s,
             "read": read_timeout_s,
         }
-        return {"timeout": limits}
+        return {"timeout": timeouts}
 
 
-class _turned_errors:  # noqa: N801 - used like a function
-    """Turn the errors of httpcore into HttpCallError."""
+class _converted_errors:  # noqa: N801 - used like a function
+    """Convert httpcore errors to HttpCallError."""
 
     def __enter__(self) -> None:
         return None
 
     def __exit__(self, kind: Any, error: BaseException | None, trace: Any) -> None:
         if isinstance(error, httpcore.ReadTimeout):
-            raise HttpCallError(HttpFailure.TIMED_OUT, _detail(error)) from error
+            raise HttpCallError(HttpFailure.TIMED_OUT, _error_detail(error)) from error
         if isinstance(error, _NEVER_SENT):
-            raise HttpCallError(HttpFailure.NOT_SENT, _detail(error)) from error
+            raise HttpCallError(HttpFailure.NOT_SENT, _error_detail(error)) from error
         if isinstance(error, _MAYBE_SENT):
-            raise HttpCallError(HttpFailure.MAYBE_SENT, _detail(error)) from error
+            raise HttpCallError(HttpFailure.MAYBE_SENT, _error_detail(error)) from error
 
 
-def _detail(error: BaseException) -> str:
+def _error_detail(error: BaseException) -> str:
     return f"{type(error).__name__} {error}".strip()
 
 
@@ -208,6 +210,6 @@
     return [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
 
 
-def _answer(response: httpcore.Response) -> HttpAnswer:
+def _to_answer(response: httpcore.Response) -> HttpAnswer:
     headers = {name.decode().lower(): value.decode("latin-1") for name, value in response.headers}
     return HttpAnswer(response.status, headers, response.content)
--- a/yewloom/http_pools.py
+++ b/yewloom/http_pools.py
@@ -1,8 +1,8 @@
-"""Connections that are kept for further calls, by the host at their other end.
+"""Connection pools for further calls, one per host.
 
-An open connection may fall silent for good without a reset, and usually not alone. So a call that
-had no answer speaks against all connections that were open with its own, and a connection that has
-rested for long is not trusted.
+An open connection may stop delivering data permanently without a reset, usually together with
+others. So when a call gets no response, all connections that were open at the same time are
+considered unreliable, and connections that were idle for long are not reused.
 """
 
 import ssl
@@ -15,15 +15,15 @@
 from yewloom.values import value_class
 
 MAX_HOSTS = 4096
-"""Hosts to which connections are kept."""
+"""Maximum number of hosts with a pool."""
 
-MAX_IDLE_A_HOST = 64
-"""Idle connections that are kept to one host."""
+MAX_IDLE_PER_HOST = 64
+"""Maximum number of idle connections per host."""
 
 
 @value_class
 class PoolOptions:
-    """How connections are opened and kept; ``network`` replaces the system's sockets, if given."""
+    """Connection options; ``network`` replaces the operating system's sockets, if given."""
 
     keep_alive_s: float
     max_connections: int
@@ -32,13 +32,13 @@
 
 
 class _Pool:
-    """The connections to one host that were opened since an earlier pool was retired."""
+    """The connections to one host that were opened since the previous pool was retired."""
 
     def __init__(self, options: PoolOptions) -> None:
         self.connections = httpcore.AsyncConnectionPool(
             ssl_context=options.tls,
             max_connections=options.max_connections,
-            max_keepalive_connections=MAX_IDLE_A_HOST,
+            max_keepalive_connections=MAX_IDLE_PER_HOST,
             keepalive_expiry=options.keep_alive_s,
             network_backend=options.network,
         )
@@ -47,9 +47,9 @@
 
 
 class HttpPools:
-    """Pools of connections, one for each host.
+    """One connection pool per host.
 
-    One pool for all would look through the connections of every host for each call.
+    With a single pool, each call would search the connections of all hosts.
     """
 
     def __init__(self, options: PoolOptions) -> None:
@@ -59,23 +59,23 @@
     @asynccontextmanager
     async def pool_for(self, url: str) -> AsyncIterator[httpcore.AsyncConnectionPool]:
         """Yield the pool of a URL's host for one call."""
-        pool = await self._pool_of(_origin(url))
+        pool = await self._get_pool(_origin(url))
         pool.calls += 1
         try:
             yield pool.connections
         finally:
             pool.calls -= 1
             if pool.is_retired:
-                await _close_unused(pool)
+                await _close_if_unused(pool)
 
     async def retire(self, url: str) -> None:
-        """Use no connection for further calls that is open to a URL's host now.
+        """Stop using the connections that are now open to a URL's host for further calls.
 
-        Calls under way go on with theirs. Without this each connection costs a time-out of its own:
-        with three idle ones that were silent a follower of the store had a change after 7.1 s, and
-        has it within 2 s. On nine hosts as processes, all of whose connections to the store fell
-        silent, changes were in force after 1.27 s at the median and 2.26 s at most, and are after
-        0.76 s and 1.24 s, together with the other measures against silence (15 rounds of
+        Calls in progress keep theirs. Otherwise each silent connection would cost a time-out of its
+        own: with three idle silent connections, a follower of the store received a change after 7.1
+        s; now it takes less than 2 s. With nine host processes whose connections to the store all
+        fell silent, changes took effect after 1.27 s (median) and 2.26 s (maximum); now after 0.76
+        s and 1.24 s, together with the other measures against silent connections (15 rounds of
         ``tools/measure_silence.py --hosts 9 --places 3``).
         """
         pool = self._pools.pop(_origin(url), None)
@@ -87,8 +87,8 @@
         while self._pools:
             await self._pools.popitem()[1].connections.aclose()
 
-    async def _pool_of(self, origin: str) -> _Pool:
-        """Return a host's pool; the one not used for longest makes room if need be."""
+    async def _get_pool(self, origin: str) -> _Pool:
+        """Return the pool of an origin; evict the least recently used one if there are too many."""
         pool = self._pools.get(origin)
         if pool is None:
             pool = self._pools[origin] = _Pool(self._options)
@@ -99,11 +99,11 @@
 
     async def _retire(self, pool: _Pool) -> None:
         pool.is_retired = True
-        await _close_unused(pool)
+        await _close_if_unused(pool)
 
 
-async def _close_unused(pool: _Pool) -> None:
-    """Close a retired pool's connections, unless a call still uses one."""
+async def _close_if_unused(pool: _Pool) -> None:
+    """Close the connections of a retired pool, unless a call still uses one."""
     if not pool.calls:
         await pool.connections.aclose()
 
--- a/yewloom/ini_files.py
+++ b/yewloom/ini_files.py
@@ -1,8 +1,8 @@
-"""How the project's INI files are read; light enough for the first moments of a process."""
+"""INI parser configuration; imports little, because it is used early during process start."""
 
 import configparser
 
 
 def new_parser() -> configparser.ConfigParser:
-    """Return a parser of INI files: values are taken as written, with comments behind them."""
+    """Return a parser without interpolation that allows inline comments."""
     return configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#", ";"))
--- a/yewloom/tests/silent_network.py
+++ b/yewloom/tests/silent_network.py
@@ -1,4 +1,4 @@
-"""A network in memory whose open connections can fall silent, with a store at its other end."""
+"""An in-memory network whose open connections can stop responding, with a store as the server."""
 
 import json
 import math
@@ -13,7 +13,7 @@
 
 
 class MemoryStore:
-    """Answers listings and watches of one object, ``config/main``, each after ``answer_s``."""
+    """Answers list and watch requests for one object, ``config/main``, each after ``answer_s``."""
 
     def __init__(self) -> None:
         self.answer_s = 0.0
@@ -30,7 +30,7 @@
         self._changed = trio.Event()
 
     async def answer(self, target: str) -> bytes:
-        """Return the answer to a request for a target."""
+        """Return the response to a request for a target."""
         await trio.sleep(self.answer_s)
         query = parse_qs(urlsplit(target).query)
         metadata = {"name": "main", "revision": self.revision}
@@ -51,21 +51,21 @@
     return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body)
 
 
-async def _wait_for_nothing(timeout_s: float | None) -> None:
+async def _time_out(timeout_s: float | None) -> None:
     with trio.move_on_after(timeout_s if timeout_s is not None else math.inf):
         await trio.sleep_forever()
     raise httpcore.ReadTimeout
 
 
 class SilentNetwork(httpcore.AsyncNetworkBackend):
-    """Opens connections to a store; ``silence_open`` lets all that are open say nothing more."""
+    """Opens connections to a store; ``silence_open`` makes all open ones stop responding."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
         self.opened: list[Connection] = []
 
     def silence_open(self) -> None:
-        """Let the connections that are open now fall silent for good, without a reset."""
+        """Make the currently open connections stop responding for good, without a reset."""
         for connection in self.opened:
             connection.is_silent = True
 
@@ -83,12 +83,12 @@
         return connection
 
     async def sleep(self, seconds: float) -> None:
-        """Wait before a connection is tried again."""
+        """Wait before a connection attempt is retried."""
         await trio.sleep(seconds)
 
 
 class Connection(httpcore.AsyncNetworkStream):
-    """One connection to the store; ``requests`` are the targets that were asked for on it."""
+    """One connection to the store; ``requests`` are the targets requested on it."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
@@ -99,12 +99,12 @@
         self.requests: list[str] = []
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Take a part of a request."""
+        """Receive a part of a request."""
         await trio.lowlevel.checkpoint()
         self._received += buffer
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return a part of the answer, or nothing ever once silent."""
+        """Return a part of the response; block until the timeout once silent."""
         if HEAD_END in self._received:
             target = self._received.split(b" ", 2)[1].decode()
             self._received = b""
@@ -112,7 +112,7 @@
             self._answer = await self._store.answer(target)
         await trio.lowlevel.checkpoint()
         if self.is_silent:
-            await _wait_for_nothing(timeout)
+            await _time_out(timeout)
         part, self._answer = self._answer[:max_bytes], self._answer[max_bytes:]
         return part
 
@@ -122,5 +122,5 @@
         await trio.lowlevel.checkpoint()
 
     def get_extra_info(self, info: str) -> Any:
-        """Say that nothing is waiting to be read: a silent connection shows nothing."""
+        """Report that nothing is readable: a silent connection shows no sign of it."""
         return False if info == "is_readable" else None
--- a/yewloom/tests/test_http_pools.py
+++ b/yewloom/tests/test_http_pools.py
@@ -17,22 +17,22 @@
 
 
 class World:
-    """A caller and the network that it calls over."""
+    """An HTTP caller and the network that it uses."""
 
     def __init__(self) -> None:
         self.network = SilentNetwork(MemoryStore())
         self.caller = HttpCaller(0.5, network=self.network, keep_alive_s=KEEP_ALIVE_S)
 
     async def call(self, url: str = URL, timeout_s: float = TIMEOUT_S) -> bool:
-        """Make a call; tell whether it was answered."""
+        """Make a call; return whether it was answered."""
         try:
             await self.caller.call("GET", url, timeout_s)
         except HttpCallError:
             return False
         return True
 
-    async def call_at_once(self, count: int) -> None:
-        """Make calls at the same time, each on a connection of its own."""
+    async def call_concurrently(self, count: int) -> None:
+        """Make several calls concurrently, each on its own connection."""
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(self.call)
@@ -46,18 +46,18 @@
 
 
 class TestHttpPools(unittest.TestCase):
-    """A connection that may be silent is not used again."""
+    """A connection that may be silent is not reused."""
 
-    def test_an_idle_connection_is_used_again(self) -> None:
+    def test_an_idle_connection_is_reused(self) -> None:
         async def test(world: World) -> None:
             self.assertTrue(await world.call() and await world.call())
             self.assertEqual(len(world.network.opened), 1)
 
         _run(test)
 
-    def test_a_connection_that_rested_for_long_is_not_used_again(self) -> None:
+    def test_a_connection_idle_for_long_is_not_reused(self) -> None:
         async def test(world: World) -> None:
-            with mock.patch("time.monotonic", trio.current_time):  # The library's own clock.
+            with mock.patch("time.monotonic", trio.current_time):  # The clock of httpcore.
                 await world.call()
                 await trio.sleep(KEEP_ALIVE_S + 0.1)
                 self.assertTrue(await world.call())
@@ -65,9 +65,9 @@
 
         _run(test)
 
-    def test_several_silent_connections_cost_one_call(self) -> None:
+    def test_several_silent_connections_cost_only_one_failed_call(self) -> None:
         async def test(world: World) -> None:
-            await world.call_at_once(3)
+            await world.call_concurrently(3)
             world.network.silence_open()
             self.assertEqual([await world.call() for _ in range(3)], [False, True, True])
             closed = [connection.is_closed for connection in world.network.opened]
@@ -75,7 +75,7 @@
 
         _run(test)
 
-    def test_a_call_under_way_keeps_its_connection_until_it_is_answered(self) -> None:
+    def test_a_call_in_progress_keeps_its_connection_until_answered(self) -> None:
         async def test(world: World) -> None:
             answered: list[bool] = []
 
@@ -93,9 +93,9 @@
 
         _run(test)
 
-    def test_a_stream_that_falls_silent_speaks_against_the_others_too(self) -> None:
+    def test_a_silent_stream_retires_the_other_connections_too(self) -> None:
         async def test(world: World) -> None:
-            await world.call_at_once(3)
+            await world.call_concurrently(3)
             world.network.silence_open()
             with self.assertRaises(HttpCallError):
                 async with world.caller.stream("GET", URL, b"", TIMEOUT_S):
--- a/yewloom/tests/test_silent_connections.py
+++ b/yewloom/tests/test_silent_connections.py
@@ -1,15 +1,17 @@
-"""Tests of a configuration that comes late because open connections have fallen silent.
-
-What was seen: a change that the store had confirmed was not in force in time. For up to 2.5 s a
-host refused a route that had been added, though its peers had told it of the newer version.
-How it came about: the open connections from the entry hosts to the store fell silent, without a
-reset, while new ones worked. A host that rests heard of the newer version and listed, over an idle
-connection that was silent too; that took the whole time-out of a call, and then its pause after a
-failed call. A host that follows waits for its watch first, and then likewise.
-Cause: the answer that did not come was taken to be of the one call, not of all connections that
-had been open; each cost a wait of its own, one after the other.
-What proved it: a soak of real processes, seed 6 of ``test_route_soak``, in whose logs the host is
-told of five versions while its listing has no answer.
+"""Tests that silent connections do not delay configuration changes.
+
+Failure: a change confirmed by the store was not in force in time. For up to 2.5 s a host rejected
+requests for an added route, although its peers had reported the newer version.
+
+Cause: the open connections from the entry hosts to the store stopped responding without a reset,
+while new connections worked. A host that does not follow the store learned of the newer version
+from a peer and listed over an idle connection that was silent too; that took the whole time-out of
+a call and the pause after a failed call. A host that follows the store first waits for its watch,
+and then does the same. The missing response was attributed to a single call instead of to all
+connections that were open, so that each cost a separate wait.
+
+Evidence: a soak test with real processes (seed 6 of ``test_route_soak``); in its logs the host is
+told of five versions while its listing gets no response.
 """
 
 import random
@@ -32,24 +34,24 @@
 from yewloom.tests.support import run_on_mock_clock
 
 TIMEOUT_S, WATCH_S, RETRY_PAUSE_S = 1.5, 1.5, 0.2
-"""As shipped."""
+"""The default values."""
 
 IN_FORCE_S = 2.0
-"""Time within which a confirmed change is in force; from the platform's pages."""
+"""Time within which a confirmed change must be in force; from the platform's documentation."""
 
-AT_ONCE_S = 0.1
-"""Time in which a call over a connection that works is answered."""
+RESPONSE_S = 0.1
+"""Time in which a call over a working connection is answered."""
 
-IDLE = 3
-"""Idle connections to the store: those of addresses, lease and endpoints."""
+IDLE_CONNECTIONS = 3
+"""Number of idle connections to the store: those for addresses, lease and endpoints."""
 
 LIMIT_S = 20.0
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 @dataclass
 class Host:
-    """An entry host's way to the configuration."""
+    """The parts of an entry host that read the configuration."""
 
     has_duty: bool
     store: MemoryStore = field(default_factory=MemoryStore)
@@ -66,7 +68,7 @@
         self.follower = Follower(self.platform, "config", intake.take, FollowedPosition(), pace)
 
     async def leave_idle(self, count: int) -> None:
-        """Leave idle connections behind, as calls at the same time do."""
+        """Leave idle connections behind, as concurrent calls do."""
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(self.platform.watch, "config", self.store.revision)
@@ -77,7 +79,7 @@
         began_s = trio.current_time()
         with trio.fail_after(LIMIT_S):
             while self.book.current is None or self.book.current.version < version:  # noqa: ASYNC110
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
         return trio.current_time() - began_s
 
 
@@ -96,23 +98,23 @@
 
 
 class TestSilentConnections(unittest.TestCase):
-    """Open connections to the store fall silent, and new ones work."""
+    """Open connections to the store stop responding, and new ones work."""
 
-    def test_a_host_that_rests_reads_what_a_peer_tells_of_at_once(self) -> None:
+    def test_a_host_that_does_not_follow_reads_a_reported_version_at_once(self) -> None:
         async def test(host: Host) -> None:
-            await host.leave_idle(IDLE)
+            await host.leave_idle(IDLE_CONNECTIONS)
             host.network.silence_open()
             host.store.write(2)
-            host.follower.list_anew()  # A peer has told of the version.
+            host.follower.list_anew()  # A peer has reported the version.
             took_s = await host.time_to(2)
-            # Its pause between two looks whether it must ask comes on top.
-            self.assertLess(took_s, 0.2 + AT_ONCE_S)
+            # The follower checks only every 0.2 s whether it must ask.
+            self.assertLess(took_s, 0.2 + RESPONSE_S)
 
         _with_host(False, test)
 
-    def test_a_silent_watch_costs_a_follower_one_wait(self) -> None:
+    def test_a_silent_watch_costs_a_follower_only_one_wait(self) -> None:
         async def test(host: Host) -> None:
-            await host.leave_idle(IDLE)
+            await host.leave_idle(IDLE_CONNECTIONS)
             for version in (2, 3, 4):
                 host.network.silence_open()
                 host.store.write(version)
@@ -120,7 +122,7 @@
 
         _with_host(True, test)
 
-    def test_a_slow_store_is_not_taken_for_a_silent_connection_time_after_time(self) -> None:
+    def test_a_slow_store_is_not_repeatedly_mistaken_for_a_silent_connection(self) -> None:
         async def test(host: Host) -> None:
             host.store.answer_s = 0.6
             host.network.opened.clear()
@@ -136,7 +138,7 @@
 
         _with_host(True, test)
 
-    def test_a_host_that_knows_of_a_newer_version_refuses_nothing_for_good(self) -> None:
+    def test_a_host_with_an_outdated_configuration_rejects_no_key_permanently(self) -> None:
         book = ConfigurationBook()
         book.apply(make_configuration(version=4), proved_s=10.0)
         trust = KeyTrust(book, 5.0, IN_FORCE_S, needs_proof=True)
