--- a/yewloom/caller_headers.py
+++ b/yewloom/caller_headers.py
@@ -1,4 +1,4 @@
-"""What the headers of requests and answers say, whatever names they have on the wire."""
+"""What the headers of requests and responses mean, independent of their names on the wire."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -9,12 +9,12 @@
 
 
 class HeaderError(Exception):
-    """A header of a request can't be understood; the text says which."""
+    """A request header is invalid; the message says which one."""
 
 
 @value_class
 class RequestMarks:
-    """What a caller says of its request; ``deadline_ms`` is None when it names no time."""
+    """Metadata from request headers; ``deadline_ms`` is None if the caller sets no timeout."""
 
     request_id: RequestId
     host: str
@@ -26,10 +26,11 @@
 
 @value_class
 class NamedLimit:
-    """A limit that an answer names, in requests a second; None if it names none.
+    """A rate limit that a response reports, in requests per second; None if it reports none.
 
-    ``is_told`` is false for an answer that tells nothing: of another process at the address, or
-    with a text that is no limit, which is ``unreadable``.
+    ``is_told`` is false if the response carries no information about the limit: because another
+    process answered at the address, or because the header value is invalid, which is then kept in
+    ``unreadable``.
     """
 
     per_s: float | None = None
@@ -39,11 +40,11 @@
 
 @value_class
 class AnswerMarks:
-    """What an endpoint says of its answer.
+    """Metadata from an endpoint's response headers.
 
-    ``is_not_run`` promises that the endpoint did not run the request; ``request_id`` names the
-    request that the answer belongs to. ``limit`` is what the endpoint says of the requests that it
-    takes from all hosts together.
+    ``is_not_run`` guarantees that the endpoint did not run the request; ``request_id`` identifies
+    the request that the response belongs to. ``limit`` is the endpoint's limit for the requests of
+    all entry hosts together.
     """
 
     request_id: RequestId | None
@@ -53,7 +54,7 @@
 
 @value_class
 class Sending:
-    """What this system adds to a request on its way to an endpoint."""
+    """What the entry host adds to a request that it forwards to an endpoint."""
 
     endpoint: HostId
     customer: CustomerId | None
@@ -62,20 +63,20 @@
 
 
 class HeaderCodec(Protocol):
-    """Translates between headers and what they say."""
+    """Translates between wire headers and their meaning."""
 
     def decode_request(self, headers: Sequence[Header]) -> RequestMarks:
-        """Return what a request's headers say; raises HeaderError."""
+        """Return the metadata in a request's headers; raises HeaderError."""
         ...
 
     def outgoing_headers(self, headers: Sequence[Header], sending: Sending) -> list[Header]:
-        """Return a request's headers as the endpoint gets them."""
+        """Return the headers of a request as they are sent to the endpoint."""
         ...
 
     def decode_answer(self, head: AnswerHead) -> AnswerMarks:
-        """Return what an answer's headers say."""
+        """Return the metadata in a response's headers."""
         ...
 
     def returned_headers(self, head: AnswerHead) -> list[Header]:
-        """Return an answer's headers as the caller gets them, without those of framing."""
+        """Return the response headers to send to the caller, without framing headers."""
         ...
--- a/yewloom/callers.py
+++ b/yewloom/callers.py
@@ -1,4 +1,4 @@
-"""The caller interface: OpenAI-compatible HTTP for models, and a route for plain services."""
+"""Caller interface of yewloomd: OpenAI-compatible HTTP, and a route for plain services."""
 
 import hashlib
 import hmac
@@ -17,9 +17,9 @@
     ChunkWriter,
     CompletionKind,
     CompletionRequest,
+    complete_response_body,
     error_event,
     parse_completion,
-    whole_answer,
 )
 from yewloom.dispatch import Dispatcher
 from yewloom.endpoints import ServiceCall
@@ -38,8 +38,8 @@
 from yewloom.requests import ModelRequest, ServiceRequest, Tokens
 from yewloom.responses import (
     EventStream,
-    answer_problem,
-    answer_unknown_path,
+    respond_problem,
+    respond_unknown_path,
     while_connected,
 )
 from yewloom.schema.table_pb2 import CustomerRow
@@ -48,12 +48,12 @@
 from yewloom.status import describe, metrics_text
 from yewloom.streams import parse_position
 
-_PASSED_HEADERS = {"content-type", "accept", "idempotency-key"}
+_FORWARDED_HEADERS = {"content-type", "accept", "idempotency-key"}
 _SERVICE_METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE"]
 
 
 class CallerInterface:
-    """Turns HTTP requests into dispatched ones and their outcomes into answers."""
+    """Converts HTTP requests to dispatched requests and their outcomes to responses."""
 
     def __init__(
         self,
@@ -72,42 +72,42 @@
     def application(self) -> Starlette:
         """Return the ASGI application."""
         routes = [
-            Route("/v1/chat/completions", self._chat, methods=["POST"]),
-            Route("/v1/completions", self._text, methods=["POST"]),
-            Route("/v1/models", self._models),
-            Route("/services/{service}/{path:path}", self._service, methods=_SERVICE_METHODS),
-            Route("/healthz", self._healthz),
-            Route("/readyz", self._readyz),
-            Route("/metrics", self._metrics),
-            Route("/status", self._status),
-            Route("/experiments/{name}", self._experiment),
+            Route("/v1/chat/completions", self._serve_chat_completion, methods=["POST"]),
+            Route("/v1/completions", self._serve_text_completion, methods=["POST"]),
+            Route("/v1/models", self._serve_models),
+            Route("/services/{service}/{path:path}", self._serve_service, methods=_SERVICE_METHODS),
+            Route("/healthz", self._serve_healthz),
+            Route("/readyz", self._serve_readyz),
+            Route("/metrics", self._serve_metrics),
+            Route("/status", self._serve_status),
+            Route("/experiments/{name}", self._serve_experiment),
         ]
-        handlers = {Problem: answer_problem, 404: answer_unknown_path}
+        handlers = {Problem: respond_problem, 404: respond_unknown_path}
         return Starlette(routes=routes, exception_handlers=handlers)  # type: ignore[arg-type]
 
-    async def _chat(self, request: Request) -> Response:
-        return await self._complete(request, CompletionKind.CHAT)
+    async def _serve_chat_completion(self, request: Request) -> Response:
+        return await self._serve_completion(request, CompletionKind.CHAT)
 
-    async def _text(self, request: Request) -> Response:
-        return await self._complete(request, CompletionKind.TEXT)
+    async def _serve_text_completion(self, request: Request) -> Response:
+        return await self._serve_completion(request, CompletionKind.TEXT)
 
-    async def _complete(self, request: Request, kind: CompletionKind) -> Response:
-        customer, row = self._customer(request)
-        completion = parse_completion(kind, await self._body(request))
+    async def _serve_completion(self, request: Request, kind: CompletionKind) -> Response:
+        customer, row = self._authenticate(request)
+        completion = parse_completion(kind, await self._read_body(request))
         self._check_model(completion)
         model_request = self._model_request(request, completion, customer, row)
         key = idempotency_key(request, customer)
         last_event = request.headers.get("last-event-id")
         if last_event is not None:
-            return await self._resume(completion, model_request, last_event)
+            return await self._resume_stream(completion, model_request, last_event)
         if completion.is_stream:
-            answer = self._stream(completion, model_request, key)
+            answer = self._start_stream(completion, model_request, key)
         else:
-            answer = self._answer_whole(completion, model_request, key)
-        # An unsafe request runs to its end, so that its answer can be kept for a repeat.
+            answer = self._complete_response(completion, model_request, key)
+        # An unsafe request continues after a disconnect, so that its response is kept for a retry.
         return await (answer if key is not None else while_connected(request, answer))
 
-    async def _answer_whole(
+    async def _complete_response(
         self, completion: CompletionRequest, request: ModelRequest, key: IdempotencyKey | None
     ) -> Response:
         async def run() -> KeptAnswer:
@@ -117,12 +117,12 @@
                 async for part in stream:
                     tokens += part.tokens
                     finish_reason = part.finish_reason
-            body = whole_answer(completion, request.request_id, tokens, finish_reason)
+            body = complete_response_body(completion, request.request_id, tokens, finish_reason)
             return KeptAnswer(200, "application/json", body)
 
-        return await self._run_counted(request.customer, key, run)
+        return await self._run_and_count(request.customer, key, run)
 
-    async def _stream(
+    async def _start_stream(
         self, completion: CompletionRequest, request: ModelRequest, key: IdempotencyKey | None
     ) -> Response:
         claim = None
@@ -139,7 +139,7 @@
         stream = self._models_dispatcher.generate(request)
         return await self._stream_response(completion, request, stream, claim)
 
-    async def _resume(
+    async def _resume_stream(
         self, completion: CompletionRequest, request: ModelRequest, last_event: str
     ) -> Response:
         position = parse_position(last_event)
@@ -155,7 +155,7 @@
         stream: AsyncGenerator[Tokens, None],
         claim: ClaimRequest | None,
     ) -> Response:
-        """Wait for the first tokens, so that a failure before them gets a proper status."""
+        """Wait for the first tokens, so that an earlier failure gets a proper HTTP status."""
         try:
             first = await anext(stream)
         except Problem as problem:
@@ -189,8 +189,8 @@
         if claim is not None:
             self._runner.finish(claim, ClaimState.DONE)
 
-    async def _service(self, request: Request) -> Response:
-        customer, customer_row = self._customer(request)
+    async def _serve_service(self, request: Request) -> Response:
+        customer, customer_row = self._authenticate(request)
         service = ServiceName(request.path_params["service"])
         row = self._node.table.services().get(service)
         if row is None:
@@ -199,8 +199,8 @@
         call = ServiceCall(
             method=request.method,
             path=path + (f"?{request.url.query}" if request.url.query else ""),
-            headers={n: v for n, v in request.headers.items() if n in _PASSED_HEADERS},
-            body=await self._body(request),
+            headers={n: v for n, v in request.headers.items() if n in _FORWARDED_HEADERS},
+            body=await self._read_body(request),
         )
         key = idempotency_key(request, customer)
         service_request = ServiceRequest(
@@ -221,9 +221,9 @@
             content_type = answer.headers.get("content-type", "application/octet-stream")
             return KeptAnswer(answer.status, content_type, answer.body)
 
-        return await self._run_counted(customer, key, run)
+        return await self._run_and_count(customer, key, run)
 
-    async def _run_counted(
+    async def _run_and_count(
         self,
         customer: CustomerId,
         key: IdempotencyKey | None,
@@ -238,31 +238,31 @@
         headers = {"x-outcome": Outcome.ANSWERED.value}
         return Response(answer.body, answer.status, headers, answer.content_type)
 
-    async def _models(self, request: Request) -> Response:
-        self._customer(request)
+    async def _serve_models(self, request: Request) -> Response:
+        self._authenticate(request)
         names = sorted({row.model for row in self._node.table.policies().values()})
         data = [{"id": n, "object": "model", "created": 0, "owned_by": "yewloom"} for n in names]
         return JSONResponse({"object": "list", "data": data})
 
-    async def _healthz(self, request: Request) -> Response:
+    async def _serve_healthz(self, request: Request) -> Response:
         return JSONResponse({"status": "ok"})
 
-    async def _readyz(self, request: Request) -> Response:
+    async def _serve_readyz(self, request: Request) -> Response:
         is_ready = self._node.is_ready
         return JSONResponse({"ready": is_ready}, status_code=200 if is_ready else 503)
 
-    async def _metrics(self, request: Request) -> Response:
+    async def _serve_metrics(self, request: Request) -> Response:
         return Response(metrics_text(self._node), media_type="text/plain; version=0.0.4")
 
-    async def _status(self, request: Request) -> Response:
+    async def _serve_status(self, request: Request) -> Response:
         return JSONResponse(describe(self._node, trio.current_time()))
 
-    async def _experiment(self, request: Request) -> Response:
+    async def _serve_experiment(self, request: Request) -> Response:
         record = self._node.experiments.get(request.path_params["name"], ExperimentRecord())
         return JSONResponse(record.to_fields())
 
-    def _customer(self, request: Request) -> tuple[CustomerId, CustomerRow]:
-        """Return the customer whose key the request carries; every row is compared."""
+    def _authenticate(self, request: Request) -> tuple[CustomerId, CustomerRow]:
+        """Return the customer whose API key the request carries; always compares every row."""
         if not self._node.accepts_requests:
             raise unavailable("This entry host is not ready or is stopping.", Outcome.NOT_RUN)
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
@@ -275,7 +275,7 @@
             raise bad_request("The key is missing or belongs to no customer.", 401)
         return found
 
-    async def _body(self, request: Request) -> bytes:
+    async def _read_body(self, request: Request) -> bytes:
         limit = self._node.settings.requests.max_body_bytes
         body = b""
         async for chunk in request.stream():
@@ -309,7 +309,7 @@
         )
 
     def _deadline_s(self, request: Request) -> float:
-        """Return when a request must have ended; what it waited for unread is gone."""
+        """Return the deadline of a request, reduced by the time it waited before it was read."""
         node = self._node
         return deadline_s(request, node.settings.requests.timeout_ms, node.lateness.late_s())
 
--- a/yewloom/completions.py
+++ b/yewloom/completions.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible form of requests and answers for models."""
+"""OpenAI-compatible requests and responses for models."""
 
 import json
 import time
@@ -15,7 +15,7 @@
 
 
 class CompletionKind(Enum):
-    """Which of the two interfaces a request came by."""
+    """Which of the two OpenAI interfaces a request uses."""
 
     CHAT = "chat"
     TEXT = "text"
@@ -23,7 +23,7 @@
 
 @value_class
 class CompletionRequest:
-    """The parts of a request's body that the system reads; others are passed over."""
+    """The fields of a request body that are used; others are ignored."""
 
     kind: CompletionKind
     model: ModelName
@@ -34,7 +34,7 @@
 
 
 def parse_completion(kind: CompletionKind, body: bytes) -> CompletionRequest:
-    """Decode a request's body; raises Problem with what is wrong and how to mend it."""
+    """Decode a request body; raises Problem, which says what is wrong and how to fix it."""
     try:
         fields = json.loads(body)
     except ValueError as error:
@@ -43,7 +43,7 @@
         raise bad_request("The body must be a JSON object.")
     return CompletionRequest(
         kind=kind,
-        model=ModelName(_text(fields, "model")),
+        model=ModelName(_required_text(fields, "model")),
         prompt=_prompt(kind, fields),
         max_tokens=_max_tokens(fields),
         is_stream=fields.get("stream") is True,
@@ -51,10 +51,10 @@
     )
 
 
-def whole_answer(
+def complete_response_body(
     request: CompletionRequest, request_id: RequestId, tokens: Sequence[str], finish_reason: str
 ) -> bytes:
-    """Return the body of an answer that is not streamed."""
+    """Return the body of a response that is not streamed."""
     text = "".join(tokens)
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
     if request.kind is CompletionKind.CHAT:
@@ -68,27 +68,27 @@
         "completion_tokens": len(tokens),
         "total_tokens": len(request.prompt) // 4 + len(tokens),
     }
-    fields = {**_head(name, request, request_id), "choices": [choice], "usage": usage}
+    fields = {**_common_fields(name, request, request_id), "choices": [choice], "usage": usage}
     return json.dumps(fields).encode()
 
 
 class ChunkWriter:
-    """Writes the events of one stream; what is the same in all of them is encoded once."""
+    """Writes the events of one stream; their constant parts are encoded once."""
 
     def __init__(self, request: CompletionRequest, request_id: RequestId) -> None:
         is_chat = request.kind is CompletionKind.CHAT
         name = "chat.completion.chunk" if is_chat else "text_completion"
-        head = json.dumps(_head(name, request, request_id))[:-1]
+        common_json = json.dumps(_common_fields(name, request, request_id))[:-1]
         key = '"delta": {"content": ' if is_chat else '"text": '
-        self._prefix = f'{head}, "choices": [{{"index": 0, {key}'
+        self._prefix = f'{common_json}, "choices": [{{"index": 0, {key}'
         self._suffix = "}" if is_chat else ""
 
     def event(self, position: str, text: str, finish_reason: str) -> bytes:
         """Return one server-sent event with some tokens."""
-        reason = json.dumps(finish_reason) if finish_reason else "null"
+        finish_reason_json = json.dumps(finish_reason) if finish_reason else "null"
         return (
             f"id: {position}\ndata: {self._prefix}{json.dumps(text)}{self._suffix}"
-            f', "finish_reason": {reason}}}]}}\n\n'
+            f', "finish_reason": {finish_reason_json}}}]}}\n\n'
         ).encode()
 
 
@@ -96,11 +96,11 @@
 
 
 def error_event(problem_json: str) -> bytes:
-    """Return the event that ends a stream that could not be completed."""
+    """Return the event that ends an incomplete stream."""
     return f'event: error\ndata: {{"error": {problem_json}}}\n\n'.encode()
 
 
-def _head(name: str, request: CompletionRequest, request_id: RequestId) -> dict[str, Any]:
+def _common_fields(name: str, request: CompletionRequest, request_id: RequestId) -> dict[str, Any]:
     return {
         "id": request_id,
         "object": name,
@@ -109,7 +109,7 @@
     }
 
 
-def _text(fields: Mapping[str, Any], key: str) -> str:
+def _required_text(fields: Mapping[str, Any], key: str) -> str:
     value = fields.get(key)
     if not isinstance(value, str) or not value:
         raise bad_request(f"The body needs {key!r} as text.")
@@ -129,7 +129,7 @@
 
 def _prompt(kind: CompletionKind, fields: Mapping[str, Any]) -> str:
     if kind is CompletionKind.TEXT:
-        return _text(fields, "prompt")
+        return _required_text(fields, "prompt")
     messages = fields.get("messages")
     if not isinstance(messages, list) or not messages:
         raise bad_request("The body needs 'messages' as a list that is not empty.")
--- a/yewloom/headers.py
+++ b/yewloom/headers.py
@@ -1,4 +1,4 @@
-"""What the headers of a caller's request say."""
+"""Parses the headers of a caller's request."""
 
 import uuid
 
@@ -10,15 +10,16 @@
 from yewloom.schema.table_pb2 import ServiceRow
 from yewloom.states import Outcome
 
-MAX_KEY_CHARACTERS = 200
+MAX_KEY_LENGTH = 200
 
 _TRUE_WORDS = {"1", "true", "yes"}
 
 
 def deadline_s(request: Request, longest_ms: int, late_s: float) -> float:
-    """Return the time by which a request must have ended, on the runtime's clock.
+    """Return the deadline of a request, on the runtime's clock.
 
-    ``late_s`` is how long ago it may have come. Raises Problem if nobody waits for it any more.
+    ``late_s`` is how long ago it may have arrived. Raises Problem if the deadline has already
+    passed.
     """
     text = request.headers.get("x-timeout-ms", "")
     if text and not (text.isdecimal() and 0 < int(text) <= longest_ms):
@@ -30,25 +31,25 @@
 
 
 def new_request_id() -> RequestId:
-    """Return a name for one request that nobody can guess."""
+    """Return a unique request id that cannot be guessed."""
     return RequestId(uuid.uuid4().hex)
 
 
 def idempotency_key(request: Request, customer: CustomerId) -> IdempotencyKey | None:
-    """Return the customer's key of a request, if it has one; raises Problem if it is none."""
+    """Return the customer's idempotency key, or None; raises Problem if it is invalid."""
     key = request.headers.get("idempotency-key")
     if key is None:
         return None
-    if not key or len(key) > MAX_KEY_CHARACTERS:
-        raise bad_request(f"Idempotency-Key must have 1 to {MAX_KEY_CHARACTERS} characters.")
+    if not key or len(key) > MAX_KEY_LENGTH:
+        raise bad_request(f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters.")
     return IdempotencyKey(f"{customer}/{key}")
 
 
 def is_marked_unsafe(request: Request) -> bool:
-    """Tell whether the caller marked a request as unsafe to repeat."""
+    """Return whether the caller marked a request as unsafe to repeat."""
     return request.headers.get("x-unsafe", "").lower() in _TRUE_WORDS
 
 
 def is_unsafe_path(row: ServiceRow, path: str) -> bool:
-    """Tell whether a service's calls of a path are unsafe to repeat."""
+    """Return whether a service's requests for a path are unsafe to repeat."""
     return any(path.startswith(prefix) for prefix in row.unsafe_paths.split())
--- a/yewloom/tests/test_callers.py
+++ b/yewloom/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the caller interface without sockets: refusals are problems, and nothing runs."""
+"""Tests of the caller interface without sockets: rejections are problems, and nothing runs."""
 
 import hashlib
 import json
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class _Sent:
+class _SentResponse:
     """What the application sent for one request."""
 
     status: int = 0
@@ -47,11 +47,11 @@
 
 def _post(
     path: str, body: Any, share: int = 5, late_s: float | None = None, **headers: str
-) -> _Sent:
-    """Send one request to an entry host that sees no open group, and is late if that is said."""
+) -> _SentResponse:
+    """Send one request to an entry host without open groups, with a loop delay if given."""
 
-    async def scenario() -> _Sent:
-        sent = _Sent()
+    async def scenario() -> _SentResponse:
+        sent = _SentResponse()
         async with trio.open_nursery() as nursery:
             application = _interface(nursery, share, late_s).application()
             await application(_scope(path, headers), _receiver(body), sent.send)
@@ -61,22 +61,22 @@
     return run_on_mock_clock(scenario)
 
 
-class _Late(LoopLateness):
-    """A loop that was held up for a time."""
+class _FixedLateness(LoopLateness):
+    """Reports a fixed loop delay."""
 
     def __init__(self, late_s: float) -> None:
         super().__init__()
-        self._held_up_s = late_s
+        self._delay_s = late_s
 
     def late_s(self) -> float:
-        """Return that time."""
-        return self._held_up_s
+        """Return that delay."""
+        return self._delay_s
 
 
 def _interface(nursery: trio.Nursery, share: int, late_s: float | None) -> CallerInterface:
     node = build_node(parse_settings(SETTINGS, "test").unwrap(), random.Random(1), 1)
     if late_s is not None:
-        node.lateness = _Late(late_s)
+        node.lateness = _FixedLateness(late_s)
     customer = CustomerRow(key_digest=hashlib.sha256(KEY.encode()).hexdigest(), weight=1)
     rows = {
         "policy/p": Row(policy=make_policy()),
@@ -130,17 +130,17 @@
     return receive
 
 
-class TestRefusals(unittest.TestCase):
-    """Each refusal is a problem document that says that nothing was run."""
+class TestRejections(unittest.TestCase):
+    """Each rejection is a problem document that says that the request was not run."""
 
-    def _check(self, sent: _Sent, status: int) -> None:
+    def _check(self, sent: _SentResponse, status: int) -> None:
         self.assertEqual(sent.status, status, sent.body)
         self.assertEqual(sent.headers["content-type"], "application/problem+json")
         problem = json.loads(sent.body)
         self.assertEqual((problem["outcome"], problem["status"]), ("not_run", status))
         self.assertTrue(problem["detail"].endswith("."))
 
-    def test_what_cannot_be_understood_is_refused(self) -> None:
+    def test_invalid_requests_are_rejected(self) -> None:
         chat = "/v1/chat/completions"
         self._check(_post(chat, b"{"), 400)
         self._check(_post(chat, []), 400)
@@ -155,8 +155,8 @@
         self._check(_post("/services/other/x", {}), 404)
         self._check(_post("/nowhere", {}), 404)
 
-    def test_a_request_that_was_read_after_its_deadline(self) -> None:
-        """Guards against work that nobody waits for, behind a host that was held up."""
+    def test_a_request_read_after_its_deadline_is_rejected(self) -> None:
+        """Guards against work that no caller waits for, after the event loop was blocked."""
         for path, body in (("/v1/chat/completions", CHAT), ("/services/s/u", {})):
             sent = _post(path, body, late_s=1.5, x_timeout_ms="1500")
             self._check(sent, 503)
@@ -164,16 +164,16 @@
             sent = _post(path, body, late_s=1.5, x_timeout_ms="2000")
             self.assertNotIn(b"after its deadline", sent.body)
 
-    def test_a_customer_without_a_share_is_told_when_to_come_back(self) -> None:
+    def test_a_customer_without_a_share_gets_retry_after(self) -> None:
         for body in (CHAT, {**CHAT, "stream": True}):
             sent = _post("/v1/chat/completions", body, share=0)
             self._check(sent, 429)
             self.assertGreaterEqual(int(sent.headers["retry-after"]), 1)
 
-    def test_no_open_group_is_told_as_not_run(self) -> None:
+    def test_without_an_open_group_the_outcome_is_not_run(self) -> None:
         for body in (CHAT, {**CHAT, "stream": True}):
             self._check(_post("/v1/chat/completions", body), 503)
             self._check(_post("/v1/chat/completions", body, idempotency_key="k"), 503)
 
-    def test_no_open_endpoint_of_a_service_is_told_as_not_run(self) -> None:
+    def test_without_an_open_service_endpoint_the_outcome_is_not_run(self) -> None:
         self._check(_post("/services/s/u", {}, idempotency_key="k"), 503)
