--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -1,4 +1,4 @@
-"""``yewloomd``: one entry host of the system."""
+"""``yewloomd``: runs one entry host."""
 
 import random
 import uuid
@@ -44,18 +44,18 @@
 logger = structlog.get_logger(__name__)
 
 PLACES_A_CAPACITY = 1.5
-"""Places for each request that the engines can run, so that their batches stay full."""
+"""Admission slots per request that the engines can run at once, so that their batches stay full."""
 
-BALANCER_GRACE_S = 0.5
-"""Time in s for the balancer to see that this entry host is not ready any more."""
+DEREGISTRATION_DELAY_S = 0.5
+"""Time in s for the load balancer to notice that this entry host is no longer ready."""
 
-LAST_ANSWERS_S = 0.5
-"""Longest time in s, when the time of a stop is over, for each of: telling those that wait, telling
-those that are cut off, and closing connections."""
+FINAL_RESPONSES_S = 0.5
+"""Maximum time in s, once the stop's time is over, for each of: responding to queued requests,
+responding to requests that are cut off, and closing connections."""
 
 
 def new_attempt() -> AttemptId:
-    """Return a name for one write to the platform."""
+    """Return a unique id for one write to the platform."""
     return AttemptId(uuid.uuid4().hex)
 
 
@@ -68,10 +68,10 @@
         self._places = Places(self._node.admission)
 
     async def run(self, signals: ProcessSignals) -> None:
-        """Run until a signal asks for a planned stop and work in progress has ended."""
+        """Run until a signal requests a planned stop and work in progress has ended."""
         settings = self._settings
         self._node.lateness.watch_this_run()
-        # Calls to the platform and probes never wait for a connection behind callers' streams.
+        # Separate pools, so that platform calls and probes never wait for callers' streams.
         control = HttpCaller(settings.requests.connect_timeout_ms / 1000)
         serving = HttpCaller(settings.requests.connect_timeout_ms / 1000)
         platform = HttpPlatform(
@@ -96,12 +96,12 @@
             nursery.start_soon(Watcher(self._node, platform, PLACEMENT_PREFIX).run)
             shares_key = f"{SHARES_PREFIX}{self._node.data_centre}"
             nursery.start_soon(Watcher(self._node, platform, shares_key).run)
-            nursery.start_soon(observer.run, lambda: self._after_probes(platform))
+            nursery.start_soon(observer.run, lambda: self._update_after_probes(platform))
             nursery.start_soon(coordinator.run)
             stopped = trio.Event()
             async with trio.open_nursery() as callers:
                 callers.start_soon(self._serve_callers, application, stopped)
-                await self._stop(coordinator, await signals.wait_for_stop(_pass_over_reload))
+                await self._stop(coordinator, await signals.wait_for_stop(_ignore_reload))
                 stopped.set()
             nursery.cancel_scope.cancel()
 
@@ -129,19 +129,23 @@
         """Return this entry host's part of a customer's limit."""
         return self._node.shares.usable(customer, trio.current_time())
 
-    def _after_probes(self, platform: HttpPlatform) -> None:
-        """Adapt to the groups that are open now, and bring the gauges up to date."""
+    def _update_after_probes(self, platform: HttpPlatform) -> None:
+        """Adapt the admission capacity to the open groups, and update the gauges."""
         now_s = trio.current_time()
         node, metrics = self._node, self._node.metrics
         node.membership.set_cut_off(platform.is_down)
         open_groups = node.fleet.open_groups(now_s)
-        local = [seen.capacity for place, _, seen in open_groups if place == node.data_centre]
-        remote = [seen.capacity for place, _, seen in open_groups if place != node.data_centre]
-        sharers = max(len(node.membership.alive_in(node.data_centre, now_s)), 1)
-        everyone = max(len(node.membership.alive(now_s)), 1)
-        capacity = sum(local) / sharers + sum(remote) / everyone
-        wanted = max(round(capacity * PLACES_A_CAPACITY), self._settings.requests.min_places)
-        self._places.refill(min(wanted, self._settings.requests.max_in_flight))
+        local_capacities = [
+            seen.capacity for place, _, seen in open_groups if place == node.data_centre
+        ]
+        remote_capacities = [
+            seen.capacity for place, _, seen in open_groups if place != node.data_centre
+        ]
+        local_hosts = max(len(node.membership.alive_in(node.data_centre, now_s)), 1)
+        all_hosts = max(len(node.membership.alive(now_s)), 1)
+        capacity = sum(local_capacities) / local_hosts + sum(remote_capacities) / all_hosts
+        target_slots = max(round(capacity * PLACES_A_CAPACITY), self._settings.requests.min_places)
+        self._places.refill(min(target_slots, self._settings.requests.max_in_flight))
         metrics.open_groups.set(len(open_groups))
         metrics.in_flight.set(self._places.admission.in_flight)
         metrics.queued.set(self._places.admission.queued)
@@ -153,7 +157,7 @@
         config = Config()
         config.bind = [f"{host.listen_ip}:{host.caller_port}"]
         config.errorlog = None
-        config.graceful_timeout = LAST_ANSWERS_S
+        config.graceful_timeout = FINAL_RESPONSES_S
         config.keep_alive_timeout = 60.0
         if self._settings.tls.certificate_file:
             config.certfile = self._settings.tls.certificate_file
@@ -161,36 +165,36 @@
         logger.info("serving", entry_host=host.id, caller_address=config.bind[0])
         await hypercorn.trio.serve(application, config, shutdown_trigger=stopped.wait)
 
-    async def _stop(self, coordinator: Coordinator, asked_s: float) -> None:
-        """Take nothing new, and wait until the work in progress has ended or its time is over."""
+    async def _stop(self, coordinator: Coordinator, requested_s: float) -> None:
+        """Accept no new work, and wait until work in progress has ended or its time is over."""
         work = self._node.work
         logger.info("stopping", in_progress=work.in_progress)
-        drain_s = self._settings.host.drain_timeout_ms / 1000
-        closes_s = asked_s + BALANCER_GRACE_S
-        ends_s = closes_s + drain_s
+        drain_timeout_s = self._settings.host.drain_timeout_ms / 1000
+        stops_accepting_s = requested_s + DEREGISTRATION_DELAY_S
+        deadline_s = stops_accepting_s + drain_timeout_s
         self._node.start_leaving()
         coordinator.release()
-        self._places.stop_by(ends_s)
-        await trio.sleep_until(closes_s)
+        self._places.stop_by(deadline_s)
+        await trio.sleep_until(stops_accepting_s)
         work.phase = Phase.CLOSED
-        with trio.move_on_at(ends_s):
+        with trio.move_on_at(deadline_s):
             await work.wait_until_none()
         await self._cut_off()
 
     async def _cut_off(self) -> None:
-        """Tell what has not ended what is known of it."""
+        """Send the known outcome to requests that have not ended."""
         work = self._node.work
         self._places.stop_by(trio.current_time())
-        with trio.move_on_after(LAST_ANSWERS_S):
+        with trio.move_on_after(FINAL_RESPONSES_S):
             await work.wait_until_none()
         logger.info("stopped", cut_off=work.in_progress)
         work.cut_requests_off()
-        with trio.move_on_after(LAST_ANSWERS_S):
+        with trio.move_on_after(FINAL_RESPONSES_S):
             await work.wait_until_none()
 
 
-def _pass_over_reload() -> None:
-    logger.info("reload passed over", reason="settings are read at the start only")
+def _ignore_reload() -> None:
+    logger.info("reload ignored", reason="settings are read at start only")
 
 
 def _read_token(path: str) -> str:
--- a/yewloom/status.py
+++ b/yewloom/status.py
@@ -10,7 +10,7 @@
 
 
 def describe(node: Node, now_s: float) -> dict[str, Any]:
-    """Return what this entry host knows as JSON fields."""
+    """Return this entry host's current state as JSON fields."""
     return {
         "entry_host": node.id,
         "data_centre": node.data_centre,
@@ -28,7 +28,7 @@
 
 
 def metrics_text(node: Node) -> bytes:
-    """Return all metrics in the Prometheus text form."""
+    """Return all metrics in the Prometheus text format."""
     return generate_latest(node.metrics.registry)
 
 
--- a/yewloom/tests/processes.py
+++ b/yewloom/tests/processes.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes on loopback, for tests and measurements about processes."""
+"""A small fleet of real processes on loopback, for tests and measurements."""
 
 import hashlib
 import json
@@ -20,7 +20,7 @@
 CUSTOMER_KEY = "test-key"
 MODEL = "m"
 WAIT_S = 30.0
-"""Longest wait for a state that must come; reaching it fails the test."""
+"""Maximum wait for an expected state; reaching it fails the test."""
 
 ENTRY_SETTINGS = """
 [host]
@@ -89,7 +89,7 @@
 
 @dataclass
 class Answer:
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -100,11 +100,11 @@
 
 
 TLS: list[ssl.SSLContext] = []
-"""The authority that entry hosts are checked against, while a test sets one."""
+"""At most one TLS context, which verifies entry hosts while a test sets it."""
 
 
 def call(method: str, url: str, body: Any = None, headers: dict[str, str] | None = None) -> Answer:
-    """Make one HTTP call on a connection of its own."""
+    """Make one HTTP call on its own connection."""
     content = json.dumps(body).encode() if body is not None else b""
     all_headers = [(b"connection", b"close")]
     all_headers += [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
@@ -118,13 +118,13 @@
 
 
 def authorized(**headers: str) -> dict[str, str]:
-    """Return headers with the customer's key; underscores stand for hyphens."""
+    """Return headers with the customer's key; underscores in names become hyphens."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return {"authorization": f"Bearer {CUSTOMER_KEY}", **named}
 
 
 def wait_for(condition: Callable[[], Any], what: str) -> Any:
-    """Return the first true value of a condition; fail after a generous time."""
+    """Return the first truthy value of a condition; fail after ``WAIT_S``."""
     deadline_s = time.monotonic() + WAIT_S
     while time.monotonic() < deadline_s:
         try:
@@ -146,7 +146,7 @@
 
 @dataclass
 class Fleet:
-    """Stand-ins and entry hosts; entry hosts e1 and e2 are in place ``a``, e3 in ``b``."""
+    """Simulated services and entry hosts; e1 and e2 are in data centre ``a``, e3 in ``b``."""
 
     members_a: int = 5
     members_b: int = 4
@@ -160,7 +160,7 @@
     platform_ports: dict[str, int] = field(default_factory=dict)
 
     def start(self) -> None:
-        """Start everything and wait until a group serves in each place."""
+        """Start everything and wait until a group serves in each data centre."""
         places = sorted({*self.entries.values(), "a", "b"})
         self.platform_ports = {place: free_port() for place in places}
         self._start_engines()
@@ -253,12 +253,12 @@
         self.programs[name].process.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process without a word, and reap it."""
+        """Kill a process with SIGKILL, and reap it."""
         self.signal(name, signal.SIGKILL)
         self.programs[name].process.wait()
 
     def control(self, name: str, **switches: Any) -> None:
-        """Set switches of a stand-in."""
+        """Set switches of a simulated service."""
         answer = call("POST", f"{self.url(name)}/control", switches)
         assert answer.status == 200, answer.body
 
@@ -277,7 +277,7 @@
         call("POST", f"{self.url('platform')}/control/hosts", fields)
 
     def runs(self, *names: str) -> dict[str, int]:
-        """Return how often each call ran, summed over stand-ins that are alive."""
+        """Return how often each call ran, summed over running simulated services."""
         total: dict[str, int] = {}
         for name in names:
             for key, count in call("GET", f"{self.url(name)}/control/runs").json()["runs"].items():
@@ -301,7 +301,7 @@
         return self.programs[name].log.read_text(errors="replace")
 
     def stop(self) -> None:
-        """Stop everything that still runs."""
+        """Stop everything that is still running."""
         for program in self.programs.values():
             if program.process.poll() is None:
                 program.process.send_signal(signal.SIGCONT)
--- a/yewloom/tests/test_daemon.py
+++ b/yewloom/tests/test_daemon.py
@@ -1,6 +1,6 @@
-"""Tests of a planned stop through real processes: what was accepted ends, and nothing else begins.
+"""Tests of a planned stop with real processes: accepted work ends, and no new work begins.
 
-Each test stops an entry host of its own in one fleet.
+Each test stops its own entry host of one fleet.
 """
 
 import json
@@ -23,19 +23,20 @@
 )
 
 CLOSED_AFTER_S = 0.9
-"""Time after SIGTERM at which a host surely takes no new requests, some 0.4 s more than it says."""
+"""Time after SIGTERM at which a host certainly rejects requests: about 0.4 s after its own limit.
+"""
 
 SHORT_DRAIN_MS = 1000
-"""Drain time of the host that cannot end long requests, in milliseconds."""
+"""Drain time in ms of a host that cannot finish long requests."""
 
 LONG_TOKENS = 2000
-"""Tokens of a request that takes some 10 s at the pace that admission assumes at first."""
+"""Tokens of a request that takes about 10 s at the rate that admission initially assumes."""
 
 CHAT = "/v1/chat/completions"
 
 
 class _Caller:
-    """One kept connection of a caller, on which a request may go out in parts."""
+    """A kept-open caller connection that can send a request in parts."""
 
     def __init__(self, port: int) -> None:
         self._socket = socket.create_connection(("127.0.0.1", port), timeout=20)
@@ -59,7 +60,7 @@
         return self.answer()
 
     def is_closed(self) -> bool:
-        """Tell whether the host has closed the connection; waits for a byte or the end."""
+        """Return whether the host closed the connection; waits for a byte or the end."""
         return self._socket.recv(1) == b""
 
     def close(self) -> None:
@@ -72,7 +73,7 @@
 
 
 class TestPlannedStop(unittest.TestCase):
-    """A stop is a state that every request and connection obeys."""
+    """Every request and connection follows the phase of the stop."""
 
     fleet: ClassVar[Fleet]
 
@@ -90,7 +91,7 @@
         self.fleet.control("platform", outage=False, delay_ms=0)
         self._slow_engines(5)
 
-    def _caller(self, entry: str) -> _Caller:
+    def _open_caller(self, entry: str) -> _Caller:
         caller = _Caller(self.fleet.programs[entry].port)
         self.addCleanup(caller.close)
         return caller
@@ -120,8 +121,8 @@
         self.addCleanup(thread.join)
         return thread, results
 
-    def _slow_answer(self, entry: str, count: int) -> tuple[threading.Thread, list[Any]]:
-        """Begin a request that takes 20 ms a token, and wait until an engine runs it."""
+    def _start_slow_request(self, entry: str, count: int) -> tuple[threading.Thread, list[Any]]:
+        """Start a request at 20 ms per token, and wait until an engine runs it."""
         self._slow_engines(20)
         leaders = [group["members"][0] for group in self.fleet.open_groups("watch")]
         before = sum(self.fleet.runs(*leaders).values())
@@ -134,21 +135,21 @@
         self.assertEqual(answer.json()["outcome"], "not_run")
         self.assertEqual(answer.headers.get("connection"), "close")
 
-    def test_a_request_whose_body_comes_late_is_answered(self) -> None:
-        caller, body = self._caller("body"), _chat_body("late", 4)
+    def test_a_request_whose_body_arrives_late_is_answered(self) -> None:
+        caller, body = self._open_caller("body"), _chat_body("late", 4)
         caller.send_head("POST", CHAT, len(body))
         time.sleep(0.2)
         self._stop("body")
         time.sleep(CLOSED_AFTER_S)
         caller.send_body(body)
         answer = caller.answer()
-        # The coordinator may have taken the stopping host's share by then, and then nothing runs.
-        is_shareless = answer.status == 429 and "no capacity is left" in answer.json()["detail"]
-        wanted = (429, "not_run") if is_shareless else (200, "answered")
+        # If the coordinator has already withdrawn the stopping host's share, nothing runs.
+        has_no_share = answer.status == 429 and "no capacity is left" in answer.json()["detail"]
+        wanted = (429, "not_run") if has_no_share else (200, "answered")
         self.assertEqual((answer.status, answer.headers["x-outcome"]), wanted, answer.body)
         self.assertEqual(self._exit_code("body"), 0)
 
-    def test_a_request_that_awaits_its_claim_is_answered(self) -> None:
+    def test_a_request_waiting_for_its_claim_is_answered(self) -> None:
         fleet = self.fleet
         fleet.control("platform", delay_ms=1500)
         send = ("claim", "POST", "update/1")
@@ -159,12 +160,12 @@
         self.assertEqual([getattr(result, "status", result) for result in results], [200])
         self.assertEqual(self._exit_code("claim"), 0)
 
-    def test_the_answer_of_an_unsafe_request_is_kept_though_its_host_stops(self) -> None:
+    def test_the_response_of_an_unsafe_request_is_kept_when_its_host_stops(self) -> None:
         fleet = self.fleet
         for name in ("sa", "sb"):
             fleet.control(name, delay_ms=1000)
             self.addCleanup(fleet.control, name, delay_ms=0)
-        send, again_at = ("keep", "POST", "update/2"), ("watch", "POST", "update/2")
+        send, repeat_on_watch = ("keep", "POST", "update/2"), ("watch", "POST", "update/2")
         thread, results = self._in_background(lambda: fleet.service(*send, idempotency_key="k2"))
         wait_for(lambda: fleet.runs("sa", "sb").get("k2"), "the call at the endpoint")
         fleet.control("platform", outage=True)
@@ -173,34 +174,36 @@
         time.sleep(CLOSED_AFTER_S)
         fleet.control("platform", outage=False)
         self.assertEqual(self._exit_code("keep"), 0)
-        wait_for(lambda: fleet.service(*again_at, idempotency_key="up").status == 200, "claims")
-        again = fleet.service(*again_at, idempotency_key="k2")
+        wait_for(
+            lambda: fleet.service(*repeat_on_watch, idempotency_key="up").status == 200, "claims"
+        )
+        again = fleet.service(*repeat_on_watch, idempotency_key="k2")
         self.assertEqual((again.status, again.body), (200, results[0].body))
         self.assertEqual(fleet.runs("sa", "sb")["k2"], 1)
 
-    def test_a_stopping_host_closes_connections_behind_answers_and_refuses_requests(self) -> None:
+    def test_a_stopping_host_closes_connections_after_responses_and_rejects_requests(self) -> None:
         fleet, entry = self.fleet, "refuse"
-        kept = [self._caller(entry) for _ in range(2)]
+        kept = [self._open_caller(entry) for _ in range(2)]
         for caller in kept:
             self.assertNotIn("connection", caller.get("/v1/models").headers)
-        thread, results = self._slow_answer(entry, 200)
+        thread, results = self._start_slow_request(entry, 200)
         self._stop(entry)
         wait_for(lambda: call("GET", f"{fleet.url(entry)}/readyz").status == 503, "unreadiness")
         answer = kept[0].get("/v1/models")
         self.assertEqual((answer.status, answer.headers.get("connection")), (200, "close"))
         self.assertTrue(kept[0].is_closed())
-        wait_for(lambda: self._caller(entry).get("/v1/models").status == 503, "the refusals")
-        for caller in (kept[1], self._caller(entry)):
+        wait_for(lambda: self._open_caller(entry).get("/v1/models").status == 503, "the refusals")
+        for caller in (kept[1], self._open_caller(entry)):
             self._check_refused(caller.get("/v1/models"))
             self.assertTrue(caller.is_closed())
         leaving = {"id": entry, "data_centre": "a", "is_leaving": True}
-        wait_for(lambda: leaving in fleet.status("watch")["members"], "the word to the peers")
+        wait_for(lambda: leaving in fleet.status("watch")["members"], "the state at the peers")
         thread.join()
         self.assertEqual([getattr(result, "status", result) for result in results], [200])
         self.assertEqual(self._exit_code(entry), 0)
 
-    def test_a_second_signal_cuts_nothing_off(self) -> None:
-        thread, results = self._slow_answer("again", 100)
+    def test_a_second_signal_cuts_off_no_request(self) -> None:
+        thread, results = self._start_slow_request("again", 100)
         self._stop("again")
         time.sleep(0.3)
         self._stop("again")
@@ -209,16 +212,16 @@
         self.assertEqual(self._exit_code("again"), 0)
 
     def test_a_hangup_changes_nothing(self) -> None:
-        thread, results = self._slow_answer("hup", 50)
+        thread, results = self._start_slow_request("hup", 50)
         self.fleet.signal("hup", signal.SIGHUP)
         thread.join()
         self.assertEqual([getattr(result, "status", result) for result in results], [200])
         self.assertEqual(self.fleet.chat("hup", "after").status, 200)
 
-    def test_what_cannot_end_before_the_stop_is_not_begun(self) -> None:
+    def test_a_request_that_cannot_finish_before_the_stop_is_not_started(self) -> None:
         fleet, entry = self.fleet, "short"
         self._start_short_draining(entry)
-        caller = self._caller(entry)
+        caller = self._open_caller(entry)
         self._stop(entry)
         wait_for(lambda: call("GET", f"{fleet.url(entry)}/readyz").status == 503, "unreadiness")
         body = _chat_body("long", LONG_TOKENS)
@@ -227,12 +230,12 @@
         self._check_refused(caller.answer())
         self.assertEqual(self._exit_code(entry), 0)
 
-    def test_what_is_cut_off_is_told_what_is_known_of_it(self) -> None:
+    def test_a_cut_off_request_gets_its_known_outcome(self) -> None:
         entry = "cut"
         self._start_short_draining(entry)
-        half = self._caller(entry)
+        half = self._open_caller(entry)
         half.send_head("POST", CHAT, 100)
-        thread, results = self._slow_answer(entry, 200)
+        thread, results = self._start_slow_request(entry, 200)
         self._stop(entry)
         self._check_refused(half.answer())
         thread.join()
--- a/yewloom/tests/test_processes.py
+++ b/yewloom/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests through real processes: kills, pauses, cuts and outages."""
+"""Tests with real processes: kills, pauses, network cuts and outages."""
 
 import signal
 import subprocess
@@ -13,8 +13,9 @@
 from yewloom.tests.free_ports import free_port
 from yewloom.tests.processes import CUSTOMER_KEY, MODEL, Fleet, call, wait_for
 
-BEGUN_PIECES = 10
-"""Pieces after which a stream is under way; the streams of these tests have eight times as many."""
+IN_PROGRESS_PIECES = 10
+"""Number of pieces after which a stream counts as in progress; these tests' streams have eight
+times as many."""
 
 
 def _expected(prompt: str, count: int) -> str:
@@ -30,7 +31,7 @@
 def _stream_text(
     client: openai.OpenAI, prompt: str, count: int, pieces: list[str] | None = None
 ) -> str:
-    """Return the text of a stream; its pieces land in the list as they come."""
+    """Return the text of a stream; its pieces are appended to ``pieces`` as they arrive."""
     pieces = [] if pieces is None else pieces
     stream = client.chat.completions.create(
         model=MODEL,
@@ -52,7 +53,7 @@
         self.fleet.start()
 
     def in_background(self, work: Any, *arguments: Any) -> tuple[threading.Thread, list[Any]]:
-        """Run a blocking call in a thread of the test; its result lands in the list."""
+        """Run a blocking call in a thread; its result is appended to the returned list."""
         results: list[Any] = []
 
         def run() -> None:
@@ -68,23 +69,26 @@
     def begin_streams(
         self, prompt: str, count: int, number: int, leader: str
     ) -> list[tuple[threading.Thread, list[Any]]]:
-        """Start streams and wait until all are under way, one at least at this leader."""
+        """Start streams and wait until all are in progress, at least one of them at this leader."""
         pieces: list[list[str]] = [[] for _ in range(number)]
         client = _client(self.fleet, "e1")
         streams = [self.in_background(_stream_text, client, prompt, count, one) for one in pieces]
-        wait_for(lambda: all(len(one) >= BEGUN_PIECES for one in pieces), "the streams' begin")
+        wait_for(
+            lambda: all(len(one) >= IN_PROGRESS_PIECES for one in pieces),
+            "the start of the streams",
+        )
         self.assertTrue(self.fleet.runs(leader))
         return streams
 
-    def group_of(self, place: str) -> Any:
+    def group_in(self, place: str) -> Any:
         groups = self.fleet.open_groups("e1")
         return next(group for group in groups if group["data_centre"] == place)
 
 
 class TestRequests(_FleetCase):
-    """The caller interface, with an unmodified client library."""
+    """The caller interface, used with an unmodified client library."""
 
-    def test_answers_are_whole_and_bad_requests_run_nothing(self) -> None:
+    def test_responses_are_complete_and_invalid_requests_run_nothing(self) -> None:
         fleet, client = self.fleet, _client(self.fleet, "e1")
         self.assertEqual(_stream_text(client, "hello", 12), _expected("hello", 12))
         whole = client.chat.completions.create(
@@ -122,8 +126,8 @@
                 self.assertEqual(answer.json()["outcome"], "not_run")
                 self.assertTrue(answer.json()["detail"])
 
-    def test_a_killed_member_ends_its_group_and_no_answer_is_cut_short(self) -> None:
-        fleet, group = self.fleet, self.group_of("a")
+    def test_a_killed_member_ends_its_group_and_no_response_is_truncated(self) -> None:
+        fleet, group = self.fleet, self.group_in("a")
         for name in group["members"]:
             fleet.control(name, token_ms=30)
         threads = self.begin_streams("long", 100, 4, group["members"][0])
@@ -141,15 +145,18 @@
         members = next(g["members"] for g in fleet.groups("e1") if g["id"] in ids)
         self.assertNotIn(group["members"][2], members)
 
-    def test_a_dark_fabric_domain_leaves_the_other_data_centre_to_answer(self) -> None:
+    def test_after_losing_a_fabric_domain_the_other_data_centre_serves(self) -> None:
         fleet = self.fleet
         for number in range(fleet.members_a):
             fleet.kill(f"a{number}")
-        wait_for(lambda: {g["data_centre"] for g in fleet.open_groups("e1")} == {"b"}, "the loss")
+        wait_for(
+            lambda: {g["data_centre"] for g in fleet.open_groups("e1")} == {"b"},
+            "the loss of the groups in a",
+        )
         self.assertEqual(_stream_text(_client(fleet, "e1"), "dark", 9), _expected("dark", 9))
 
-    def test_a_paused_leader_is_given_up_and_serves_nothing_of_its_old_group_again(self) -> None:
-        fleet, group = self.fleet, self.group_of("a")
+    def test_a_paused_leader_is_replaced_and_no_longer_serves_its_old_group(self) -> None:
+        fleet, group = self.fleet, self.group_in("a")
         leader = group["members"][0]
         for other in fleet.open_groups("e1"):
             fleet.control(other["members"][0], token_ms=30)
@@ -159,7 +166,7 @@
         for thread, results in streams:
             thread.join()
             self.assertEqual(results, [_expected("paused", 80)])
-        wait_for(lambda: not self._is_open(group), "the closed group")
+        wait_for(lambda: not self._is_open(group), "the group to close")
         wait_for(lambda: fleet.status("e1")["placements"]["a"] > generation, "a new placement")
         members = wait_for(lambda: self._replacement_of(group), "the replacement group")
         self.assertNotIn(leader, members)
@@ -177,19 +184,19 @@
         return any(found["id"] == group["id"] for found in self.fleet.open_groups("e1"))
 
     def _replacement_of(self, lost: Any) -> list[str]:
-        """Return the members of the open group in the lost one's data centre."""
+        """Return the members of the open group that replaced a lost one in its data centre."""
         for group in self.fleet.open_groups("e1"):
             if group["data_centre"] == lost["data_centre"] and group["id"] != lost["id"]:
                 return list(group["members"])
         return []
 
-    def test_shuffled_doubled_and_broken_streams_give_whole_answers(self) -> None:
+    def test_reordered_duplicated_and_broken_streams_give_complete_responses(self) -> None:
         for group in self.fleet.groups("e1"):
             self.fleet.control(group["members"][0], shuffle=True, break_after=3)
         text = _stream_text(_client(self.fleet, "e1"), "odd", 10)
         self.assertEqual(text, _expected("odd", 10))
 
-    def test_a_caller_that_goes_frees_the_engine(self) -> None:
+    def test_a_disconnect_cancels_the_request_at_the_engine(self) -> None:
         fleet = self.fleet
         leaders = [group["members"][0] for group in fleet.open_groups("e1")]
         for name in leaders:
@@ -214,7 +221,7 @@
 class TestEntryHosts(_FleetCase):
     """Entry hosts that are killed, paused, stopped and replaced."""
 
-    def test_an_unsafe_call_runs_once_though_its_entry_host_dies(self) -> None:
+    def test_an_unsafe_call_runs_once_although_its_entry_host_is_killed(self) -> None:
         fleet = self.fleet
         fleet.control("sa", delay_ms=6000)
         fleet.control("sb", delay_ms=6000)
@@ -228,7 +235,7 @@
         self.assertIn("retry-after", again.headers)
         self.assertEqual(fleet.runs("sa", "sb")["k1"], 1)
 
-    def test_a_dropped_answer_of_an_unsafe_call_is_unknown_and_not_repeated(self) -> None:
+    def test_a_lost_response_of_an_unsafe_call_is_unknown_and_not_retried(self) -> None:
         fleet = self.fleet
         for name in ("sa", "sb"):
             fleet.control(name, drop_answers=5)
@@ -247,49 +254,55 @@
         thread, results = self.in_background(_stream_text, _client(fleet, "e1"), "calm", 150)
         wait_for(lambda: fleet.runs(*leaders), "the stream at an engine")
         fleet.signal("e1", signal.SIGTERM)
-        wait_for(lambda: call("GET", f"{fleet.url('e1')}/readyz").status == 503, "unreadiness")
+        wait_for(
+            lambda: call("GET", f"{fleet.url('e1')}/readyz").status == 503, "failing readiness"
+        )
         thread.join()
         self.assertEqual(results, [_expected("calm", 150)])
         self.assertEqual(fleet.programs["e1"].process.wait(timeout=30), 0)
 
-    def test_a_paused_coordinator_is_replaced_and_changes_nothing_when_it_wakes(self) -> None:
+    def test_a_paused_coordinator_is_replaced_and_changes_nothing_when_resumed(self) -> None:
         fleet = self.fleet
-        holder = wait_for(self._coordinator, "a coordinator")
-        other = "e2" if holder == "e1" else "e1"
-        fleet.signal(holder, signal.SIGSTOP)
+        coordinator = wait_for(self._coordinator, "a coordinator")
+        other = "e2" if coordinator == "e1" else "e1"
+        fleet.signal(coordinator, signal.SIGSTOP)
         wait_for(lambda: self._is_coordinator(other), "another coordinator")
         generation = fleet.status(other)["placements"]["a"]
         victim = self._group_seen_by(other)["members"][1]
         fleet.kill(victim)
         wait_for(lambda: fleet.status(other)["placements"]["a"] > generation, "a new placement")
         latest = fleet.status(other)["placements"]["a"]
-        told = len(fleet.log_text(holder))
-        fleet.signal(holder, signal.SIGCONT)
-        wait_for(lambda: fleet.status(holder)["placements"]["a"] >= latest, "the new placement")
+        log_length = len(fleet.log_text(coordinator))
+        fleet.signal(coordinator, signal.SIGCONT)
+        wait_for(
+            lambda: fleet.status(coordinator)["placements"]["a"] >= latest, "the new placement"
+        )
         self.assertTrue(self._is_coordinator(other))
-        self.assertFalse(self._is_coordinator(holder))
-        since = fleet.log_text(holder)[told:]
-        self.assertIn('"placement in force"', since)
-        self.assertNotIn('"event": "placed"', since)
-        self.assertNotIn('"is_holding": true', since)
+        self.assertFalse(self._is_coordinator(coordinator))
+        new_log_text = fleet.log_text(coordinator)[log_length:]
+        self.assertIn('"placement in force"', new_log_text)
+        self.assertNotIn('"event": "placed"', new_log_text)
+        self.assertNotIn('"is_holding": true', new_log_text)
 
-    def test_a_replaced_entry_host_serves_during_an_outage_of_the_platform(self) -> None:
+    def test_a_replacement_entry_host_serves_during_a_platform_outage(self) -> None:
         fleet = self.fleet
-        # What is lent is what a live host was granted: a dead host's share lies idle in an outage.
+        # Only live hosts lend their shares: during an outage a dead host's share stays unused.
         wait_for(lambda: self._share("e1"), "the granted share")
         fleet.control("platform", outage=True)
         fleet.kill("e2")
         fleet.start_entry("e4", "a", free_port())
         wait_for(lambda: call("GET", f"{fleet.url('e4')}/readyz").status == 200, "readiness")
         wait_for(lambda: fleet.open_groups("e4"), "open groups")
-        wait_for(lambda: fleet.chat("e4", "still here").status == 200, "an answer on a loan")
+        wait_for(
+            lambda: fleet.chat("e4", "still here").status == 200, "a response with a borrowed share"
+        )
         unsafe = fleet.service("e4", "POST", "update/3", idempotency_key="k3")
         self.assertEqual(unsafe.json()["outcome"], "not_run")
         self.assertEqual(fleet.runs("sa", "sb").get("k3", 0), 0)
         members = wait_for(lambda: self._members("e1") == {"e1", "e3", "e4"}, "membership")
         self.assertTrue(members)
 
-    def test_a_frozen_platform_stops_no_answers_and_claims_fail_without_running(self) -> None:
+    def test_a_suspended_platform_blocks_only_unsafe_calls_which_do_not_run(self) -> None:
         fleet = self.fleet
         fleet.signal("platform", signal.SIGSTOP)
         self.assertEqual(fleet.chat("e1", "frozen").status, 200)
@@ -299,20 +312,22 @@
             self.assertEqual(answer.json()["outcome"], "not_run")
             self.assertEqual(fleet.runs("sa", "sb").get(key, 0), 0)
         fleet.signal("platform", signal.SIGCONT)
-        wait_for(lambda: self._runs_again("thawed"), "an unsafe call after the thaw")
+        wait_for(
+            lambda: self._is_unsafe_call_run("thawed"), "an unsafe call after the platform resumed"
+        )
 
-    def _runs_again(self, key: str) -> bool:
+    def _is_unsafe_call_run(self, key: str) -> bool:
         answer = self.fleet.service("e1", "POST", "update/5", idempotency_key=key)
         return answer.status == 200
 
-    def test_a_dead_hosts_share_moves_only_when_the_platform_lists_it_no_more(self) -> None:
-        fleet, part = self.fleet, 50
-        wait_for(lambda: self._share("e1") + self._share("e2") == part, "the granted shares")
+    def test_a_dead_hosts_share_is_reassigned_only_once_it_is_unlisted(self) -> None:
+        fleet, total_share = self.fleet, 50
+        wait_for(lambda: self._share("e1") + self._share("e2") == total_share, "the granted shares")
         fleet.kill("e2")
         wait_for(lambda: self._members("e1") == {"e1", "e3"}, "membership")
-        self.assertEqual(self._share("e1"), part // 2)
+        self.assertEqual(self._share("e1"), total_share // 2)
         fleet.list_entry("e2", "gone")
-        wait_for(lambda: self._share("e1") == part, "the whole share")
+        wait_for(lambda: self._share("e1") == total_share, "the whole share")
 
     def _share(self, entry: str) -> int:
         return int(self.fleet.status(entry)["shares"]["c"])
@@ -332,9 +347,9 @@
 
 
 class TestTable(_FleetCase):
-    """Changes of the table on their way to every entry host."""
+    """Table changes that propagate to every entry host."""
 
-    def test_a_change_reaches_a_data_centre_that_is_cut_from_the_platform(self) -> None:
+    def test_a_change_reaches_a_data_centre_disconnected_from_the_platform(self) -> None:
         fleet = self.fleet
         fleet.control("platform", cut_ports=[fleet.platform_ports["b"]])
         self._cli("table", "set", "customer/c", "weight=3")
@@ -348,7 +363,7 @@
         self.assertIn("weight=3.0", conflict)
 
     def test_a_leaving_endpoint_gets_no_new_work_and_its_group_is_drained(self) -> None:
-        fleet, group = self.fleet, self.group_of("a")
+        fleet, group = self.fleet, self.group_in("a")
         leader = group["members"][0]
         fleet.control(group["members"][3], leaving=True)
         wait_for(lambda: self._is_closed_everywhere(group["id"]), "closed groups")
--- a/yewloom/tests/test_tls.py
+++ b/yewloom/tests/test_tls.py
@@ -17,7 +17,7 @@
 
 
 class TestTls(unittest.TestCase):
-    """Callers and peers over TLS; the table behind an operator's token."""
+    """Callers and peers use TLS; table edits need an operator token."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -48,7 +48,7 @@
         self.addCleanup(self.fleet.stop)
         self.fleet.start()
 
-    def test_callers_and_peers_speak_tls_and_edits_need_a_token(self) -> None:
+    def test_callers_and_peers_use_tls_and_edits_need_a_token(self) -> None:
         fleet = self.fleet
         self.assertEqual(fleet.chat("e1", "hello").status, 200)
         names = wait_for(
@@ -65,7 +65,7 @@
         self.assertEqual(accepted.returncode, 0, accepted.stderr)
         wait_for(lambda: fleet.status("e3")["rows"]["customer/c"] == 2, "the change")
 
-    def test_the_command_line_checks_the_authority(self) -> None:
+    def test_the_command_line_verifies_the_certificate_authority(self) -> None:
         host = ["groups", "--host", self.fleet.url("e1")]
         authority = ["--authority-file", str(self.folder / "authority.pem")]
         trusted = self._run(*authority, *host)
--- a/yewloom/tests/test_work.py
+++ b/yewloom/tests/test_work.py
@@ -1,4 +1,4 @@
-"""Tests of the state of a planned stop: what counts as work in progress, and until when."""
+"""Tests of tracking work in progress and of the phases of a planned stop."""
 
 import json
 import unittest
@@ -19,10 +19,10 @@
 from yewloom.work import CountedTasks, Work
 
 WRITE_S = 30.0
-"""Seconds that a slow caller takes to read its answer."""
+"""Time that a slow caller takes to read its response."""
 
 LONG_COST = 1000.0
-"""Cost of a request that takes 5 s at the pace that admission assumes at first."""
+"""Cost of a request that takes 5 s at the rate that admission initially assumes."""
 
 
 async def _answer(scope: Any, receive: Any, send: Any) -> None:
@@ -44,7 +44,7 @@
     def setUp(self) -> None:
         self.work = Work()
 
-    def test_a_request_counts_until_its_answer_is_written(self) -> None:
+    def test_a_request_counts_until_its_response_is_written(self) -> None:
         async def write_slowly(message: Any) -> None:
             await trio.sleep(WRITE_S / 2)
 
@@ -60,7 +60,7 @@
 
         self.assertAlmostEqual(run_on_mock_clock(scenario), WRITE_S)
 
-    def test_an_answer_closes_its_connection_in_each_phase_of_a_stop(self) -> None:
+    def test_a_response_closes_its_connection_in_each_phase_of_a_stop(self) -> None:
         async def headers(phase: Phase, version: str) -> list[Any]:
             sent: list[Any] = []
 
@@ -81,8 +81,8 @@
 
         run_on_mock_clock(scenario)
 
-    def _cut(self, message: dict[str, Any], answer_at_once: bool) -> list[Any]:
-        """Return what a caller is sent whose request is cut off after one message of it."""
+    def _cut_off_request(self, message: dict[str, Any], answer_at_once: bool) -> list[Any]:
+        """Return what a caller receives whose request is cut off after one message of it."""
         sent: list[Any] = []
 
         async def application(scope: Any, receive: Any, send: Any) -> None:
@@ -110,20 +110,20 @@
         run_on_mock_clock(scenario)
         return sent
 
-    def test_a_request_that_is_cut_off_is_told_what_is_known_of_it(self) -> None:
+    def test_a_cut_off_request_gets_its_known_outcome(self) -> None:
         half = {"type": "http.request", "body": b"x", "more_body": True}
         for message, outcome in ((half, "not_run"), ({**half, "more_body": False}, "unknown")):
-            start, body = self._cut(message, answer_at_once=False)
+            start, body = self._cut_off_request(message, answer_at_once=False)
             self.assertEqual(start["status"], 503)
             self.assertIn((b"connection", b"close"), start["headers"])
             self.assertEqual(json.loads(body["body"])["outcome"], outcome)
 
-    def test_an_answer_that_is_cut_off_breaks_off(self) -> None:
+    def test_a_cut_off_response_is_not_completed(self) -> None:
         whole = {"type": "http.request", "body": b"x"}
-        sent = self._cut(whole, answer_at_once=True)
+        sent = self._cut_off_request(whole, answer_at_once=True)
         self.assertEqual([message["type"] for message in sent], ["http.response.start"])
 
-    def test_one_end_among_several_is_not_the_last(self) -> None:
+    def test_waiting_continues_until_the_last_item_ends(self) -> None:
         async def scenario() -> float:
             async with trio.open_nursery() as nursery:
                 tasks = CountedTasks(nursery, self.work)
@@ -137,7 +137,7 @@
         self.assertAlmostEqual(run_on_mock_clock(scenario), 3)
         self.assertEqual(self.work.in_progress, 0)
 
-    def test_what_became_of_a_claim_counts_until_it_is_stored(self) -> None:
+    def test_a_claim_result_counts_until_it_is_stored(self) -> None:
         platform = FakePlatform()
         claim = ClaimRequest(IdempotencyKey("c/k"), AttemptId("a"), EntryHostId("e"))
 
@@ -160,8 +160,8 @@
         run_on_mock_clock(scenario)
 
 
-class TestNotBegun(unittest.TestCase):
-    """What is likely not to end before the stop is told so, and is not begun."""
+class TestRejectionBeforeStop(unittest.TestCase):
+    """Requests that would probably not finish before the stop are rejected and not started."""
 
     def setUp(self) -> None:
         self.places = Places(Admission(1, max_queued=9))
@@ -184,7 +184,7 @@
         for problem in self.refused.values():
             self.assertEqual((problem.status, problem.outcome), (503, Outcome.NOT_RUN))
 
-    def test_a_long_request_is_refused_at_once_and_a_short_one_begins(self) -> None:
+    def test_a_long_request_is_rejected_and_a_short_one_starts(self) -> None:
         async def scenario() -> None:
             self.places.stop_by(trio.current_time() + DEFAULT_PACE_S * LONG_COST / 2)
             await self._hold("long", LONG_COST, 0)
@@ -193,7 +193,7 @@
         run_on_mock_clock(scenario)
         self._check(["short"], ["long"])
 
-    def test_those_that_wait_are_told_as_soon_as_they_are_too_late(self) -> None:
+    def test_queued_requests_are_rejected_once_they_are_too_late(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 for name, cost in (("first", 1.0), ("short", 1.0), ("long", LONG_COST)):
@@ -207,7 +207,7 @@
         run_on_mock_clock(scenario)
         self._check(["first", "short"], ["long"])
 
-    def test_at_the_end_all_that_wait_and_all_that_come_are_told(self) -> None:
+    def test_at_the_end_queued_and_new_requests_are_rejected(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 for name in ("first", "second", "third"):
--- a/yewloom/work.py
+++ b/yewloom/work.py
@@ -1,4 +1,4 @@
-"""The work of one entry host: what it has accepted and not yet ended, and whether it takes more."""
+"""Tracks an entry host's accepted and unfinished work, and the phase of its planned stop."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
@@ -12,7 +12,7 @@
 
 
 class TaskStarter(Protocol):
-    """What starts tasks: a nursery, or one whose tasks are counted."""
+    """Starts tasks: a nursery, or a wrapper that counts them."""
 
     def start_soon(
         self,
@@ -24,25 +24,25 @@
 
 
 class Work:
-    """Counts work from when it is accepted until nothing of it is left to do.
+    """Counts work items from when they are accepted until nothing of them is left to do.
 
-    ``phase`` is the one state of a planned stop: whoever takes something new looks at it then.
+    ``phase`` is the single state of a planned stop; it is checked whenever new work arrives.
     """
 
     def __init__(self) -> None:
         self.phase = Phase.SERVING
         self.in_progress = 0
-        self._ended = trio.Event()
-        self._requests: set[trio.CancelScope] = set()
+        self._has_item_ended = trio.Event()
+        self._request_scopes: set[trio.CancelScope] = set()
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether a planned stop has begun."""
+        """Return whether a planned stop has begun."""
         return self.phase is not Phase.SERVING
 
     @contextmanager
     def item(self) -> Iterator[None]:
-        """Count one piece of work."""
+        """Count one work item."""
         self.begin()
         try:
             yield
@@ -51,37 +51,37 @@
 
     @contextmanager
     def request(self) -> Iterator[trio.CancelScope]:
-        """Let a request be cut off; its scope tells afterwards whether it was."""
+        """Make a request cancellable; its scope shows afterwards whether it was cancelled."""
         with trio.CancelScope() as scope:
-            self._requests.add(scope)
+            self._request_scopes.add(scope)
             try:
                 yield scope
             finally:
-                self._requests.discard(scope)
+                self._request_scopes.discard(scope)
 
     def begin(self) -> None:
-        """Count one more piece of work; its ``end`` must come."""
+        """Count one more work item; ``end`` must be called for it."""
         self.in_progress += 1
 
     def end(self) -> None:
-        """Count one piece of work less."""
+        """Count one work item less."""
         self.in_progress -= 1
-        self._ended.set()
+        self._has_item_ended.set()
 
     def cut_requests_off(self) -> None:
-        """Cancel the requests that are in progress, at the end of a stop's time."""
-        for scope in self._requests:
+        """Cancel the requests in progress, when a planned stop has run out of time."""
+        for scope in self._request_scopes:
             scope.cancel()
 
     async def wait_until_none(self) -> None:
         """Wait until no work is in progress."""
         while self.in_progress:
-            self._ended = trio.Event()
-            await self._ended.wait()
+            self._has_item_ended = trio.Event()
+            await self._has_item_ended.wait()
 
 
 class CountedTasks:
-    """Starts tasks in a nursery, each counted as work from now until it ends."""
+    """Starts tasks in a nursery and counts each as work until it ends."""
 
     def __init__(self, nursery: trio.Nursery, work: Work) -> None:
         self._nursery = nursery
