--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -161,8 +161,8 @@
     Mutation(
         "requests: a stream that ends early is not whole",
         "streams",
-        "return self._end is not None and self._next >= self._end",
-        "return self._next > 0",
+        "return self._end_offset is not None and self._next_offset >= self._end_offset",
+        "return self._next_offset > 0",
         "test_streams",
     ),
     Mutation(
--- a/yewloom/endpoints.py
+++ b/yewloom/endpoints.py
@@ -1,7 +1,7 @@
 """Calls to model engines and plain services.
 
-``Endpoints`` is what the rest of the system sees; ``HttpEndpoints`` speaks the HTTP form described
-in docs/endpoint-api.md.
+``Endpoints`` is the interface for the rest of the system; ``HttpEndpoints`` implements it with the
+HTTP protocol of docs/endpoint-api.md.
 """
 
 import json
@@ -22,9 +22,9 @@
 from yewloom.writes import to_json
 
 REFUSAL_STATUSES = {409, 429, 503}
-"""Statuses by which an endpoint says that it did not run a call."""
+"""Statuses by which an endpoint reports that it did not run a call."""
 
-_END_TIMEOUT_S = 0.1
+_READ_END_TIMEOUT_S = 0.1
 _EVENT_END = b"\n\n"
 _EVENT_DATA = b"data:"
 _OUTCOME_HEADER = "x-outcome"
@@ -32,7 +32,7 @@
 
 
 class EndpointError(Exception):
-    """A call to an endpoint failed; ``failure`` says what is known of it."""
+    """A call to an endpoint failed; ``failure`` classifies the failure."""
 
     def __init__(self, failure: CallFailure, detail: str) -> None:
         super().__init__(f"{failure.value}: {detail}")
@@ -43,9 +43,9 @@
 class GenerateCall:
     """A request for tokens.
 
-    ``offset`` is the first token wanted. ``resume_only`` asks an engine that already runs the
-    request to go on, and never to start it. ``delivered`` holds the tokens before ``offset``, from
-    which another replica goes on.
+    ``offset`` is the position of the first token wanted. ``resume_only`` tells an engine to
+    continue a request that it is already running, and never to start it. ``delivered`` holds the
+    tokens before ``offset``, from which another replica continues.
     """
 
     request_id: RequestId
@@ -61,7 +61,7 @@
 
 @value_class
 class ServiceCall:
-    """A call of a plain service, passed on as it came."""
+    """A call to a plain service, forwarded unchanged."""
 
     method: str
     path: str
@@ -70,27 +70,27 @@
 
 
 class Endpoints(Protocol):
-    """The calls that the system makes to endpoints."""
+    """The calls that an entry host makes to endpoints."""
 
     async def probe(self, address: str) -> Result[HostReport, EndpointError]:
-        """Ask an endpoint for its report."""
+        """Request an endpoint's report."""
         ...
 
     async def order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
-        """Give an order to a model engine."""
+        """Send an order to a model engine."""
         ...
 
     def generate(
         self, address: str, call: GenerateCall, stall_timeout_s: float
     ) -> AbstractAsyncContextManager[AsyncIterator[StreamPiece]]:
-        """Open a stream of pieces; raises EndpointError at the start or while it is read.
+        """Open a stream of pieces; raises EndpointError when opened or while it is read.
 
-        A silence longer than ``stall_timeout_s`` is an error too.
+        Receiving nothing for longer than ``stall_timeout_s`` is an error too.
         """
         ...
 
     async def cancel(self, address: str, request_id: RequestId) -> None:
-        """Tell an engine that nobody waits for a request any more; failures are ignored."""
+        """Tell an engine that a request is no longer needed; failures are ignored."""
         ...
 
     async def call_service(
@@ -108,7 +108,7 @@
         self._probe_timeout_s = probe_timeout_s
 
     async def probe(self, address: str) -> Result[HostReport, EndpointError]:
-        """Ask an endpoint for its report."""
+        """Request an endpoint's report."""
         try:
             answer = await self._caller.call(
                 "GET", f"http://{address}/report", self._probe_timeout_s
@@ -119,10 +119,10 @@
         except HttpCallError as error:
             return Err(_endpoint_error(error))
         except json_format.ParseError as error:
-            return Err(EndpointError(CallFailure.ENDPOINT_ERROR, f"unreadable report: {error}"))
+            return Err(EndpointError(CallFailure.ENDPOINT_ERROR, f"invalid report: {error}"))
 
     async def order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
-        """Give an order to a model engine."""
+        """Send an order to a model engine."""
         url = f"http://{address}/order"
         try:
             answer = await self._caller.call("POST", url, timeout_s, to_json(order).encode())
@@ -136,20 +136,20 @@
     async def generate(
         self, address: str, call: GenerateCall, stall_timeout_s: float
     ) -> AsyncIterator[AsyncIterator[StreamPiece]]:
-        """Open a stream of pieces; raises EndpointError at the start or while it is read."""
+        """Open a stream of pieces; raises EndpointError when opened or while it is read."""
         body = json.dumps(_generate_fields(call)).encode()
         try:
             url = f"http://{address}/generate"
             async with self._caller.stream("POST", url, body, stall_timeout_s) as stream:
                 if stream.status != 200:
-                    raise _refusal(stream.status)
-                yield _pieces(stream)
+                    raise _status_error(stream.status)
+                yield _parse_pieces(stream)
                 await _read_end(stream)
         except HttpCallError as error:
             raise _endpoint_error(error) from error
 
     async def cancel(self, address: str, request_id: RequestId) -> None:
-        """Tell an engine that nobody waits for a request any more; failures are ignored."""
+        """Tell an engine that a request is no longer needed; failures are ignored."""
         body = json.dumps({"request_id": request_id}).encode()
         try:
             url = f"http://{address}/cancel"
@@ -169,28 +169,28 @@
         except HttpCallError as error:
             raise _endpoint_error(error) from error
         if answer.status in REFUSAL_STATUSES and answer.headers.get(_OUTCOME_HEADER) == _NOT_RUN:
-            raise _refusal(answer.status)
+            raise _status_error(answer.status)
         return answer
 
 
 async def _read_end(stream: HttpStream) -> None:
-    """Read the end of the body, without which the connection can't be used again."""
-    with trio.move_on_after(_END_TIMEOUT_S):
+    """Read the partial_event of the body, so that the connection can be reused."""
+    with trio.move_on_after(_READ_END_TIMEOUT_S):
         async for _ in stream.chunks:
             continue
 
 
-async def _pieces(stream: HttpStream) -> AsyncIterator[StreamPiece]:
-    """Cut the body into events of one ``data`` line and decode each."""
-    rest = b""
+async def _parse_pieces(stream: HttpStream) -> AsyncIterator[StreamPiece]:
+    """Split the body into events of one ``data`` line each, and decode them."""
+    partial_event = b""
     async for chunk in stream.chunks:
-        *events, rest = (rest + chunk).split(_EVENT_END)
+        *events, partial_event = (partial_event + chunk).split(_EVENT_END)
         for event in events:
             if event.startswith(_EVENT_DATA):
-                yield _piece(event.removeprefix(_EVENT_DATA))
+                yield _parse_piece(event.removeprefix(_EVENT_DATA))
 
 
-def _piece(data: bytes) -> StreamPiece:
+def _parse_piece(data: bytes) -> StreamPiece:
     try:
         fields: dict[str, Any] = json.loads(data)
         return StreamPiece(
@@ -202,7 +202,7 @@
             finish_reason=str(fields.get("finish_reason", "")),
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise EndpointError(CallFailure.BROKEN, f"unreadable piece: {error}") from error
+        raise EndpointError(CallFailure.BROKEN, f"invalid stream piece: {error}") from error
 
 
 def _generate_fields(call: GenerateCall) -> dict[str, Any]:
@@ -219,9 +219,9 @@
     }
 
 
-def _refusal(status: int) -> EndpointError:
-    refused = status in REFUSAL_STATUSES
-    failure = CallFailure.REFUSED if refused else CallFailure.ENDPOINT_ERROR
+def _status_error(status: int) -> EndpointError:
+    is_refused = status in REFUSAL_STATUSES
+    failure = CallFailure.REFUSED if is_refused else CallFailure.ENDPOINT_ERROR
     return EndpointError(failure, f"status {status}")
 
 
--- a/yewloom/streams.py
+++ b/yewloom/streams.py
@@ -1,21 +1,22 @@
-"""Assembly of an engine's stream: whole, in order, once, whatever arrives late or twice.
+"""Assembles an engine's stream: complete, in order and without duplicates.
 
-Each piece carries the request, generation and offset of its first token. The end names the number
-of tokens, so a broken stream can't pass as a whole one.
+Each piece carries the request, the generation and the offset of its first token. The last piece
+marks the end, from which the number of tokens follows, so a broken stream is never taken for
+complete.
 """
 
 from yewloom.ids import GroupId, RequestId
 from yewloom.values import value_class
 
-MAX_HELD_PIECES = 1024
-"""Pieces that may wait for an earlier one before the stream counts as broken."""
+MAX_PENDING_PIECES = 1024
+"""Maximum number of out-of-order pieces before the stream is considered broken."""
 
 
 @value_class
 class StreamPiece:
-    """Tokens of one answer.
+    """Tokens of one response.
 
-    ``offset`` is the place of the first one; ``is_last`` says that no more follow.
+    ``offset`` is the position of the first token; ``is_last`` marks the last piece.
     """
 
     request_id: RequestId
@@ -27,69 +28,71 @@
 
 
 class StreamOverflowError(Exception):
-    """Too many pieces wait for one that does not come."""
+    """Too many pieces are waiting for a missing one."""
 
 
 class StreamAssembler:
-    """Puts the pieces of one answer in order and drops those that are not part of it."""
+    """Reorders the pieces of one response and drops those of other requests and generations."""
 
     def __init__(self, request_id: RequestId, generation: int, offset: int = 0) -> None:
         self.request_id = request_id
         self._generation = generation
-        self._next = offset
-        self._end: int | None = None
-        self._held: dict[int, StreamPiece] = {}
+        self._next_offset = offset
+        self._end_offset: int | None = None
+        self._pending: dict[int, StreamPiece] = {}
         self.finish_reason = ""
 
     @property
     def offset(self) -> int:
-        """Tokens put out so far; a resumed stream starts here."""
-        return self._next
+        """Number of tokens released so far; a resumed stream continues here."""
+        return self._next_offset
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether every token up to the end was put out."""
-        return self._end is not None and self._next >= self._end
+        """Return whether all tokens up to the end were released."""
+        return self._end_offset is not None and self._next_offset >= self._end_offset
 
     def move_to(self, generation: int) -> None:
-        """Go on with another replica; pieces of the earlier one are dropped from now on."""
+        """Continue with another replica; pieces of the previous one are dropped from now on."""
         self._generation = generation
-        self._held.clear()
-        self._end = None
+        self._pending.clear()
+        self._end_offset = None
 
     def accept(self, piece: StreamPiece) -> list[str]:
-        """Take in a piece and return the tokens that are now in order."""
+        """Add a piece and return the tokens that are now in order."""
         if piece.request_id != self.request_id or piece.generation != self._generation:
             return []
         if piece.is_last:
-            self._end = piece.offset + len(piece.tokens)
+            self._end_offset = piece.offset + len(piece.tokens)
             self.finish_reason = piece.finish_reason
-        if piece.offset + len(piece.tokens) <= self._next:
+        if piece.offset + len(piece.tokens) <= self._next_offset:
             return []
-        self._hold(piece)
+        self._add_pending(piece)
         return self._release()
 
-    def _hold(self, piece: StreamPiece) -> None:
-        held = self._held.get(piece.offset)
-        if held is None or len(held.tokens) < len(piece.tokens):
-            self._held[piece.offset] = piece
-        if len(self._held) > MAX_HELD_PIECES:
-            raise StreamOverflowError(f"{len(self._held)} pieces wait for offset {self._next}")
+    def _add_pending(self, piece: StreamPiece) -> None:
+        pending = self._pending.get(piece.offset)
+        if pending is None or len(pending.tokens) < len(piece.tokens):
+            self._pending[piece.offset] = piece
+        if len(self._pending) > MAX_PENDING_PIECES:
+            raise StreamOverflowError(
+                f"{len(self._pending)} pieces wait for offset {self._next_offset}"
+            )
 
     def _release(self) -> list[str]:
         released: list[str] = []
         while True:
-            offset = min(self._held, default=self._next + 1)
-            if offset > self._next:
+            offset = min(self._pending, default=self._next_offset + 1)
+            if offset > self._next_offset:
                 return released
-            piece = self._held.pop(offset)
-            released += piece.tokens[self._next - offset :]
-            self._next = max(self._next, offset + len(piece.tokens))
+            piece = self._pending.pop(offset)
+            released += piece.tokens[self._next_offset - offset :]
+            self._next_offset = max(self._next_offset, offset + len(piece.tokens))
 
 
 @value_class
 class StreamPosition:
-    """A caller's place in a stream, as it stands in the SSE event id."""
+    """A caller's position in a stream, as encoded in the SSE event id."""
 
     group_id: GroupId
     generation: int
@@ -101,7 +104,7 @@
 
 
 def parse_position(text: str) -> StreamPosition | None:
-    """Read the event id that a caller sends back; None if it is not one of ours."""
+    """Parse an event id that a caller sends back; return None if it has another format."""
     parts = text.split(":")
     if len(parts) != 4 or not parts[1].isdecimal() or not parts[3].isdecimal():
         return None
--- a/yewloom/tests/test_streams.py
+++ b/yewloom/tests/test_streams.py
@@ -19,7 +19,7 @@
 
 @st.composite
 def _deliveries(draw: st.DrawFn) -> list[StreamPiece]:
-    """Pieces that cover the answer, doubled, overlapping, foreign and in any order."""
+    """Pieces that cover the response, duplicated, overlapping, foreign and in any order."""
     cuts = sorted(draw(st.sets(st.integers(1, len(ANSWER) - 1), max_size=6)))
     edges = [0, *cuts, len(ANSWER)]
     pieces = [_piece(a, b) for a, b in zip(edges, edges[1:], strict=False)]
@@ -33,17 +33,17 @@
 
 
 class TestStreamAssembler(unittest.TestCase):
-    """Whole answers, in order and once."""
+    """Responses are complete, in order and without duplicates."""
 
     @given(_deliveries())
-    def test_any_order_gives_the_whole_answer_once(self, pieces: list[StreamPiece]) -> None:
+    def test_any_order_gives_the_complete_response_once(self, pieces: list[StreamPiece]) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
         tokens = [token for piece in pieces for token in assembler.accept(piece)]
         self.assertEqual(tuple(tokens), ANSWER)
         self.assertTrue(assembler.is_whole)
 
     @given(_deliveries(), st.integers(0, len(ANSWER) - 1))
-    def test_a_missing_token_leaves_the_answer_unfinished(
+    def test_a_missing_token_leaves_the_response_incomplete(
         self, pieces: list[StreamPiece], lost: int
     ) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
@@ -54,11 +54,11 @@
         self.assertFalse(assembler.is_whole)
         self.assertLessEqual(assembler.offset, lost)
 
-    def test_a_resumed_stream_goes_on_at_its_offset(self) -> None:
+    def test_a_resumed_stream_continues_at_its_offset(self) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION, offset=4)
         self.assertEqual(assembler.accept(_piece(2, 6)), ["t4", "t5"])
 
-    def test_another_replica_ends_the_stream_it_took_over(self) -> None:
+    def test_another_replica_completes_the_stream(self) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
         assembler.accept(_piece(0, 5))
         assembler.move_to(GENERATION + 1)
@@ -71,11 +71,11 @@
 class TestStreamPosition(unittest.TestCase):
     """Event ids that callers send back."""
 
-    def test_a_position_survives_the_event_id(self) -> None:
+    def test_a_position_is_preserved_by_the_event_id(self) -> None:
         position = StreamPosition(GroupId("g-1"), 7, REQUEST, 42)
         self.assertEqual(parse_position(str(position)), position)
 
     @given(st.text(max_size=40))
-    def test_any_other_text_is_refused_without_an_error(self, text: str) -> None:
+    def test_any_other_text_is_rejected_without_an_error(self, text: str) -> None:
         parsed = parse_position(text)
         self.assertTrue(parsed is None or str(parsed).count(":") == 3)
