--- a/yewloom/platform_parts.py
+++ b/yewloom/platform_parts.py
@@ -1,4 +1,4 @@
-"""What an entry host needs of the platform that it runs on."""
+"""The platform-specific parts of an entry host."""
 
 from typing import Protocol
 
@@ -12,7 +12,7 @@
 
 
 class PlatformRecords(Protocol):
-    """Decodes what the platform's own kinds of objects hold."""
+    """Decodes the platform's own kinds of stored objects."""
 
     configuration_kind: str
     endpoint_kind: str
@@ -26,16 +26,16 @@
         ...
 
     def endpoint_id(self, key: str) -> HostId:
-        """Return the endpoint that an object's key names."""
+        """Return the id of the endpoint whose object has this key."""
         ...
 
 
 @value_class
 class PlatformParts:
-    """What an entry host needs of the platform that it runs on.
+    """The platform-specific parts of an entry host.
 
-    ``configuration``, ``endpoints``, ``records_store`` and ``stale_store`` are one store with
-    different bounds; answers of the last may be seconds old and cost less.
+    ``configuration``, ``endpoints``, ``records_store`` and ``stale_store`` access the same store
+    with different limits; responses from the last may be seconds old and cost less.
     """
 
     configuration: Platform
--- a/yewloom/settings.py
+++ b/yewloom/settings.py
@@ -1,6 +1,6 @@
-"""Settings of an entry host: reads the INI file, applies defaults and checks bounds.
+"""Settings of an entry host: reads the INI file, applies defaults and validates values.
 
-Source of keys, units, bounds and defaults: ``schema/settings.proto``.
+Keys, units, ranges and defaults are defined in ``schema/settings.proto``.
 """
 
 import configparser
@@ -23,7 +23,7 @@
 
 @value_class
 class SettingsError:
-    """Why a settings file can't be used, in one sentence with the remedy."""
+    """Why a settings file can't be used and how to fix it, in one sentence."""
 
     sentence: str
 
@@ -32,52 +32,52 @@
 
 
 def read_settings(path: Path) -> Result[Settings, SettingsError]:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     return _read_text(path).and_then(lambda text: parse_settings(text, str(path)))
 
 
 def parse_settings(text: str, source: str) -> Result[Settings, SettingsError]:
-    """Turn the text of an INI file into settings; ``source`` names the file in errors."""
+    """Parse the text of an INI file as settings; ``source`` names the file in error messages."""
     parsed = parse_sections(text, source, Settings())
-    return parsed.and_then(lambda settings: _check_together(settings, source))
+    return parsed.and_then(lambda settings: _check_cross_field_rules(settings, source))
 
 
 def read_entry_settings(path: Path) -> Result[EntrySettings, SettingsError]:
-    """Read and check the settings file of an entry host on the users' platform."""
+    """Read and validate the settings file of an entry host on the users' platform."""
     return _read_text(path).and_then(lambda text: parse_entry_settings(text, str(path)))
 
 
 def parse_entry_settings(text: str, source: str) -> Result[EntrySettings, SettingsError]:
-    """Turn the text of an INI file into the settings of an entry host."""
+    """Parse the text of an INI file as the settings of an entry host."""
     parsed = parse_sections(text, source, EntrySettings())
     return parsed.and_then(lambda s: _check_lease(s.lease, source).map(lambda _: s))
 
 
 def parse_sections(text: str, source: str, settings: SettingsT) -> Result[SettingsT, SettingsError]:
-    """Fill an empty message from an INI file with one section for each of its fields."""
+    """Fill an empty message from an INI file that has one section per field."""
     parser = new_parser()
     try:
         parser.read_string(text, source)
     except configparser.Error as error:
         summary = " ".join(str(error).split())
-        return Err(SettingsError(f"{source} is not an INI file ({summary}); mend that line."))
+        return Err(SettingsError(f"{source} is not an INI file ({summary}); correct that line."))
     sections = {field.name: field for field in settings.DESCRIPTOR.fields}
     for name in parser.sections():
         if name not in sections:
             known = ", ".join(sorted(sections))
-            return _fail(source, f"[{name}] is not a known section; use one of {known}.")
+            return _error(source, f"[{name}] is not a known section; use one of {known}.")
     for name in sections:
         section = getattr(settings, name)
         section.SetInParent()
         values = dict(parser[name]) if parser.has_section(name) else {}
         problem = _fill_section(section, values)
         if problem is not None:
-            return _fail(source, f"[{name}] {problem}")
+            return _error(source, f"[{name}] {problem}")
     return Ok(settings)
 
 
 def _fill_section(section: Message, values: dict[str, str]) -> str | None:
-    """Fill one section in place and return what is wrong with it, if anything."""
+    """Fill one section in place; return an error message, or None."""
     fields = fields_of(section)
     for key in values:
         if key not in fields:
@@ -104,26 +104,26 @@
     return None
 
 
-def _check_together(settings: Settings, source: str) -> Result[Settings, SettingsError]:
-    """Check the bounds that join several keys."""
+def _check_cross_field_rules(settings: Settings, source: str) -> Result[Settings, SettingsError]:
+    """Validate constraints that involve several keys."""
     groups, tls = settings.groups, settings.tls
     match _check_lease(settings.lease, source):
         case Err(error):
             return Err(error)
     if groups.give_up_ms < groups.freshness_ms:
-        return _fail(
+        return _error(
             source,
             f"[groups] give_up_ms is {groups.give_up_ms}; set it to freshness_ms "
             f"({groups.freshness_ms}) or more, so that a group stops before it is dissolved.",
         )
     if settings.host.data_centre not in settings.limits.data_centres.split():
-        return _fail(
+        return _error(
             source,
             f"[limits] data_centres is {settings.limits.data_centres!r}; name "
             f"{settings.host.data_centre!r} too, or this data centre has no part of any limit.",
         )
     if bool(tls.certificate_file) != bool(tls.key_file):
-        return _fail(source, "[tls] certificate_file and key_file go together; set both or none.")
+        return _error(source, "[tls] certificate_file and key_file go together; set both or none.")
     return _check_files(settings, source)
 
 
@@ -139,7 +139,7 @@
 
 
 def _check_files(settings: Settings, source: str) -> Result[Settings, SettingsError]:
-    """Check that the files that the settings name can be read."""
+    """Check that the files named in the settings are readable."""
     files = {
         "[platform] token_file": settings.platform.token_file,
         "[tls] certificate_file": settings.tls.certificate_file,
@@ -148,7 +148,7 @@
     }
     for name, path in files.items():
         if path and not os.access(path, os.R_OK):
-            return _fail(source, f"{name} is {path}; name a file that can be read.")
+            return _error(source, f"{name} is {path}; name a file that can be read.")
     return Ok(settings)
 
 
@@ -159,5 +159,5 @@
         return Err(SettingsError(f"{path} can't be read ({error}); give an INI file in UTF-8."))
 
 
-def _fail(source: str, sentence: str) -> Err[SettingsError]:
+def _error(source: str, sentence: str) -> Err[SettingsError]:
     return Err(SettingsError(f"{source}: {sentence}"))
--- a/yewloom/validation.py
+++ b/yewloom/validation.py
@@ -1,6 +1,6 @@
-"""Checks of message fields against the rules that the schema states for them.
+"""Validation of message fields against the rules in the schema.
 
-Source of the rules: the ``rule`` option in ``schema/options.proto``.
+The rules are the ``rule`` options of ``schema/options.proto``.
 """
 
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
 
 @value_class
 class FieldError:
-    """A value that breaks the rule of its field."""
+    """A value that violates the rule of its field."""
 
     field: str
     problem: str
@@ -33,24 +33,24 @@
 
 
 def rule_of(field: FieldDescriptor) -> Rule:
-    """Return the rule of a field; an empty one if the schema states none."""
+    """Return the rule of a field; an empty rule if the schema defines none."""
     options = field.GetOptions()
     found: Rule = options.Extensions[rule]  # type: ignore[index]
     return found
 
 
 def fields_of(message: Message) -> dict[str, FieldDescriptor]:
-    """Return the fields of a message by name, in the order of the schema."""
+    """Return the fields of a message by name, in schema order."""
     return {field.name: cast(FieldDescriptor, field) for field in message.DESCRIPTOR.fields}
 
 
 def is_scalar(field: FieldDescriptor) -> bool:
-    """Tell whether a field holds one plain value."""
+    """Return whether a field holds a single scalar value."""
     return field.message_type is None and not field.is_repeated
 
 
 def allowed_text(field: FieldDescriptor) -> str:
-    """Describe in words what a field accepts."""
+    """Describe the values that a field accepts."""
     limits = rule_of(field)
     if limits.choices:
         return "one of " + ", ".join(limits.choices.split())
@@ -66,7 +66,7 @@
 
 
 def parse_value(field: FieldDescriptor, text: str) -> Result[FieldValue, FieldError]:
-    """Turn the text of a setting or cell into a value within the field's bounds."""
+    """Parse the text of a setting or table cell as a value that the field's rule allows."""
     parsed = _convert(field, text.strip())
     if parsed is None or not _is_allowed(field, parsed):
         return Err(FieldError(field.name, f"is {text!r}", f"set it to {allowed_text(field)}"))
@@ -74,7 +74,7 @@
 
 
 def apply_defaults(message: Message) -> None:
-    """Set every scalar field of a fresh message to the default in its rule."""
+    """Set every scalar field of a new message to the default in its rule."""
     for field in scalar_fields(message):
         default = rule_of(field).default
         if default:
@@ -84,7 +84,7 @@
 
 
 def check_message(message: Message) -> list[FieldError]:
-    """Return the broken rules of a message and of the messages in it."""
+    """Return the rule violations of a message and its nested messages."""
     errors = []
     for field in scalar_fields(message):
         value = getattr(message, field.name)
@@ -99,7 +99,7 @@
 
 
 def scalar_fields(message: Message) -> Iterator[FieldDescriptor]:
-    """Yield the plain fields of a message."""
+    """Yield the scalar fields of a message."""
     return (field for field in fields_of(message).values() if is_scalar(field))
 
 
