--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -142,8 +142,8 @@
     Removal(
         "callers wait for the first configuration",
         "entry_servers",
-        "FIRST_KNOWLEDGE_S = 0.5",
-        "FIRST_KNOWLEDGE_S = 0.0",
+        "FIRST_CONFIGURATION_WAIT_S = 0.5",
+        "FIRST_CONFIGURATION_WAIT_S = 0.0",
     ),
 )
 
--- a/tools/mutations_lateness.py
+++ b/tools/mutations_lateness.py
@@ -6,36 +6,36 @@
     Mutation(
         "start: a request that waits is refused for a part of its time",
         "early_listener",
-        "return max(self._waited_s(connection), seen_for_s) >= limit_s",
+        "return max(self._waited_s(connection), accepted_ago_s) >= limit_s",
         "return False",
         "test_early_listener",
     ),
     Mutation(
         "start: an alarm leaves the one before at its work",
         "early_listener",
-        "if self._is_looking or self._is_taken_over:",
-        "if self._is_taken_over:",
+        "if self._is_checking or self._is_handed_over:",
+        "if self._is_handed_over:",
         "test_early_listener",
     ),
     Mutation(
         "start: no connection is accepted behind the program's back",
         "early_listener",
-        "if self._is_looking or self._is_taken_over:",
-        "if self._is_looking:",
+        "if self._is_checking or self._is_handed_over:",
+        "if self._is_checking:",
         "test_early_listener",
     ),
     Mutation(
         "start: what has come in part is left to the program",
         "early_listener",
-        "        if not _is_whole(data):\n            return False\n",
+        "        if not _is_complete(data):\n            return False\n",
         "",
         "test_early_listener",
     ),
     Mutation(
         "start: connections that were accepted early are served",
         "caller_server",
-        "            yield _stream_of(self._accepted.pop(0))",
-        "            self._accepted.pop(0)\n            yield from ()",
+        "            yield _to_stream(self._early_connections.pop(0))",
+        "            self._early_connections.pop(0)\n            yield from ()",
         "test_caller_server",
     ),
     Mutation(
@@ -55,15 +55,15 @@
     Mutation(
         "stop: a host that is let wait cuts no work off early",
         "planned_stop",
-        "MOST_EXIT_MARGIN_S, most_s",
-        "MOST_EXIT_MARGIN_S",
+        "MAX_EXIT_MARGIN_S, max_s",
+        "MAX_EXIT_MARGIN_S",
         "test_planned_stop",
     ),
     Mutation(
         "late: the notice of a stop counts from when its signal may have come",
         "planned_stop",
-        "self.closes_s = asked_s - unnoticed_s + notice_s",
-        "self.closes_s = asked_s + notice_s",
+        "self.stops_accepting_s = requested_s - unnoticed_s + deregistration_s",
+        "self.stops_accepting_s = requested_s + deregistration_s",
         "test_planned_stop",
     ),
     Mutation(
@@ -90,7 +90,7 @@
     Mutation(
         "late: a loop that was held up knows since when",
         "loop_lateness",
-        "if late_s >= LEAST_S:",
+        "if late_s >= MIN_BLOCKED_S:",
         "if False:",
         "test_loop_lateness",
     ),
@@ -160,8 +160,8 @@
     Mutation(
         "stop: what has arrived goes out before the rest is cut off",
         "shutdown",
-        "LAST_PASSES = 4",
-        "LAST_PASSES = 0",
+        "FINAL_PASSES = 4",
+        "FINAL_PASSES = 0",
         "test_shutdown",
     ),
     Mutation(
@@ -174,7 +174,7 @@
     Mutation(
         "suspended: bytes that waited meanwhile are older by it",
         "socket_ages",
-        "age_s + self._suspended.since(age_s)",
+        "age_s + self._suspensions.suspended_since_s(age_s)",
         "age_s",
         "test_boot_clock",
     ),
--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -104,8 +104,8 @@
     Mutation(
         "stop: a host that is let wait ends earlier",
         "planned_stop",
-        "        if self.is_begun:\n            most_s",
-        "        if False:\n            most_s",
+        "        if self.is_begun:\n            max_s",
+        "        if False:\n            max_s",
         "test_planned_stop",
     ),
     Mutation(
--- a/yewloom/boot_clock.py
+++ b/yewloom/boot_clock.py
@@ -1,4 +1,4 @@
-"""The runtime's clock for programs that run on machines which may be suspended."""
+"""A trio clock that keeps counting while the system is suspended."""
 
 import random
 
@@ -6,27 +6,28 @@
 
 from yewloom.boot_time import boot_s
 
-_LEAST_OFFSET_S = 10_000.0
-_MOST_OFFSET_S = 1_000_000.0
+_MIN_OFFSET_S = 10_000.0
+_MAX_OFFSET_S = 1_000_000.0
 
 
 class BootClock(trio.abc.Clock):
-    """trio's clock by the time since boot; its origin is drawn, as that of trio's own clock is."""
+    """A trio clock based on the time since boot, with a random offset like trio's own clock."""
 
     def __init__(self) -> None:
-        self._offset_s = random.uniform(_LEAST_OFFSET_S, _MOST_OFFSET_S)
+        self._offset_s = random.uniform(_MIN_OFFSET_S, _MAX_OFFSET_S)
 
     def start_clock(self) -> None:
-        """Do nothing: the clock runs."""
+        """Do nothing: the clock is always running."""
 
     def current_time(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds."""
         return self._offset_s + boot_s()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return the seconds until a deadline.
 
-        A wait for events is counted by the system's steady clock, and so ends late by the time of a
-        suspension; an entry host waits for a fifth of a second at most.
+        The operating system measures the timeout of an event wait with its monotonic clock, so a
+        wait during which the system is suspended ends late by the duration of the suspension. On an
+        entry host each wait is at most 0.2 s long.
         """
         return deadline - self.current_time()
--- a/yewloom/boot_time.py
+++ b/yewloom/boot_time.py
@@ -1,64 +1,69 @@
-"""Time that goes on while the machine is suspended.
+"""Time that includes system suspension.
 
-The steady clock of the system stands still meanwhile. To a host that was suspended for seconds its
-configuration, its lease, the deadlines of its callers and what its peers told would look as fresh
-as before, and all of them have aged. The time since the machine's boot counts on.
+The monotonic clock stops while the system is suspended. A host that used it would treat its
+configuration, its lease, its callers' deadlines and its peers' reports as fresh after a suspension
+of several seconds, although all of them have aged. The time since boot includes suspension.
 """
 
 import time
 from collections import deque
 from collections.abc import Callable
 
-LEAST_JUMP_S = 0.02
-"""Least time of a suspension that counts; the two clocks are read a moment apart."""
+MIN_SUSPENSION_S = 0.02
+"""Shortest suspension that is detected; the two clocks are not read at exactly the same time."""
 
-READ_SLACK_S = 0.001
-"""Longest time in which both clocks are read; a reader that was interrupted reads again later."""
+MAX_READ_TIME_S = 0.001
+"""Maximum time for reading both clocks; a reading that was interrupted is discarded."""
 
-KEEP_S = 60.0
-"""Time for which a suspension is kept: nothing waits in a socket for longer and is still wanted."""
+RETENTION_S = 60.0
+"""How long a suspension is remembered; no request stays in a socket for longer and is still useful.
+"""
 
 
 def boot_s() -> float:
-    """Return the seconds since the machine's boot, those in which it was suspended included."""
+    """Return the seconds since boot, including time during which the system was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class SuspendedTime:
-    """Corrects ages that the system counts by its steady clock."""
+class SuspensionTracker:
+    """Corrects ages measured by the monotonic clock for system suspensions."""
 
     def __init__(
         self,
-        steady_clock_s: Callable[[], float] = time.monotonic,
+        monotonic_clock_s: Callable[[], float] = time.monotonic,
         boot_clock_s: Callable[[], float] = boot_s,
     ) -> None:
-        self._steady_clock_s = steady_clock_s
+        self._monotonic_clock_s = monotonic_clock_s
         self._boot_clock_s = boot_clock_s
-        self._ahead_s: float | None = None  # Until both clocks were read without an interruption.
-        self._noticed: deque[tuple[float, float]] = deque()  # When, and for how long.
-        self._notice()
+        self._clock_offset_s: float | None = (
+            None  # None until both clocks were read without interruption.
+        )
+        self._suspensions: deque[tuple[float, float]] = deque()  # Time of detection and duration.
+        self._detect_suspension()
 
-    def since(self, steady_age_s: float) -> float:
-        """Return the time of suspensions that were noticed after something came.
+    def suspended_since_s(self, monotonic_age_s: float) -> float:
+        """Return the total suspension detected after data of the given monotonic age arrived.
 
-        What came between a suspension's end and its notice, some milliseconds, counts as older than
-        it is.
+        Data that arrives after the end of a suspension but before its detection, within some
+        milliseconds, is considered older than it is.
         """
-        self._notice()
-        came_s = self._steady_clock_s() - steady_age_s
-        return sum(for_s for noticed_s, for_s in self._noticed if noticed_s >= came_s)
+        self._detect_suspension()
+        received_s = self._monotonic_clock_s() - monotonic_age_s
+        return sum(
+            duration_s for detected_s, duration_s in self._suspensions if detected_s >= received_s
+        )
 
-    def _notice(self) -> None:
-        """Take in how far the time since boot has gone ahead."""
-        before_s = self._steady_clock_s()
-        ahead_s = self._boot_clock_s() - before_s
-        now_s = self._steady_clock_s()
-        if now_s - before_s > READ_SLACK_S:
+    def _detect_suspension(self) -> None:
+        """Detect a suspension from the growing difference between the two clocks."""
+        before_s = self._monotonic_clock_s()
+        offset_s = self._boot_clock_s() - before_s
+        now_s = self._monotonic_clock_s()
+        if now_s - before_s > MAX_READ_TIME_S:
             return
-        if self._ahead_s is None:
-            self._ahead_s = ahead_s
-        elif ahead_s - self._ahead_s > LEAST_JUMP_S:
-            self._noticed.append((now_s, ahead_s - self._ahead_s))
-            self._ahead_s = ahead_s
-        while self._noticed and now_s - self._noticed[0][0] > KEEP_S:
-            self._noticed.popleft()
+        if self._clock_offset_s is None:
+            self._clock_offset_s = offset_s
+        elif offset_s - self._clock_offset_s > MIN_SUSPENSION_S:
+            self._suspensions.append((now_s, offset_s - self._clock_offset_s))
+            self._clock_offset_s = offset_s
+        while self._suspensions and now_s - self._suspensions[0][0] > RETENTION_S:
+            self._suspensions.popleft()
--- a/yewloom/caller_activity.py
+++ b/yewloom/caller_activity.py
@@ -1,4 +1,4 @@
-"""What the connections of one server are doing, and how far its planned stop has come."""
+"""Tracks the connections of one server and the phase of its planned stop."""
 
 import math
 from collections.abc import Iterator
@@ -8,35 +8,35 @@
 
 from yewloom.states import Phase
 
-LAST_LOOK_S = 0.05
-"""Time for which a connection waits for a request, or for its rest, once none are taken any more.
-What has arrived is read at once; this leaves a host that is behind with its work some passes of its
-loop, and a caller that got its answer the way there and back."""
+FINAL_READ_S = 0.05
+"""How long a connection may wait for a request, or for the rest of one, once the server accepts no
+more requests. Data that has already arrived is read at once; the time lets a busy event loop make
+several passes, and covers a network round trip of a caller that has just received a response."""
 
 
 class CallerActivity:
-    """The phase of a server, and its requests and connections that a planned stop waits for.
+    """The phase of a server, and the requests and connections that a planned stop waits for.
 
-    While it leaves, requests are taken, and each answer that begins closes its connection. Once it
-    is closed, what still arrives is refused, and idle connections are closed.
+    While the server is stopping it still accepts requests, and closes each connection after the
+    response. Once it is closed, it rejects requests that still arrive and closes idle connections.
     """
 
     def __init__(self) -> None:
         self._phase = Phase.SERVING
         self._leaving_since_s = 0.0
-        self._arriving: set[trio.CancelScope] = set()
+        self._reading_scopes: set[trio.CancelScope] = set()
         self._closing = 0
         self._has_changed = trio.Event()
         self.open_requests = 0
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether a planned stop has begun."""
+        """Return whether a planned stop has begun."""
         return self._phase is not Phase.SERVING
 
     @property
-    def takes_requests(self) -> bool:
-        """Tell whether a request that was read now may be begun."""
+    def accepts_requests(self) -> bool:
+        """Return whether a request that has just been read may be started."""
         return self._phase is not Phase.CLOSED
 
     def start_leaving(self) -> None:
@@ -46,34 +46,34 @@
             self._leaving_since_s = trio.current_time()
 
     def stop_taking(self) -> None:
-        """Take no request any more, on any connection, and wait for none that has not arrived."""
+        """Accept no more requests, and don't wait for requests that have not arrived."""
         self.start_leaving()
         self._phase = Phase.CLOSED
-        for scope in self._arriving:
-            scope.deadline = min(scope.deadline, trio.current_time() + LAST_LOOK_S)
+        for scope in self._reading_scopes:
+            scope.deadline = min(scope.deadline, trio.current_time() + FINAL_READ_S)
 
     def stopping_ms(self) -> int | None:
-        """Return for how long the planned stop has been going on; None if there is none."""
+        """Return the milliseconds since the planned stop began, or None if there is none."""
         if not self.is_leaving:
             return None
         return round((trio.current_time() - self._leaving_since_s) * 1000)
 
     @contextmanager
-    def arriving(self, limit_s: float = math.inf) -> Iterator[trio.CancelScope]:
-        """Mark a connection as waiting for a request or reading one, for some time at most."""
-        if not self.takes_requests:
-            limit_s = min(limit_s, LAST_LOOK_S)
+    def reading_request(self, limit_s: float = math.inf) -> Iterator[trio.CancelScope]:
+        """Mark a connection as waiting for or reading a request, for a limited time."""
+        if not self.accepts_requests:
+            limit_s = min(limit_s, FINAL_READ_S)
         with trio.move_on_after(limit_s) as scope:
-            self._arriving.add(scope)
+            self._reading_scopes.add(scope)
             try:
                 yield scope
             finally:
-                self._arriving.discard(scope)
+                self._reading_scopes.discard(scope)
                 self._has_changed.set()
 
     @contextmanager
     def request(self) -> Iterator[None]:
-        """Count a request from when it was read until its answer has gone out."""
+        """Count a request as open until its response has been sent."""
         self.open_requests += 1
         try:
             yield
@@ -83,7 +83,7 @@
 
     @contextmanager
     def closing(self) -> Iterator[None]:
-        """Count a connection that is being closed behind its last answer."""
+        """Count a connection that is being closed after its last response."""
         self._closing += 1
         try:
             yield
@@ -92,7 +92,7 @@
             self._has_changed.set()
 
     async def wait_until_idle(self) -> None:
-        """Wait until no request is open or arriving and no connection is being closed."""
-        while self.open_requests or self._arriving or self._closing:
+        """Wait until no request is open or being read, and no connection is being closed."""
+        while self.open_requests or self._reading_scopes or self._closing:
             self._has_changed = trio.Event()
             await self._has_changed.wait()
--- a/yewloom/caller_messages.py
+++ b/yewloom/caller_messages.py
@@ -1,4 +1,4 @@
-"""A caller's request as it was read whole, and the reply to it."""
+"""A complete request of a caller, and the response to it."""
 
 from collections.abc import Awaitable, Callable, Iterator, Sequence
 from contextlib import contextmanager
@@ -9,20 +9,21 @@
 from yewloom.endpoint_calls import Header
 from yewloom.values import value_class
 
-SEND_LIMIT_S = 10.0
-"""Longest time for a whole answer to go out; then the caller counts as gone. It is longer than
-usual deadlines, so that a slow caller is given all of its time. The parts of a stream go out within
-the time of its request."""
+SEND_TIMEOUT_S = 10.0
+"""Maximum time to send a complete response; after it the caller is treated as disconnected. It is
+longer than usual deadlines, so that a slow caller can use all of its time. The parts of a stream
+are bounded by the deadline of its request instead."""
 
 
 @value_class
 class CallerRequest:
-    """A whole request of a caller; header names are in lower case.
+    """A complete request of a caller; header names are in lower case.
 
-    ``arrived_s`` is when its first bytes may have come at the earliest, ``read_s`` when it was read
-    whole. ``number_on_connection`` is 1 for the first request of a connection; ``stopping_ms`` is
-    how long the host had been stopping when the request was read, or None. ``kept_waiting_s`` is
-    how long it then waited for its own caller to take the answers before it.
+    ``arrived_s`` is the earliest time at which its first bytes may have arrived; ``read_s`` is when
+    it had been read completely. ``number_on_connection`` is 1 for the first request of a
+    connection. ``stopping_ms`` is how long the host had been stopping when the request was read, or
+    None. ``kept_waiting_s`` is how long, after its arrival, earlier responses were being sent on
+    the same connection.
     """
 
     method: bytes
@@ -37,23 +38,23 @@
 
     @property
     def path(self) -> str:
-        """Return the path without the query."""
+        """Return the path without the query string."""
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection."""
+    """The caller has disconnected."""
 
 
-class TakingTime:
-    """For how long the caller of a connection has been taking what was sent to it, in seconds."""
+class SendTimer:
+    """Measures the total time spent sending on a connection, in seconds."""
 
     def __init__(self) -> None:
         self._ended_s = 0.0
         self._began_s: float | None = None
 
     def total_s(self) -> float:
-        """Return the time up to now, with what is being sent."""
+        """Return the total time so far, including a send in progress."""
         open_s = 0.0 if self._began_s is None else trio.current_time() - self._began_s
         return self._ended_s + open_s
 
@@ -69,9 +70,10 @@
 
 
 class Reply:
-    """The answer to one request; nothing is sent before ``start`` or ``send_whole``.
+    """Sends the response to one request; nothing is sent before ``start`` or ``send_whole``.
 
-    A call that is cancelled before it begins to send leaves the answer unstarted.
+    If ``start`` or ``send_whole`` is cancelled before it sends anything, the response remains
+    unstarted.
     """
 
     def __init__(
@@ -79,41 +81,41 @@
         stream: trio.abc.Stream,
         connection: h11.Connection,
         should_close: Callable[[], bool],
-        taking: TakingTime,
+        send_timer: SendTimer,
     ) -> None:
-        self._taking = taking
+        self._send_timer = send_timer
         self._stream = stream
         self._connection = connection
         self._should_close = should_close
-        self._is_intact = True
+        self._is_uninterrupted = True
         self.status = 0
 
     @property
     def is_started(self) -> bool:
-        """Tell whether a part of the answer was sent."""
+        """Return whether any part of the response was sent."""
         return self.status != 0
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether the answer was sent to its end."""
+        """Return whether the response was sent completely."""
         has_ended = self._connection.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
-        return self.is_started and has_ended and self._is_intact
+        return self.is_started and has_ended and self._is_uninterrupted
 
     async def send_whole(self, status: int, headers: Sequence[Header], body: bytes) -> None:
-        """Send an answer with its length."""
+        """Send a complete response with its length."""
         await trio.lowlevel.checkpoint_if_cancelled()
         length = (b"content-length", str(len(body)).encode())
         data = self._head(status, [*headers, length])
         if body:
             data += self._connection.send(h11.Data(data=body)) or b""
         data += self._connection.send(h11.EndOfMessage()) or b""
-        with trio.move_on_after(SEND_LIMIT_S) as limit:
+        with trio.move_on_after(SEND_TIMEOUT_S) as limit:
             await self._write(data)
         if limit.cancelled_caught:
             raise CallerGoneError
 
     async def start(self, status: int, headers: Sequence[Header], first: bytes) -> None:
-        """Send status, headers and a first part of the body."""
+        """Send the status, the headers and the first part of the body."""
         await trio.lowlevel.checkpoint_if_cancelled()
         data = self._head(status, headers)
         await self._write(data + (self._connection.send(h11.Data(data=first)) or b""))
@@ -123,7 +125,7 @@
         await self._write(self._connection.send(h11.Data(data=data)) or b"")
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """End the body."""
         await self._write(self._connection.send(h11.EndOfMessage()) or b"")
 
     def _head(self, status: int, headers: Sequence[Header]) -> bytes:
@@ -133,30 +135,30 @@
         return self._connection.send(response) or b""
 
     async def _write(self, data: bytes) -> None:
-        """Send bytes; an answer whose sending was cut off can't be gone on with."""
+        """Send bytes; if sending is interrupted, the response can't be continued."""
         if not data:
             return
-        self._is_intact = False
+        self._is_uninterrupted = False
         try:
-            with self._taking.sending():
+            with self._send_timer.sending():
                 await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise CallerGoneError from error
-        self._is_intact = True
+        self._is_uninterrupted = True
 
 
 Handler = Callable[[CallerRequest, Reply], Awaitable[None]]
-"""Answers one request; an answer that it leaves unfinished is cut off."""
+"""Handles one request; a response that it does not finish is cut off."""
 
 
-async def refuse_unavailable(request: CallerRequest, reply: Reply) -> None:
-    """Answer that a request has not run."""
+async def respond_unavailable(request: CallerRequest, reply: Reply) -> None:
+    """Respond with 503: the request was not run."""
     await reply.send_whole(503, [], b"")
 
 
 @value_class
 class Handlers:
-    """Who answers requests: while the server takes them, and once it takes none any more."""
+    """Request handlers: one while the server accepts requests, one once it no longer does."""
 
-    take: Handler
-    refuse: Handler = refuse_unavailable
+    accept: Handler
+    refuse: Handler = respond_unavailable
--- a/yewloom/caller_server.py
+++ b/yewloom/caller_server.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards callers: the server that accepts their connections.
+"""HTTP/1.1 server that accepts callers' connections.
 
-h11 frames the bytes and trio carries them, rather than an ASGI server: an answer that breaks off
-must not look complete, a caller that leaves must stop its request at once, and a planned stop must
-close each connection behind an answer (docs/DESIGN.md).
+It uses h11 for framing and trio for I/O instead of an ASGI server, because an interrupted response
+must not look complete, a disconnect must cancel the request at once, and a planned stop must close
+each connection after a response (docs/DESIGN.md).
 """
 
 import socket
@@ -21,26 +21,26 @@
 logger = structlog.get_logger(__name__)
 
 
-class _Listener(trio.abc.Listener[trio.SocketStream]):
-    """A listener that calls a function right before its socket is closed."""
+class _CloseHookListener(trio.abc.Listener[trio.SocketStream]):
+    """A listener that calls a function immediately before its socket is closed."""
 
     def __init__(self, listener: socket.socket, before_close: Callable[[], None]) -> None:
         self._listener = trio.SocketListener(trio.socket.from_stdlib_socket(listener))
         self._before_close = before_close
 
     async def accept(self) -> trio.SocketStream:
-        """Wait for a connection."""
+        """Accept one connection."""
         return await self._listener.accept()
 
     async def aclose(self) -> None:
-        """Close the socket, with nothing between the function and the close."""
+        """Call the function and close the socket, with no checkpoint in between."""
         if self._listener.socket.fileno() >= 0:
             self._before_close()
         await self._listener.aclose()
 
 
 class CallerServer:
-    """Accepts callers' connections and hands their requests to handlers."""
+    """Accepts callers' connections and passes their requests to handlers."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         self._limits = limits
         self._ages = ages or ReadAges()
         self.activity = CallerActivity()
-        self._accepting = trio.CancelScope()
+        self._accept_scope = trio.CancelScope()
         self._listener: socket.socket | None = None
-        self._listener_open = ExitStack()  # Keeps a stop waiting until no connection may come.
-        self._accepted: list[socket.socket] = []
+        self._listener_hold = ExitStack()  # Delays a planned stop until the listener closes.
+        self._early_connections: list[socket.socket] = []
         self._connections: trio.Nursery | None = None
 
     async def serve(
@@ -65,19 +65,19 @@
         accepted: Iterable[socket.socket] = (),
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept connections until cancelled; those that are open then are cancelled too.
+        """Accept connections until cancelled, which also cancels the connections that are open.
 
-        None is accepted before ``wait`` has returned, unless the server stops meanwhile; those that
-        were ``accepted`` already wait as well.
+        No connection is served before ``wait`` returns, unless the server stops earlier; this
+        includes connections in ``accepted``, which were accepted before the server ran.
         """
         self._listener = listener
-        self._accepted = list(accepted)
-        listeners = [_Listener(listener, self._before_close)]
+        self._early_connections = list(accepted)
+        listeners = [_CloseHookListener(listener, self._before_close)]
         async with trio.open_nursery() as self._connections:
             task_status.started()
-            with self._accepting:
+            with self._accept_scope:
                 await wait()
-                for stream in self._accepted_connections():
+                for stream in self._take_early_connections():
                     self._connections.start_soon(self._serve_connection, stream)
                 await trio.serve_listeners(
                     self._serve_connection, listeners, handler_nursery=self._connections
@@ -85,53 +85,53 @@
             await trio.aclose_forcefully(listeners[0])
 
     def stop_taking(self) -> None:
-        """Accept no connection and take no request any more; open requests go on.
+        """Accept no more connections or requests; open requests continue.
 
-        Connections that wait to be accepted were made while callers were sent here: what they ask
-        is refused, rather than reset with the socket.
+        Callers may have opened connections that are still in the accept queue. Requests on them are
+        rejected; closing the socket alone would reset those connections.
         """
-        if self.activity.takes_requests:
+        if self.activity.accepts_requests:
             self.activity.stop_taking()
-            self._accepting.cancel()
+            self._accept_scope.cancel()
             if self._listener is not None:
-                self._listener_open.enter_context(self.activity.closing())
-            self._refuse_waiting()
+                self._listener_hold.enter_context(self.activity.closing())
+            self._reject_queued()
 
     def _before_close(self) -> None:
-        """Look a last time who waits to be accepted; a stop goes on once nobody can any more."""
-        with self._listener_open:
-            if not self.activity.takes_requests:
-                self._refuse_waiting()
-
-    def _refuse_waiting(self) -> None:
-        """Refuse what the connections ask that wait to be accepted now."""
-        for stream in self._waiting_connections():
-            is_closing = ExitStack()
-            is_closing.enter_context(self.activity.closing())
+        """Empty the accept queue once more; after that, the planned stop need not wait for it."""
+        with self._listener_hold:
+            if not self.activity.accepts_requests:
+                self._reject_queued()
+
+    def _reject_queued(self) -> None:
+        """Reject the requests on connections that are waiting to be accepted."""
+        for stream in self._queued_connections():
+            closing_hold = ExitStack()
+            closing_hold.enter_context(self.activity.closing())
             assert self._connections is not None
-            self._connections.start_soon(self._refuse_connection, stream, is_closing)
+            self._connections.start_soon(self._reject_connection, stream, closing_hold)
 
-    def _accepted_connections(self) -> Iterator[trio.SocketStream]:
-        """Yield the connections that were accepted before the server ran, each once."""
-        while self._accepted:
-            yield _stream_of(self._accepted.pop(0))
+    def _take_early_connections(self) -> Iterator[trio.SocketStream]:
+        """Yield each connection that was accepted before the server ran, once."""
+        while self._early_connections:
+            yield _to_stream(self._early_connections.pop(0))
 
-    def _waiting_connections(self) -> Iterator[trio.SocketStream]:
-        yield from self._accepted_connections()
+    def _queued_connections(self) -> Iterator[trio.SocketStream]:
+        yield from self._take_early_connections()
         if self._listener is None:
             return
         while True:
             try:
                 connection, _ = self._listener.accept()
             except BlockingIOError:
-                return  # None waits any more.
+                return  # The accept queue is empty.
             except OSError as error:
-                logger.warning("waiting connections not accepted", reason=str(error))
+                logger.warning("accept queue not emptied", reason=str(error))
                 return
-            yield _stream_of(connection)
+            yield _to_stream(connection)
 
-    async def _refuse_connection(self, stream: trio.SocketStream, is_closing: ExitStack) -> None:
-        with is_closing:
+    async def _reject_connection(self, stream: trio.SocketStream, closing_hold: ExitStack) -> None:
+        with closing_hold:
             await self._serve_connection(stream)
 
     async def _serve_connection(self, stream: trio.SocketStream) -> None:
@@ -141,13 +141,13 @@
         try:
             await connection.run()
         except CallerGoneError:
-            pass  # The request's own log line tells; between requests there is nothing to tell.
+            pass  # The request has its own log line; between requests there is nothing to log.
         except Exception:
             logger.exception("connection failed", reason="unexpected error")
         finally:
             await trio.aclose_forcefully(stream)
 
 
-def _stream_of(connection: socket.socket) -> trio.SocketStream:
+def _to_stream(connection: socket.socket) -> trio.SocketStream:
     connection.setblocking(False)
     return trio.SocketStream(trio.socket.from_stdlib_socket(connection))
--- a/yewloom/early_listener.py
+++ b/yewloom/early_listener.py
@@ -1,12 +1,13 @@
-"""The socket for callers, opened before the program's long imports.
+"""The listening socket for callers, opened before the program's long imports.
 
-A host that starts needs a second until it serves: half a second of processor time on half a core,
-nearly all of it for imports. A caller that is refused a connection meanwhile has spent one of its
-few tries; one whose connection waits is answered once the host serves.
+A starting host needs about 1 s until it serves: with half a core, 0.5 s of processor time, nearly
+all of it for imports. A caller whose connection is refused meanwhile has used up one of its few
+attempts; a connection that waits in the accept queue is served once the host is ready.
 
-A busy or slow machine needs many times as long. A caller that waited for that would spend all of
-its time here, so a timer of the system interrupts the start again and again, and a request that has
-waited for a part of its time is told to come back, which lets its caller go elsewhere.
+A busy or slow system needs many times as long, and a caller that waited for it would spend its
+whole deadline here. So a system timer interrupts the start repeatedly, and a request that has
+waited for a certain share of its timeout is rejected with 503 and Retry-After, so that its caller
+can try another host.
 """
 
 import configparser
@@ -23,31 +24,31 @@
 from yewloom.socket_ages import received_ago_s
 
 LISTEN_BACKLOG = 512
-"""Connections that may wait to be accepted; a full queue costs a caller seconds."""
+"""Size of the accept queue; when it is full, connecting takes seconds."""
 
-WAIT_SHARE = 1 / 3
-"""Part of a request's time for which it may wait; the rest is for its caller to go elsewhere."""
+MAX_WAIT_SHARE = 1 / 3
+"""Share of a request's timeout for which it may wait here; the rest is for a retry elsewhere."""
 
-USUAL_WAIT_S = 0.8
-"""The same for a request that names no time: callers give up what was not read in a second."""
+DEFAULT_MAX_WAIT_S = 0.8
+"""Maximum wait of a request without a timeout: callers give up if it is not read within 1 s."""
 
-LOOK_S = 0.1
-"""Time between two looks for requests that have waited for too long."""
+CHECK_INTERVAL_S = 0.1
+"""Interval between checks for requests that have waited too long."""
 
 NOT_READY_RETRY_AFTER_S = 0.5
-"""When a caller should come back to a host that can't serve yet."""
+"""Retry-After value sent by a host that can't serve yet."""
 
 PEEK_BYTES = 65536
-"""Longest request that is refused before the program runs; longer ones wait for it."""
+"""Maximum size of a request that can be rejected before the program runs; longer ones wait."""
 
-_REFUSAL = (
+_REJECTION = (
     "HTTP/1.1 503 Service Unavailable\r\n"
     f"retry-after: {NOT_READY_RETRY_AFTER_S:g}\r\n"
     "connection: close\r\ncontent-length: 0\r\n\r\n"
 ).encode()
 
 _HEAD_END = b"\r\n\r\n"
-_DEADLINE = rb"\r\n%s:[ \t]*(\d{1,9})[ \t]*\r\n"
+_DEADLINE_PATTERN = rb"\r\n%s:[ \t]*(\d{1,9})[ \t]*\r\n"
 """Pattern of a header line with a number of milliseconds."""
 
 _LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n", re.IGNORECASE)
@@ -55,11 +56,10 @@
 
 
 class EarlyListener:
-    """The socket for callers until the program takes it over; for the main thread alone.
+    """The callers' listening socket until the program takes it over; for the main thread only.
 
-    ``deadline_header`` is the lower-case name of the header in which callers state their time.
-    ``refused`` counts the requests that were refused, and ``errors`` holds what went wrong, for the
-    program's log.
+    ``deadline_header`` is the lower-case name of the header with the caller's timeout. ``refused``
+    counts rejected requests, and ``errors`` collects errors, for the program to log.
     """
 
     def __init__(
@@ -70,100 +70,105 @@
     ) -> None:
         self._listener = listener
         self._listener.setblocking(False)
-        self._deadline = re.compile(_DEADLINE % re.escape(deadline_header), re.IGNORECASE)
+        self._deadline = re.compile(_DEADLINE_PATTERN % re.escape(deadline_header), re.IGNORECASE)
         self._waited_s = waited_s
-        self._seen_s: dict[socket.socket, float] = {}  # Accepted connections, and since when.
+        self._accepted_s: dict[socket.socket, float] = {}  # When each connection was accepted.
         self._has_timer = False
-        self._is_looking = False
-        self._is_taken_over = False
+        self._is_checking = False
+        self._is_handed_over = False
         self.refused = 0
         self.errors: list[Exception] = []
 
     def start(self) -> None:
-        """Begin to refuse what waits too long."""
+        """Start rejecting requests that have waited too long."""
         signal.signal(signal.SIGALRM, self._on_alarm)
         try:
-            signal.setitimer(signal.ITIMER_REAL, LOOK_S, LOOK_S)
+            signal.setitimer(signal.ITIMER_REAL, CHECK_INTERVAL_S, CHECK_INTERVAL_S)
             self._has_timer = True
         except OSError as error:
-            self.errors.append(error)  # Callers wait for the program, as they do on a quick start.
+            self.errors.append(error)  # Callers then wait for the program, as on a fast start.
 
-    def take_over(self) -> tuple[socket.socket, list[socket.socket]]:
+    def hand_over(self) -> tuple[socket.socket, list[socket.socket]]:
         """Return the socket, and the connections that were accepted but not answered."""
         self._stop_timer()
-        self._is_taken_over = True  # An alarm may have come before that and be run behind it.
-        return self._listener, list(self._seen_s)
+        self._is_handed_over = True  # A signal that arrived before may be handled only now.
+        return self._listener, list(self._accepted_s)
 
     def refuse_late(self) -> None:
-        """Refuse the requests that have come whole and waited for too long."""
+        """Reject the requests that have arrived completely and waited too long."""
         self._accept_waiting()
-        for connection in list(self._seen_s):
-            if self._has_refused(connection):
-                del self._seen_s[connection]
+        for connection in list(self._accepted_s):
+            if self._reject_if_due(connection):
+                del self._accepted_s[connection]
 
     def _stop_timer(self) -> None:
         if self._has_timer:
             signal.setitimer(signal.ITIMER_REAL, 0)
 
     def _on_alarm(self, number: int, frame: FrameType | None) -> None:
-        """Run in the middle of whatever the program imports: no error may come out of here.
+        """Handle the timer signal, which may interrupt an import: it must not raise.
 
-        On a process that is let wait that may be the alarm before, which is then at work.
+        In a process that gets little processor time, it may even interrupt the previous call of
+        itself.
         """
-        if self._is_looking or self._is_taken_over:
+        if self._is_checking or self._is_handed_over:
             return
-        self._is_looking = True
+        self._is_checking = True
         try:
             self.refuse_late()
         except OSError as error:
             self.errors.append(error)
         except Exception as error:
             self.errors.append(error)
-            self._stop_timer()  # Callers wait for the program, as they do on a quick start.
+            self._stop_timer()  # Callers then wait for the program, as on a fast start.
         finally:
-            self._is_looking = False
+            self._is_checking = False
 
     def _accept_waiting(self) -> None:
         while True:
             try:
                 connection, _ = self._listener.accept()
             except BlockingIOError:
-                return  # None waits any more.
+                return  # The accept queue is empty.
             connection.setblocking(False)
-            self._seen_s[connection] = boot_s()
+            self._accepted_s[connection] = boot_s()
 
-    def _has_refused(self, connection: socket.socket) -> bool:
-        """Refuse a request if it is due; tell whether the connection is done with."""
+    def _reject_if_due(self, connection: socket.socket) -> bool:
+        """Reject a request if it is due; return whether the connection is finished."""
         try:
             data = connection.recv(PEEK_BYTES, socket.MSG_PEEK)
             if data and not self._is_due(connection, data):
                 return False
             if data:
-                # Bytes that were left unread would reset the connection before the answer is read.
+                # Closing with unread bytes would reset the connection before the response is read.
                 connection.recv(len(data))
-                connection.send(_REFUSAL)
+                connection.send(_REJECTION)
                 self.refused += 1
         except BlockingIOError:
-            return False  # Nothing was sent yet.
+            return False  # The caller has sent nothing yet.
         except OSError as error:
             self.errors.append(error)
         connection.close()
         return True
 
     def _is_due(self, connection: socket.socket, data: bytes) -> bool:
-        """Tell whether a request has come whole and has waited for its part of its time."""
-        if not _is_whole(data):
+        """Return whether a complete request has waited for its share of its timeout."""
+        if not _is_complete(data):
             return False
-        stated = self._deadline.search(data)
-        limit_s = int(stated[1]) / 1000 * WAIT_SHARE if stated is not None else USUAL_WAIT_S
-        seen_for_s = boot_s() - self._seen_s[connection]
-        return max(self._waited_s(connection), seen_for_s) >= limit_s
+        timeout_match = self._deadline.search(data)
+        limit_s = (
+            int(timeout_match[1]) / 1000 * MAX_WAIT_SHARE
+            if timeout_match is not None
+            else DEFAULT_MAX_WAIT_S
+        )
+        accepted_ago_s = boot_s() - self._accepted_s[connection]
+        return max(self._waited_s(connection), accepted_ago_s) >= limit_s
 
 
 def open_early(settings: Path, deadline_header: bytes) -> EarlyListener | None:
-    """Listen at the callers' address of a settings file; None if that can't be done yet.
+    """Listen at the callers' address in a settings file; return None if that fails.
 
-    The program reads and checks the settings later, and listens itself where this did not.
+    The program reads and validates the settings later, and opens the socket itself if this failed.
     """
     address = _caller_address(settings)
     if address is None:
@@ -171,11 +176,11 @@
     try:
         return EarlyListener(listen(address), deadline_header)
     except (OSError, ValueError):
-        return None  # The program tries again, and tells why it can't.
+        return None  # The program tries again and reports the error.
 
 
 def listen(address: str) -> socket.socket:
-    """Open a socket that listens at ``ip:port``; raises OSError, and ValueError if it is none."""
+    """Open a socket that listens at ``ip:port``; raises OSError, or ValueError if invalid."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -187,8 +192,8 @@
     return listener
 
 
-def _is_whole(data: bytes) -> bool:
-    """Tell whether bytes are a whole request of HTTP/1.1 whose length is known."""
+def _is_complete(data: bytes) -> bool:
+    """Return whether the bytes are a complete HTTP/1.1 request of known length."""
     head, end, body = data.partition(_HEAD_END)
     if not end or _UNKNOWN_LENGTH.search(head):
         return False
@@ -202,4 +207,4 @@
         parser.read_string(settings.read_text(encoding="utf-8"))
         return parser.get("host", "caller_address")
     except (OSError, ValueError, configparser.Error):
-        return None  # As above.
+        return None  # The program reports the error.
--- a/yewloom/early_signals.py
+++ b/yewloom/early_signals.py
@@ -1,7 +1,7 @@
-"""Signals that come while the program is imported: a stop is noted, and a reload passed over.
+"""Signal handling while the program is imported: a stop is recorded, and a reload is ignored.
 
-A process that lets callers connect may not end by a signal's default action: those that wait would
-see their connections reset.
+Once callers can connect, the process must not be ended by a signal's default action: the
+connections of waiting callers would be reset.
 """
 
 import signal
@@ -10,22 +10,22 @@
 from yewloom.boot_time import boot_s
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-"""Signals that ask for a planned stop: of the platform, and of a terminal."""
+"""Signals that request a planned stop: from the platform, and from a terminal."""
 
 
 class EarlySignals:
-    """Keeps when a stop was first asked for; takes the signals until ``ProcessSignals`` does."""
+    """Records when a stop was first requested, until ``ProcessSignals`` takes over the handlers."""
 
     def __init__(self) -> None:
-        self.asked_s: float | None = None
+        self.requested_s: float | None = None
 
     def listen(self) -> None:
-        """Take the signals from now on."""
-        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # The settings are read later.
+        """Install the handlers."""
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # No settings to reload yet.
         for number in STOP_SIGNALS:
-            signal.signal(number, self.note_stop)
+            signal.signal(number, self.record_stop)
 
-    def note_stop(self, number: int, frame: FrameType | None) -> None:
-        """Take in a signal that asks for a stop; the first of several counts."""
-        if self.asked_s is None:
-            self.asked_s = boot_s()
+    def record_stop(self, number: int, frame: FrameType | None) -> None:
+        """Record a stop request; only the first one counts."""
+        if self.requested_s is None:
+            self.requested_s = boot_s()
--- a/yewloom/entry_host.py
+++ b/yewloom/entry_host.py
@@ -18,7 +18,7 @@
 from yewloom.endpoint_probes import EndpointProbes
 from yewloom.entry_addresses import EntryAddresses, PeerAddress
 from yewloom.entry_exchange import EntryExchange
-from yewloom.entry_servers import EntryServers, HostStanding
+from yewloom.entry_servers import EntryServers, HostReadiness
 from yewloom.entry_states import PeerBoard
 from yewloom.exit_timer import ExitTimer
 from yewloom.follow_duty import LISTEN_S, FollowDuty, Standing
@@ -53,11 +53,11 @@
 logger = structlog.get_logger(__name__)
 
 BEFORE_TRAFFIC_PAUSE_S = 2.0
-"""Time for which changes of endpoints are gathered before the first request of all, by a host that
-does not tell others of them."""
+"""How long endpoint changes are batched before the first request of the system, on a host that does
+not relay them to other hosts."""
 
-TASK_PAUSE_S = 0.5
-"""Pause before a task that failed is begun anew."""
+TASK_RESTART_PAUSE_S = 0.5
+"""Pause before a failed task is restarted."""
 
 
 class EntryHost:
@@ -79,37 +79,37 @@
         self._metrics = metrics
         self._book = ConfigurationBook()
         self._directory = EndpointDirectory()
-        self._stalls = StallDetector(self._tell_peers_soon)
-        self._has_had_requests = False
+        self._stalls = StallDetector(self._schedule_exchange)
+        self._has_received_requests = False
         self._started_s = float("-inf")
         self._stop_plan = PlannedStop(settings.host.stop_grace_s)
-        self._me = EntryIdentity(
+        self._identity = EntryIdentity(
             EntryHostId(settings.host.id),
             DataCentreId(settings.host.data_centre),
             time.time_ns() // 1_000_000,
         )
-        host_id, data_centre = self._me.host_id, self._me.data_centre
-        self._board = PeerBoard(host_id, data_centre, self._me.started_unix_ms)
-        draw = rng.random()
+        host_id, data_centre = self._identity.host_id, self._identity.data_centre
+        self._board = PeerBoard(host_id, data_centre, self._identity.started_unix_ms)
+        random_fraction = rng.random()
         self._duty = FollowDuty(
             host_id,
             self._board,
             self._standing,
             follow_times(settings),
-            draw,
-            self._is_listening,
+            random_fraction,
+            self._has_just_started,
         )
-        self._store_retries = StoreRetries(settings.store.retry_pause_ms / 1000, draw)
+        self._store_retries = StoreRetries(settings.store.retry_pause_ms / 1000, random_fraction)
         self._reachability = Reachability(self._directory, lambda: self._probes.wake())
         self._probes = EndpointProbes(self._reachability)
         self._limits = EndpointLimits(
-            host_id, self._directory, self._board.sharing_hosts, self._tell_peers_soon
+            host_id, self._directory, self._board.sharing_hosts, self._schedule_exchange
         )
         self._selector = Selector(
             self._directory, data_centre, self._board, rng, self._reachability, self._limits
         )
         self._crashes = CrashParts(
-            host_id, self._board.known_hosts, self._directory, self._tell_peers_soon
+            host_id, self._board.known_hosts, self._directory, self._schedule_exchange
         )
         self._quarantine_store = QuarantineStore(
             host_id,
@@ -119,7 +119,7 @@
             parts.stale_store,
         )
         self._forwarder = self._build_forwarder()
-        self._callers = CallerServer(
+        self._caller_server = CallerServer(
             Handlers(self._handle, self._forwarder.refuse),
             self._caller_limits,
             ReadAges(self._lateness.late_s),
@@ -143,10 +143,10 @@
         )
         self._servers = EntryServers(
             settings.host,
-            self._callers,
+            self._caller_server,
             self._peer_configurations.answer,
             metrics,
-            HostStanding(self._knows_all, self._is_ready),
+            HostReadiness(self._has_full_state, self._is_ready),
             self._crashes.page,
         )
 
@@ -191,11 +191,14 @@
             parts.records.configuration_kind,
             self._configuration_intake.take,
             FollowedPosition(),
-            self._follow_pace(lambda: 0.0, self._configuration_age_s),
+            self._build_follow_pace(lambda: 0.0, self._configuration_age_s),
         )
 
     def _configuration_age_s(self, now_s: float) -> float:
-        """Return the age by which the store is asked: infinite while a newer version is known."""
+        """Return the age that decides whether to ask the store.
+
+        It is infinite while a newer version is known.
+        """
         return math.inf if self._book.is_outdated else self._book.age_s(now_s)
 
     def _build_endpoint_follower(self) -> Follower:
@@ -205,10 +208,10 @@
             parts.records.endpoint_kind,
             self._endpoint_intake.take,
             self._followed_endpoints,
-            self._follow_pace(self._endpoint_pause_s, self._followed_endpoints.age_s),
+            self._build_follow_pace(self._endpoint_pause_s, self._followed_endpoints.age_s),
         )
 
-    def _follow_pace(
+    def _build_follow_pace(
         self, pause_s: Callable[[], float], age_s: Callable[[float], float]
     ) -> FollowPace:
         return FollowPace(
@@ -224,7 +227,7 @@
     def _build_exchange(self) -> EntryExchange:
         topics: list[PeerTopic] = [self._crashes.messages, LimitMessages(self._limits)]
         own_state = OwnState(
-            self._me,
+            self._identity,
             self._book,
             self._selector,
             self._stalls,
@@ -251,19 +254,19 @@
         )
 
     def _build_addresses(self) -> EntryAddresses:
-        own = PeerAddress(self._settings.host.peer_address, self._me.data_centre)
+        own = PeerAddress(self._settings.host.peer_address, self._identity.data_centre)
         parts = self._parts
         return EntryAddresses(
-            self._me.host_id, own, parts.records_store, parts.stale_store, self._board
+            self._identity.host_id, own, parts.records_store, parts.stale_store, self._board
         )
 
     async def run(
         self, signals: ProcessSignals, reload: Callable[[], None], end_process: Callable[[], None]
     ) -> None:
-        """Serve until a signal asks for a planned stop; ``reload`` reads the settings anew.
+        """Serve until a signal requests a planned stop; ``reload`` reads the settings again.
 
-        ``end_process`` is called once all that the stop waits for is done. In a process of its own
-        it does not return: to unwind the tasks of all connections takes 0.5 ms of processor time
+        ``end_process`` is called once everything that the stop waits for is done. In a real process
+        it does not return: unwinding the tasks of all connections takes 0.5 ms of processor time
         each, which a slow host does not have.
         """
         self._started_s = trio.current_time()
@@ -271,24 +274,26 @@
         async with trio.open_nursery() as nursery:
             await self._start(nursery)
             logger.info("started", data_centre=self._settings.host.data_centre)
-            asked_s = await signals.wait_for_stop(reload)
-            await self._stop(asked_s, end_process)
+            requested_s = await signals.wait_for_stop(reload)
+            await self._stop(requested_s, end_process)
             nursery.cancel_scope.cancel()
 
-    async def _stop(self, asked_s: float, end_process: Callable[[], None]) -> None:
-        """Stop as planned; a loop that is held up does not make the end later."""
+    async def _stop(self, requested_s: float, end_process: Callable[[], None]) -> None:
+        """Perform the planned stop; a blocked event loop does not delay its end."""
 
         def end() -> None:
-            logger.info("stopped", cut_off=self._callers.activity.open_requests)
+            logger.info("stopped", cut_off=self._caller_server.activity.open_requests)
             end_process()
 
         self._coordinator.is_leaving = True
-        shutdown = Shutdown(self._stop_plan, self._callers, self._forwarder, ExitTimer(end))
-        await shutdown.run(asked_s, self._lateness.unnoticed_s(trio.current_time() - asked_s))
+        shutdown = Shutdown(self._stop_plan, self._caller_server, self._forwarder, ExitTimer(end))
+        await shutdown.run(
+            requested_s, self._lateness.unnoticed_s(trio.current_time() - requested_s)
+        )
         end()
 
     async def _start(self, nursery: trio.Nursery) -> None:
-        """Open the servers, then begin the tasks that go on beside them."""
+        """Open the servers, then start the background tasks."""
         await self._servers.start(nursery, self._listener)
         tasks = [
             self._configuration_follower.run,
@@ -302,43 +307,43 @@
             self._coordinator.run,
         ]
         for task in tasks:
-            nursery.start_soon(_keep_running, task)
+            nursery.start_soon(_run_with_restarts, task)
 
     def _forget_endpoint(self, endpoint_id: HostId) -> None:
-        """Drop what was seen of an earlier process of an endpoint."""
+        """Drop what was learned about an earlier process of an endpoint."""
         self._stalls.forget(endpoint_id)
         self._reachability.forget(endpoint_id)
         self._limits.forget(endpoint_id)
         self._crashes.checks.on_started_again(endpoint_id)
 
-    def _tell_peers_soon(self) -> None:
-        """Let peers hear at once of what is urgent news."""
+    def _schedule_exchange(self) -> None:
+        """Send urgent news to the peers without waiting for the next regular exchange."""
         self._exchange.tell_soon()
 
-    def _knows_all(self) -> bool:
-        """Tell whether the configuration and the endpoints are known."""
+    def _has_full_state(self) -> bool:
+        """Return whether the configuration and the endpoints are known."""
         return self._book.current is not None and self._directory.is_known
 
     def _is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
-        return self._knows_all() and not self._stop_plan.is_begun
+        """Return whether the load balancer should send callers here."""
+        return self._has_full_state() and not self._stop_plan.is_begun
 
     def _endpoint_pause_s(self) -> float:
-        """Return how long changes of endpoints are gathered; a coordinator waits for them.
+        """Return how long endpoint changes are batched; a coordinator waits for each batch.
 
         Before the first request all endpoints appear one by one, and a host that does not follow
-        them for others has no use for them yet.
+        the store for other hosts has no use for them yet.
         """
         store = self._settings.store
         is_before_traffic = self._is_before_traffic()
         if is_before_traffic and not self._duty.is_mine():
             return BEFORE_TRAFFIC_PAUSE_S
-        is_hurried = is_before_traffic or self._coordinator.is_holding
-        pause_ms = store.coordinator_pause_ms if is_hurried else store.endpoint_pause_ms
+        needs_changes_soon = is_before_traffic or self._coordinator.is_holding
+        pause_ms = store.coordinator_pause_ms if needs_changes_soon else store.endpoint_pause_ms
         return pause_ms / 1000
 
-    def _is_listening(self) -> bool:
-        """Tell whether this process has only just started."""
+    def _has_just_started(self) -> bool:
+        """Return whether this process has only just started."""
         return trio.current_time() - self._started_s < LISTEN_S
 
     def _standing(self) -> Standing:
@@ -351,20 +356,20 @@
         return configuration.limits if configuration is not None else CallerLimits()
 
     def _is_before_traffic(self) -> bool:
-        """Tell whether the system starts for the first time and nobody asked for anything yet."""
-        has_traffic = self._has_had_requests or bool(self._board.loads())
+        """Return whether the system is starting for the first time and has had no request yet."""
+        has_traffic = self._has_received_requests or bool(self._board.loads())
         return self._settings.host.is_first_start and not has_traffic
 
     async def _handle(self, request: CallerRequest, reply: Reply) -> None:
-        self._has_had_requests = True
+        self._has_received_requests = True
         await self._forwarder.handle(request, reply)
 
 
-async def _keep_running(task: Callable[[], Awaitable[None]]) -> None:
-    """Run a task until cancelled; begin it anew after an error that nobody foresaw."""
+async def _run_with_restarts(task: Callable[[], Awaitable[None]]) -> None:
+    """Run a task until cancelled; restart it after an unexpected error."""
     while True:
         try:
             await task()
         except Exception:
             logger.exception("task failed", task=getattr(task, "__qualname__", ""))
-        await trio.sleep(TASK_PAUSE_S)
+        await trio.sleep(TASK_RESTART_PAUSE_S)
--- a/yewloom/exit_timer.py
+++ b/yewloom/exit_timer.py
@@ -1,10 +1,11 @@
-"""Ends the process at a time that was set, also while its loop is held up.
+"""Ends the process at a set time, even while its event loop is blocked.
 
-The loop of a host that gets a thirtieth of a core may need longer for one pass over a hundred open
-streams than a planned stop has left. A timer of the system interrupts it in the middle of the pass.
+On a host with a thirtieth of a core, one pass of the loop over 100 open streams may take longer
+than the time that is left of a planned stop. A system timer interrupts it in the middle of the
+pass.
 
-Such a host may also get its timer's signal late, and so end late. The timer goes off several times
-on the way, and tells how late it was each time, so that the end can be set that much earlier.
+Such a host may also receive the timer's signal late, and so end late. So the timer fires several
+times before the end and reports each delay, so that the end can be set correspondingly earlier.
 """
 
 import signal
@@ -17,18 +18,18 @@
 
 logger = structlog.get_logger(__name__)
 
-TICK_S = 0.2
-"""Longest time between two signals of the timer."""
+MAX_INTERVAL_S = 0.2
+"""Maximum interval between two timer signals."""
 
-LEAST_DELAY_S = 0.001
-"""Delay of a time that has passed already: a timer of zero would never go off."""
+MIN_DELAY_S = 0.001
+"""Delay for a time that has already passed: a delay of zero would disable the timer."""
 
 
 class ExitTimer:
-    """Calls ``end`` once the time is up; for the main thread alone, which takes the signals.
+    """Calls ``end`` at a set time; for the main thread only, which receives the signals.
 
-    ``end`` is called in the middle of whatever runs, so it may do nothing that others wait for; it
-    is meant to end the process.
+    ``end`` is called in the middle of any other code and must not block on it; it should end the
+    process.
     """
 
     def __init__(self, end: Callable[[], None]) -> None:
@@ -38,26 +39,26 @@
         self._due_s = 0.0
 
     def start(self, left_s: Callable[[], float], on_late: Callable[[float], None]) -> None:
-        """Begin; ``left_s`` returns the seconds that are left until the end.
+        """Start the timer; ``left_s`` returns the seconds left until the end.
 
-        ``on_late`` is told by how many seconds a signal of the timer came late.
+        ``on_late`` is called with the delay of each timer signal in seconds.
         """
         self._left_s, self._on_late = left_s, on_late
         signal.signal(signal.SIGALRM, self._on_alarm)
-        self._set()
+        self._schedule()
 
-    def _set(self) -> None:
-        delay_s = max(min(self._left_s(), TICK_S), LEAST_DELAY_S)
+    def _schedule(self) -> None:
+        delay_s = max(min(self._left_s(), MAX_INTERVAL_S), MIN_DELAY_S)
         self._due_s = boot_s() + delay_s
         try:
             signal.setitimer(signal.ITIMER_REAL, delay_s)
         except OSError as error:
-            # The stop still ends by the loop's own clock.
-            logger.warning("no timer for the end of the process", reason=str(error))
+            # The event loop still ends the stop, unless it is blocked.
+            logger.warning("exit timer not set", reason=str(error))
 
     def _on_alarm(self, number: int, frame: FrameType | None) -> None:
         self._on_late(boot_s() - self._due_s)
         if self._left_s() <= 0:
             self._end()
         else:
-            self._set()
+            self._schedule()
--- a/yewloom/planned_stop.py
+++ b/yewloom/planned_stop.py
@@ -1,44 +1,43 @@
-"""When a planned stop takes its steps, and which requests still have time to end."""
+"""Schedule of a planned stop, and which requests still have time to finish."""
 
 import math
 
-BALANCER_NOTICE_S = 2.6
-"""Time for which requests are still taken after the host stops being ready: the balancer asks once
-a second and takes a host out after two answers."""
+DEREGISTRATION_DELAY_S = 2.6
+"""How long requests are still accepted after the host reports not ready: the load balancer checks
+once per second and removes a host after two failed checks."""
 
-NOTICE_SHARE = 0.4
-"""Largest part of the time for a stop that requests are still taken for; the rest is for them to
-end."""
+MAX_DEREGISTRATION_SHARE = 0.4
+"""Maximum share of a planned stop for which requests are still accepted; the rest is for them to
+finish."""
 
 STOP_MARGIN_S = 0.5
-"""Part of the time for a planned stop that is left for last answers and the process to end."""
+"""Time at the end of a planned stop that is reserved for final responses and process exit."""
 
-LAST_ANSWERS_S = 0.1
-"""Part of that margin in which requests that could not end get their last answers."""
+FINAL_RESPONSES_S = 0.1
+"""Part of that margin in which requests that could not finish get their final responses."""
 
 EXIT_MARGIN_S = 0.25
-"""Part of that margin in which the process ends, whatever is still open: a process with a tenth of
-a core gets to run twice in it."""
+"""Part of that margin in which the process exits, whatever is still open: a process with a tenth of
+a core is scheduled twice in it."""
 
-LAST_ANSWERS_MARGIN_S = STOP_MARGIN_S - EXIT_MARGIN_S
-"""The other part of it, in which open requests are given their last answers."""
+FINAL_RESPONSES_MARGIN_S = STOP_MARGIN_S - EXIT_MARGIN_S
+"""The other part, in which open requests get their final responses."""
 
-EXIT_RUNS = 2.0
-"""How often a process that the system lets wait must get to run in the time kept for its end."""
+EXIT_DELAY_FACTOR = 2.0
+"""How often a process that is scheduled late must get to run in the time reserved for its exit."""
 
-MOST_EXIT_MARGIN_S = 1.0
-"""Most time that is kept for the end, however long the process is let wait."""
+MAX_EXIT_MARGIN_S = 1.0
+"""Maximum time reserved for the exit, however late the process is scheduled."""
 
-WORK_SHARE = 5 / 6
-"""Part of the grace in which no request is cut off that an endpoint works on; from the platform's
-pages."""
+PROTECTED_WORK_SHARE = 5 / 6
+"""Share of the grace period in which no request that an endpoint is working on is cut off; required
+by the platform's documentation."""
 
-REQUEST_END_S = 0.01
-"""Time that the end of a request may take that the stop cuts off, on a host with a tenth of a
-core."""
+CUT_OFF_TIME_PER_REQUEST_S = 0.01
+"""Time that cutting off one request may take on a host with a tenth of a core."""
 
-CUT_OFF_SHARE = 0.25
-"""Largest part of the time for requests to end that is kept for cutting off the rest of them."""
+MAX_CUT_OFF_SHARE = 0.25
+"""Maximum share of the time for requests to finish that is reserved for cutting off the rest."""
 
 
 class PlannedStop:
@@ -46,51 +45,54 @@
 
     def __init__(self, grace_s: float) -> None:
         self._grace_s = grace_s
-        self._asked_s = math.inf
-        self.closes_s = math.inf
-        """When the host takes no more requests."""
+        self._requested_s = math.inf
+        self.stops_accepting_s = math.inf
+        """When the host stops accepting requests."""
         self.ends_s = math.inf
-        """When the last requests that have no answer must get one."""
-        self.exits_s = math.inf
-        """When the process ends, whatever is still open."""
+        """When the last requests without a response must get one."""
+        self.exit_s = math.inf
+        """When the process exits, whatever is still open."""
 
     @property
     def is_begun(self) -> bool:
-        """Tell whether the stop has begun."""
+        """Return whether the stop has begun."""
         return self.ends_s < math.inf
 
-    def begin(self, asked_s: float, unnoticed_s: float = 0.0) -> None:
-        """Set the times by when the stop was asked for; the first of several times counts.
+    def begin(self, requested_s: float, unnoticed_s: float = 0.0) -> None:
+        """Compute the times from when the stop was requested; only the first request counts.
 
-        The signal may have come ``unnoticed_s`` before, to a host that was held up: the balancer's
-        questions were not answered from then on, so its notice began. Requests keep their time.
+        The signal may have arrived up to ``unnoticed_s`` earlier, while the host was blocked. Its
+        readiness checks have failed since then, so the deregistration delay starts then, too.
+        Requests keep their full time.
         """
         if self.is_begun:
             return
-        self._asked_s = asked_s
-        notice_s = min(BALANCER_NOTICE_S, self._grace_s * NOTICE_SHARE)
-        self.closes_s = asked_s - unnoticed_s + notice_s
-        self._keep_for_exit(EXIT_MARGIN_S)
+        self._requested_s = requested_s
+        deregistration_s = min(DEREGISTRATION_DELAY_S, self._grace_s * MAX_DEREGISTRATION_SHARE)
+        self.stops_accepting_s = requested_s - unnoticed_s + deregistration_s
+        self._reserve_for_exit(EXIT_MARGIN_S)
 
-    def note_late(self, late_s: float) -> None:
-        """Take in by how long the process was let wait; one that waits long ends earlier."""
+    def add_delay(self, late_s: float) -> None:
+        """Record a scheduling delay of the process; after long delays it exits earlier."""
         if self.is_begun:
-            most_s = self._grace_s * (1 - WORK_SHARE) - LAST_ANSWERS_MARGIN_S
-            self._keep_for_exit(min(late_s * EXIT_RUNS, MOST_EXIT_MARGIN_S, most_s))
+            max_s = self._grace_s * (1 - PROTECTED_WORK_SHARE) - FINAL_RESPONSES_MARGIN_S
+            self._reserve_for_exit(min(late_s * EXIT_DELAY_FACTOR, MAX_EXIT_MARGIN_S, max_s))
 
-    def _keep_for_exit(self, margin_s: float) -> None:
-        """Keep some time for the end of the process, or more if that was asked for before."""
-        last_answers_s = margin_s + LAST_ANSWERS_MARGIN_S
-        self.exits_s = min(self.exits_s, self._asked_s + max(0.0, self._grace_s - margin_s))
-        self.ends_s = min(self.ends_s, self._asked_s + max(0.0, self._grace_s - last_answers_s))
+    def _reserve_for_exit(self, margin_s: float) -> None:
+        """Reserve time for the exit of the process; a smaller margin than before has no effect."""
+        final_responses_s = margin_s + FINAL_RESPONSES_MARGIN_S
+        self.exit_s = min(self.exit_s, self._requested_s + max(0.0, self._grace_s - margin_s))
+        self.ends_s = min(
+            self.ends_s, self._requested_s + max(0.0, self._grace_s - final_responses_s)
+        )
 
     def cut_off_s(self, open_requests: int) -> float:
-        """Return when to cut off requests that are still open, so that all have ended in time."""
-        most_s = max(0.0, self.ends_s - self.closes_s) * CUT_OFF_SHARE
-        cut_off_s = self.ends_s - min(open_requests * REQUEST_END_S, most_s)
-        work_ends_s = self._asked_s + self._grace_s * WORK_SHARE
+        """Return when to start cutting off open requests so that all have ended in time."""
+        max_s = max(0.0, self.ends_s - self.stops_accepting_s) * MAX_CUT_OFF_SHARE
+        cut_off_s = self.ends_s - min(open_requests * CUT_OFF_TIME_PER_REQUEST_S, max_s)
+        work_ends_s = self._requested_s + self._grace_s * PROTECTED_WORK_SHARE
         return min(self.ends_s, max(cut_off_s, work_ends_s))
 
     def has_time_for(self, usual_s: float, now_s: float) -> bool:
-        """Tell whether work that usually takes some time would end before the stop does."""
+        """Return whether work that usually takes ``usual_s`` would finish before the stop does."""
         return now_s + usual_s <= self.ends_s
--- a/yewloom/process_signals.py
+++ b/yewloom/process_signals.py
@@ -1,4 +1,4 @@
-"""Signals of the platform to an entry host's process, with the time at which they arrived."""
+"""Signals to an entry host's process, with their arrival times."""
 
 import signal
 from collections.abc import Callable
@@ -11,47 +11,47 @@
 
 
 class ProcessSignals:
-    """Notes signals as they arrive, for a loop that may start later or be behind with its work.
+    """Records signals as they arrive, for an event loop that may start later or run late.
 
-    trio's own receiver tells no times, and at its end it hands signals that nobody took back to
-    the default action, which ends the process in the middle of its planned stop.
+    trio's own receiver records no times, and when it closes, it delivers unreceived signals again
+    with the default action, which would end the process in the middle of its planned stop.
     """
 
     def __init__(self, early: EarlySignals | None = None) -> None:
-        self._stops = early or EarlySignals()
-        self._has_reload = False
-        self._has_changed = trio.Event()
-        self._token: trio.lowlevel.TrioToken | None = None
+        self._early = early or EarlySignals()
+        self._is_reload_requested = False
+        self._has_signal = trio.Event()
+        self._trio_token: trio.lowlevel.TrioToken | None = None
 
     def listen(self) -> None:
-        """Take the signals from now on, to the end of the process."""
+        """Install the handlers, until the process ends."""
         for number in (*STOP_SIGNALS, signal.SIGHUP):
-            signal.signal(number, self._note)
+            signal.signal(number, self._on_signal)
 
     async def wait_for_stop(self, reload: Callable[[], None]) -> float:
-        """Return when a stop was first asked for, on trio's clock; call ``reload`` until then."""
-        self._token = trio.lowlevel.current_trio_token()
-        while (asked_s := self._stops.asked_s) is None:
-            if self._has_reload:
-                self._has_reload = False
+        """Return when a stop was first requested, on trio's clock; call ``reload`` until then."""
+        self._trio_token = trio.lowlevel.current_trio_token()
+        while (requested_s := self._early.requested_s) is None:
+            if self._is_reload_requested:
+                self._is_reload_requested = False
                 reload()
                 continue
-            self._has_changed = trio.Event()
-            # A signal that came just now has run ``_note`` with the token, so this wakes up.
-            await self._has_changed.wait()
-        return trio.current_time() - (boot_s() - asked_s)
+            self._has_signal = trio.Event()
+            # Any signal from here on wakes this task: ``_on_signal`` has the token.
+            await self._has_signal.wait()
+        return trio.current_time() - (boot_s() - requested_s)
 
-    def _note(self, number: int, frame: FrameType | None) -> None:
+    def _on_signal(self, number: int, frame: FrameType | None) -> None:
         if number == signal.SIGHUP:
-            self._has_reload = True
+            self._is_reload_requested = True
         else:
-            self._stops.note_stop(number, frame)
-        if self._token is None:
+            self._early.record_stop(number, frame)
+        if self._trio_token is None:
             return
         try:
-            self._token.run_sync_soon(self._wake, idempotent=True)
+            self._trio_token.run_sync_soon(self._notify_waiter, idempotent=True)
         except trio.RunFinishedError:
-            return  # The process is about to end: nobody waits for signals any more.
+            return  # The process is about to end: no task waits for signals.
 
-    def _wake(self) -> None:
-        self._has_changed.set()
+    def _notify_waiter(self) -> None:
+        self._has_signal.set()
--- a/yewloom/socket_ages.py
+++ b/yewloom/socket_ages.py
@@ -1,7 +1,6 @@
-"""How long bytes have waited in a socket, as the system knows it.
+"""How long received bytes have waited in a socket, according to the operating system.
 
-A process that starts, stands still or has much other work reads late, and its own clock tells it
-nothing of that.
+A process that is starting, blocked or busy reads late, and its own clock doesn't show how late.
 """
 
 import socket
@@ -9,57 +8,62 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from yewloom.boot_time import SuspendedTime
+from yewloom.boot_time import SuspensionTracker
 
-_INFO_BYTES = 104
-"""Size of the system's facts about a connection, as of the first versions that tell them."""
+_TCP_INFO_BYTES = 104
+"""Size of ``tcp_info`` in the first Linux versions that report this time."""
 
 _LAST_DATA_RECEIVED = struct.Struct("=52xI")
-"""Where among them the milliseconds since the newest bytes came stand (``tcp_info``)."""
+"""Offset in ``tcp_info`` of the milliseconds since the newest bytes arrived."""
 
 
 class Connection(Protocol):
-    """A socket of a TCP connection."""
+    """A TCP socket."""
 
     def getsockopt(self, level: int, optname: int, buflen: int, /) -> bytes:
-        """Return what the system knows."""
+        """Return the value of a socket option."""
         ...
 
 
 def received_ago_s(connection: Connection) -> float:
-    """Return how long ago the newest bytes came, or the connection if none did.
+    """Return how long ago the newest bytes arrived, or the connection if no bytes did.
 
-    It is zero where the system does not tell: then bytes count from when they are read.
+    Returns 0 if the operating system does not report it: then bytes count as received when read.
     """
     try:
-        facts = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _INFO_BYTES)
-        (age_ms,) = _LAST_DATA_RECEIVED.unpack_from(facts)
+        tcp_info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
+        (age_ms,) = _LAST_DATA_RECEIVED.unpack_from(tcp_info)
     except (OSError, struct.error):
         return 0.0
     return float(age_ms) / 1000
 
 
 class ReadAges:
-    """How long ago what is read now may have come.
+    """How long ago data that is read now may have arrived.
 
-    The system's word counts where it gives one, with the time of suspensions since, which its clock
-    leaves out; elsewhere ``late_s`` does, which tells for how long the reader was held up.
+    Uses the age reported by the operating system, if any, plus the duration of system suspensions
+    since then, which its clock excludes; otherwise ``late_s``, which returns how long the reader
+    was blocked.
     """
 
     def __init__(
         self,
         late_s: Callable[[], float] = lambda: 0.0,
-        suspended: SuspendedTime | None = None,
+        suspensions: SuspensionTracker | None = None,
     ) -> None:
-        self._suspended = suspended or SuspendedTime()
+        self._suspensions = suspensions or SuspensionTracker()
         self._late_s = late_s
-        self._is_told = False
+        self._is_reported_by_system = False
 
     def of(self, stream: object) -> float:
-        """Return the age of the newest bytes of a stream; without a socket it has none."""
+        """Return the age of a stream's newest bytes; 0 if the stream has no socket."""
         connection = getattr(stream, "socket", None)
         if connection is None:
             return 0.0
         age_s = received_ago_s(connection)
-        self._is_told = self._is_told or age_s > 0
-        return age_s + self._suspended.since(age_s) if self._is_told else self._late_s()
+        self._is_reported_by_system = self._is_reported_by_system or age_s > 0
+        return (
+            age_s + self._suspensions.suspended_since_s(age_s)
+            if self._is_reported_by_system
+            else self._late_s()
+        )
--- a/yewloom/socket_facts.py
+++ b/yewloom/socket_facts.py
@@ -1,23 +1,23 @@
-"""What a socket tells at once: the port of its other side, and bytes that wait to be read."""
+"""Socket queries that don't block: the peer's port, and bytes waiting to be read."""
 
 import os
 from typing import Any, Protocol
 
 
 class Connection(Protocol):
-    """A socket of a connection, which does not block."""
+    """A non-blocking socket."""
 
     def getpeername(self) -> Any:
-        """Return the address of the other side."""
+        """Return the peer's address."""
         ...
 
     def fileno(self) -> int:
-        """Return the number of the socket."""
+        """Return the file descriptor."""
         ...
 
 
-def port_of(connection: Connection) -> int | None:
-    """Return the port of the other side, by which logs are matched; None once it is gone."""
+def peer_port_of(connection: Connection) -> int | None:
+    """Return the peer's port, for matching log lines; None once the connection is gone."""
     try:
         address = connection.getpeername()
     except OSError:
@@ -25,9 +25,9 @@
     return int(address[1])
 
 
-def read_waiting(connection: Connection, most_bytes: int) -> bytes:
-    """Return bytes that wait to be read; none where there are none, or the connection is gone."""
+def read_available(connection: Connection, max_bytes: int) -> bytes:
+    """Return bytes that are waiting; empty if there are none or the connection is gone."""
     try:
-        return os.read(connection.fileno(), most_bytes)
+        return os.read(connection.fileno(), max_bytes)
     except OSError:
         return b""
--- a/yewloom/tests/caller_support.py
+++ b/yewloom/tests/caller_support.py
@@ -1,4 +1,4 @@
-"""One caller's connection in memory, for tests on a clock that jumps."""
+"""One in-memory caller connection, for tests with a virtual clock."""
 
 from contextlib import suppress
 
@@ -10,7 +10,7 @@
 from yewloom.caller_connection import CallerConnection
 from yewloom.caller_messages import CallerGoneError, CallerRequest, Handlers, Reply
 from yewloom.configuration import CallerLimits
-from yewloom.planned_stop import BALANCER_NOTICE_S
+from yewloom.planned_stop import DEREGISTRATION_DELAY_S
 from yewloom.socket_ages import ReadAges
 
 STREAM, PLAIN = "/stream", "/plain"
@@ -19,17 +19,17 @@
 
 
 class Caller:
-    """A caller's side of a connection."""
+    """The caller's end of a connection."""
 
     def __init__(self, stream: MemoryStream) -> None:
         self.stream = stream
 
     async def send(self, *paths: str) -> None:
-        """Send whole requests, one right behind the other."""
+        """Send complete requests without waiting for responses."""
         await self.stream.send_all(b"".join(request_bytes(path) for path in paths))
 
     async def answers(self, may_be_cut: bool = False) -> list[tuple[int, bytes]]:
-        """Read until the connection ends; return status and body of each whole answer."""
+        """Read until the connection ends; return status and body of each complete response."""
         data = b""
         while part := await self.stream.receive_some(65536):
             data += part
@@ -37,14 +37,14 @@
 
 
 def request_bytes(path: str) -> bytes:
-    """Return a whole request."""
+    """Return a complete request."""
     return f"GET {path} HTTP/1.1\r\nhost: x.example\r\n\r\n".encode()
 
 
 def parse_answers(data: bytes, may_be_cut: bool = False) -> list[tuple[int, bytes]]:
-    """Return status and body of each whole answer in the bytes of a connection.
+    """Return status and body of each complete response in the bytes of a connection.
 
-    The last one may be cut off only if that is said.
+    Only with ``may_be_cut`` may the last response be truncated.
     """
     connection = h11.Connection(h11.CLIENT)
     connection.receive_data(data)
@@ -58,7 +58,7 @@
             body += event.data
         if event is h11.NEED_DATA and may_be_cut:
             break
-        assert isinstance(event, h11.EndOfMessage), "an answer was cut off"
+        assert isinstance(event, h11.EndOfMessage), "a response was truncated"
         found.append((head.status_code, body))
         if connection.their_state is not h11.DONE:
             break
@@ -67,9 +67,9 @@
 
 
 class Server:
-    """Connections of callers in memory; a stream ends when ``may_end`` is set.
+    """In-memory caller connections; streams end when ``may_end`` is set.
 
-    Requests whose path begins with ``STREAM`` are answered by one.
+    Requests whose path begins with ``STREAM`` get a streamed response.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -80,7 +80,7 @@
         self._running: set[trio.CancelScope] = set()
 
     def open(self) -> Caller:
-        """Open a connection, as it is accepted."""
+        """Open a connection, as if it had just been accepted."""
         ours, theirs = trio.testing.memory_stream_pair()
         self._nursery.start_soon(self._serve, theirs)
         return Caller(ours)
@@ -107,15 +107,15 @@
         await reply.finish()
 
     async def begin_stop(self) -> None:
-        """Begin a planned stop, and wait until the balancer has had its notice."""
+        """Begin a planned stop, and wait until the deregistration delay is over."""
         self.activity.start_leaving()
-        await trio.sleep(BALANCER_NOTICE_S)
+        await trio.sleep(DEREGISTRATION_DELAY_S)
 
     def stop_taking(self) -> None:
-        """Take no more requests."""
+        """Accept no more requests."""
         self.activity.stop_taking()
 
     def end(self) -> None:
-        """Cut off what is left, as the process ends."""
+        """Cancel the remaining connections, as when the process exits."""
         for scope in self._running:
             scope.cancel()
--- a/yewloom/tests/entry_support.py
+++ b/yewloom/tests/entry_support.py
@@ -28,7 +28,7 @@
 
 
 def make_profile(slots: int = 13) -> EngineProfile:
-    """Return engines that serve a model on four hosts and one on two."""
+    """Return an engine profile with a model on four hosts and one on two."""
     return EngineProfile(
         slots=slots,
         models={
@@ -115,7 +115,7 @@
     staged: ModelName | None = None,
     data_centre: DataCentreId = HALL,
 ) -> GroupKey:
-    """List engines as the members of a group; the first one leads."""
+    """Register engines as the members of a group; the first one leads."""
     key = GroupKey(GroupId(group), generation)
     for rank, name in enumerate(names):
         shown = state if rank == 0 or state is not MemberState.OPEN else MemberState.READY
@@ -130,7 +130,7 @@
     reachability: Reachability | None = None,
     limits: EndpointLimits | None = None,
 ) -> Selector:
-    """Return the choice of endpoints of a host in ``HALL`` whose draws are the same in each run."""
+    """Return a selector of a host in ``HALL`` with a fixed random seed."""
     board = board or PeerBoard(ME, HALL)
     return Selector(
         directory,
--- a/yewloom/tests/test_boot_clock.py
+++ b/yewloom/tests/test_boot_clock.py
@@ -1,4 +1,4 @@
-"""Tests of what a host concludes after its machine was suspended."""
+"""Tests of a host's behaviour after its machine was suspended."""
 
 import time
 import unittest
@@ -10,7 +10,7 @@
 from result import Ok
 
 from yewloom.boot_clock import BootClock
-from yewloom.boot_time import KEEP_S, SuspendedTime
+from yewloom.boot_time import RETENTION_S, SuspensionTracker
 from yewloom.configuration import ConfigurationBook
 from yewloom.daemon import run as run_daemon
 from yewloom.early_signals import EarlySignals
@@ -23,7 +23,7 @@
 from yewloom.tests.entry_support import make_configuration
 
 SUSPENDED_S = 20.0
-"""Longer than any lease, deadline or proof of these tests holds."""
+"""Longer than any lease, deadline or configuration age in these tests."""
 
 REAL_CLOCK = time.clock_gettime
 
@@ -40,13 +40,13 @@
 
 
 class Machine:
-    """A machine that may be suspended: its time since boot goes ahead of its steady clock."""
+    """A machine that can be suspended: its time since boot runs ahead of its monotonic clock."""
 
     def __init__(self) -> None:
         self._suspended_s = 0.0
 
     def suspend(self) -> None:
-        """Be suspended and go on."""
+        """Simulate a suspension."""
         self._suspended_s += SUSPENDED_S
 
     def read(self, clock: int) -> float:
@@ -55,18 +55,18 @@
         return REAL_CLOCK(clock) + ahead_s
 
 
-def play(test: Callable[[Machine], Awaitable[None]]) -> None:
-    """Run a test as the programs run, on a machine that may be suspended."""
+def run_on_machine(test: Callable[[Machine], Awaitable[None]]) -> None:
+    """Run a test with the clock that the programs use, on a machine that can be suspended."""
     machine = Machine()
     with mock.patch("yewloom.boot_time.time.clock_gettime", machine.read):
         trio.run(test, machine, clock=BootClock())
 
 
 class TestSuspendedMachine(unittest.TestCase):
-    """What was true before is true no more."""
+    """Knowledge and deadlines from before a suspension have expired."""
 
-    def test_keys_are_not_accepted_by_a_configuration_from_before(self) -> None:
-        """Guards against keys that were taken away while the machine was suspended."""
+    def test_keys_of_an_older_configuration_are_not_accepted(self) -> None:
+        """Guards against accepting API keys that were revoked while the machine was suspended."""
 
         async def test(machine: Machine) -> None:
             book = ConfigurationBook()
@@ -76,10 +76,10 @@
             machine.suspend()
             self.assertFalse(trust.may_accept(trio.current_time()))
 
-        play(test)
+        run_on_machine(test)
 
-    def test_a_lease_has_lapsed(self) -> None:
-        """Guards against two coordinators, of which one was suspended."""
+    def test_a_lease_has_expired(self) -> None:
+        """Guards against two coordinators, one of which was suspended."""
 
         async def test(machine: Machine) -> None:
             lease = LeaseKeeper(EntryHostId("me"), LeaseTiming(3.0, 0.6, 0.6))
@@ -93,7 +93,7 @@
             machine.suspend()
             self.assertFalse(lease.holds(trio.current_time()))
 
-        play(test)
+        run_on_machine(test)
 
     def test_deadlines_have_passed(self) -> None:
         async def test(machine: Machine) -> None:
@@ -103,9 +103,9 @@
                 await trio.sleep(0.01)
             self.assertTrue(limit.cancelled_caught)
 
-        play(test)
+        run_on_machine(test)
 
-    def test_the_loop_was_held_up(self) -> None:
+    def test_the_loop_counts_as_blocked(self) -> None:
         async def test(machine: Machine) -> None:
             lateness = LoopLateness()
             lateness.watch_this_run()
@@ -114,52 +114,52 @@
             await trio.sleep(0.01)
             self.assertGreaterEqual(lateness.late_s(), SUSPENDED_S)
 
-        play(test)
+        run_on_machine(test)
 
-    def test_bytes_from_before_have_waited_meanwhile(self) -> None:
-        """Guards against requests that run after their deadline, as the system counts their age."""
-        steady_s, boot_s = [100.0], [100.0]
-        suspended = SuspendedTime(lambda: steady_s[0], lambda: boot_s[0])
-        self.assertEqual(suspended.since(0.5), 0.0)
-        steady_s[0] += 1.0
+    def test_a_suspension_adds_to_the_age_of_earlier_bytes(self) -> None:
+        """Guards against running expired requests: the system's age excludes suspension."""
+        monotonic_s, boot_s = [100.0], [100.0]
+        suspensions = SuspensionTracker(lambda: monotonic_s[0], lambda: boot_s[0])
+        self.assertEqual(suspensions.suspended_since_s(0.5), 0.0)
+        monotonic_s[0] += 1.0
         boot_s[0] += 1.0 + SUSPENDED_S
-        self.assertEqual(suspended.since(0.5), SUSPENDED_S)
-        steady_s[0] += 1.0
+        self.assertEqual(suspensions.suspended_since_s(0.5), SUSPENDED_S)
+        monotonic_s[0] += 1.0
         boot_s[0] += 1.0
-        self.assertEqual(suspended.since(0.5), 0.0)
-        self.assertEqual(suspended.since(1.5), SUSPENDED_S)
-        steady_s[0] += KEEP_S
-        boot_s[0] += KEEP_S
-        self.assertEqual(suspended.since(KEEP_S + 1.5), 0.0)
+        self.assertEqual(suspensions.suspended_since_s(0.5), 0.0)
+        self.assertEqual(suspensions.suspended_since_s(1.5), SUSPENDED_S)
+        monotonic_s[0] += RETENTION_S
+        boot_s[0] += RETENTION_S
+        self.assertEqual(suspensions.suspended_since_s(RETENTION_S + 1.5), 0.0)
 
-    def test_a_reader_that_is_interrupted_between_the_clocks_takes_nothing_for_a_suspension(
+    def test_an_interruption_between_clock_reads_is_not_detected_as_suspension(
         self,
     ) -> None:
         now_s, interruptions = [0.0], iter([3.0, 0.0, 5.0, 0.0, 0.0])
 
         def boot_s() -> float:
             read_s = now_s[0]
-            now_s[0] += next(interruptions)  # Between the reads of the two clocks.
+            now_s[0] += next(interruptions)  # Time that passes between reading the two clocks.
             return read_s
 
-        suspended = SuspendedTime(lambda: now_s[0], boot_s)
+        suspensions = SuspensionTracker(lambda: now_s[0], boot_s)
         for age_s in (0.5, 20.0, 20.0, 20.0):
-            self.assertEqual(suspended.since(age_s), 0.0)
+            self.assertEqual(suspensions.suspended_since_s(age_s), 0.0)
 
-    def test_the_ages_of_requests_are_corrected(self) -> None:
-        suspended = mock.Mock(spec=SuspendedTime)
-        suspended.since.return_value = SUSPENDED_S
+    def test_request_ages_include_suspension(self) -> None:
+        suspensions = mock.Mock(spec=SuspensionTracker)
+        suspensions.suspended_since_s.return_value = SUSPENDED_S
         stream = mock.Mock()
         stream.socket.getsockopt.return_value = b"\0" * 52 + (250).to_bytes(4, "little")
-        ages = ReadAges(lambda: 0.0, suspended)
+        ages = ReadAges(lambda: 0.0, suspensions)
         self.assertEqual(ages.of(stream), 0.25 + SUSPENDED_S)
 
 
 class TestPrograms(unittest.TestCase):
-    """Both programs count by that clock."""
+    """Both programs use this clock."""
 
-    def test_the_entry_host_on_the_users_platform_runs_by_it(self) -> None:
-        """Guards against a host that takes what it knew before a suspension for fresh."""
+    def test_the_platform_entry_host_uses_the_boot_clock(self) -> None:
+        """Guards against treating knowledge from before a suspension as fresh."""
         with (
             mock.patch.object(Path, "read_text", return_value=BASE_SETTINGS),
             mock.patch.object(program, "ProcessSignals"),
@@ -169,7 +169,7 @@
             program.main(Path("settings.ini"), EarlySignals(), None, lambda code: None)
         self.assertIsInstance(run.call_args.kwargs["clock"], BootClock)
 
-    def test_yewloomd_runs_by_it(self) -> None:
+    def test_yewloomd_uses_the_boot_clock(self) -> None:
         with (
             mock.patch("yewloom.daemon.ProcessSignals"),
             mock.patch("yewloom.daemon.read_settings", return_value=Ok(mock.MagicMock())),
--- a/yewloom/tests/test_caller_connection.py
+++ b/yewloom/tests/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""Tests of one caller's connection, in memory and on a clock that jumps: what a stop takes."""
+"""Tests of one in-memory caller connection with a virtual clock: its planned stop and timing."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -8,34 +8,34 @@
 import trio.testing
 
 from yewloom import caller_connection
-from yewloom.caller_activity import LAST_LOOK_S, CallerActivity
+from yewloom.caller_activity import FINAL_READ_S, CallerActivity
 from yewloom.caller_connection import CallerConnection
 from yewloom.caller_messages import (
-    SEND_LIMIT_S,
+    SEND_TIMEOUT_S,
     CallerGoneError,
     CallerRequest,
     Handlers,
     Reply,
 )
 from yewloom.configuration import CallerLimits
-from yewloom.planned_stop import BALANCER_NOTICE_S
+from yewloom.planned_stop import DEREGISTRATION_DELAY_S
 from yewloom.socket_ages import ReadAges
 from yewloom.tests.caller_support import PLAIN, STREAM, Caller, Server, request_bytes
 
 OLD_S = 2.0
-"""Time for which bytes had waited before they were read."""
+"""Age of bytes when they are read."""
 
 
 class _OldBytes(ReadAges):
-    """All bytes had waited for a time."""
+    """Reports the same age for all bytes."""
 
     def of(self, stream: object) -> float:
-        """Return that time."""
+        """Return that age."""
         return OLD_S
 
 
 def run_once(test: Callable[..., Awaitable[None]], *arguments: object) -> None:
-    """Run a test on a clock that jumps, within a generous time of that clock."""
+    """Run a test with a virtual clock, within a generous limit of virtual time."""
 
     async def main() -> None:
         with trio.fail_after(120):
@@ -45,7 +45,7 @@
 
 
 def run(test: Callable[[Server], Awaitable[None]]) -> None:
-    """Run a test with a server on a clock that jumps."""
+    """Run a test with a server and a virtual clock."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -56,9 +56,9 @@
 
 
 class TestCutOff(unittest.TestCase):
-    """An answer whose sending was cut off is the last one of its connection."""
+    """After an interrupted response, the connection sends no further one."""
 
-    def test_the_next_request_is_not_answered_inside_a_body_that_was_cut_off(self) -> None:
+    def test_no_response_follows_an_interrupted_response(self) -> None:
         async def whole(reply: Reply) -> None:
             await reply.send_whole(200, [], b"whole")
 
@@ -68,9 +68,9 @@
 
         for answer in (whole, streamed):
             with self.subTest(answer.__name__):
-                run_once(self._cut_off, answer)
+                run_once(self._check_interrupted_response, answer)
 
-    def test_an_answer_that_is_cancelled_before_it_begins_can_still_be_another_one(self) -> None:
+    def test_a_response_cancelled_before_its_start_can_be_replaced(self) -> None:
         async def handle(request: CallerRequest, reply: Reply) -> None:
             for begin in (reply.start, reply.send_whole):
                 with trio.CancelScope() as scope:
@@ -91,14 +91,14 @@
 
         run_once(test)
 
-    def test_a_caller_that_takes_nothing_of_its_answer_counts_as_gone(self) -> None:
-        gone: list[float] = []
+    def test_a_caller_that_does_not_read_its_response_counts_as_disconnected(self) -> None:
+        disconnected_at_s: list[float] = []
 
         async def handle(request: CallerRequest, reply: Reply) -> None:
             try:
                 await reply.send_whole(200, [], b"whole")
             except CallerGoneError:
-                gone.append(trio.current_time())
+                disconnected_at_s.append(trio.current_time())
                 raise
 
         async def test() -> None:
@@ -109,13 +109,13 @@
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ours.send_all, request_bytes("/1"))
-                with trio.fail_after(2 * SEND_LIMIT_S):
+                with trio.fail_after(2 * SEND_TIMEOUT_S):
                     await connection.run()
-            self.assertAlmostEqual(gone[0] - began_s, SEND_LIMIT_S)
+            self.assertAlmostEqual(disconnected_at_s[0] - began_s, SEND_TIMEOUT_S)
 
         run_once(test)
 
-    def test_a_request_counts_from_when_its_first_bytes_may_have_come(self) -> None:
+    def test_a_request_arrives_when_its_first_bytes_may_have_arrived(self) -> None:
         taken: list[tuple[float, float]] = []
 
         async def handle(request: CallerRequest, reply: Reply) -> None:
@@ -137,7 +137,7 @@
                 await trio.sleep(1.0)
                 await ours.send_all(first[10:])
                 await trio.sleep(0.5)
-                await ours.send_all(request_bytes("/2"))  # While the first is answered.
+                await ours.send_all(request_bytes("/2"))  # While the first is being handled.
                 await trio.sleep(3.0)
                 await ours.aclose()
             expected = [(5.0 - OLD_S, 6.0), (6.5 - OLD_S, 7.0)]
@@ -147,12 +147,12 @@
 
         run_once(test)
 
-    async def _cut_off(self, answer: Callable[[Reply], Awaitable[None]]) -> None:
-        """Answer a caller that reads nothing of the end of an answer until it was cut off."""
-        asked: list[str] = []
+    async def _check_interrupted_response(self, answer: Callable[[Reply], Awaitable[None]]) -> None:
+        """Send a response to a caller that stops reading, until the response is interrupted."""
+        handled: list[str] = []
 
         async def handle(request: CallerRequest, reply: Reply) -> None:
-            asked.append(request.path)
+            handled.append(request.path)
             with trio.move_on_after(1.0):
                 await answer(reply)
 
@@ -163,17 +163,17 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ours.send_all, request_bytes("/1") + request_bytes("/2"))
             if answer.__name__ == "streamed":
-                nursery.start_soon(ours.receive_some, 1000)  # Its head and first part.
+                nursery.start_soon(ours.receive_some, 1000)  # Headers and first part of the body.
             await connection.run()
-        self.assertEqual(asked, ["/1"])
+        self.assertEqual(handled, ["/1"])
 
 
 class TestPlannedStop(unittest.TestCase):
-    """Once requests are no more taken, no connection has one taken, however it came to be open."""
+    """Once requests are no longer accepted, no connection accepts one, however it was opened."""
 
-    def test_a_connection_that_was_answering_takes_nothing_more_behind_its_answer(self) -> None:
+    def test_a_request_after_a_response_in_progress_is_rejected(self) -> None:
         async def test(server: Server) -> None:
-            caller = await self._answer_across_the_stop(server)
+            caller = await self._open_stream_across_the_stop(server)
             await trio.testing.wait_all_tasks_blocked()
             await caller.send(PLAIN)
             self.assertEqual(await caller.answers(), [(200, b"ab"), (503, b"")])
@@ -181,10 +181,10 @@
 
         run(test)
 
-    def test_a_connection_that_was_answering_is_closed_behind_its_answer(self) -> None:
+    def test_a_connection_is_closed_after_a_response_in_progress(self) -> None:
         async def test(server: Server) -> None:
-            caller = await self._answer_across_the_stop(server)
-            with trio.fail_after(2 * LAST_LOOK_S):
+            caller = await self._open_stream_across_the_stop(server)
+            with trio.fail_after(2 * FINAL_READ_S):
                 await server.activity.wait_until_idle()
             await trio.testing.wait_all_tasks_blocked()
             with self.assertRaises(trio.BrokenResourceError):
@@ -193,19 +193,19 @@
 
         run(test)
 
-    def test_a_connection_that_waits_for_a_request_is_closed(self) -> None:
+    def test_an_idle_connection_is_closed(self) -> None:
         async def test(server: Server) -> None:
             caller = server.open()
             await server.begin_stop()
             began_s = trio.current_time()
             server.stop_taking()
             self.assertEqual(await caller.answers(), [])
-            self.assertLessEqual(trio.current_time() - began_s, LAST_LOOK_S)
+            self.assertLessEqual(trio.current_time() - began_s, FINAL_READ_S)
 
         run(test)
 
-    def test_a_request_that_was_not_read_whole_is_refused(self) -> None:
-        async def right_behind_one_that_is_answered(server: Server) -> None:
+    def test_a_request_that_was_not_read_completely_is_rejected(self) -> None:
+        async def pipelined_during_a_response(server: Server) -> None:
             caller = server.open()
             await caller.send(STREAM, PLAIN)
             await trio.testing.wait_all_tasks_blocked()
@@ -215,7 +215,7 @@
             self.assertEqual(await caller.answers(), [(200, b"ab"), (503, b"")])
             self.assertEqual(server.taken, [STREAM])
 
-        async def half_read(server: Server) -> None:
+        async def partly_read(server: Server) -> None:
             caller = server.open()
             request = request_bytes(PLAIN)
             await caller.stream.send_all(request[:10])
@@ -226,7 +226,7 @@
             self.assertEqual(await caller.answers(), [(503, b"")])
             self.assertEqual(server.taken, [])
 
-        async def arrived_whole_in_the_last_instant(server: Server) -> None:
+        async def complete_just_before_the_stop(server: Server) -> None:
             caller = server.open()
             await server.begin_stop()
             await caller.send(PLAIN)
@@ -235,14 +235,14 @@
             self.assertEqual(server.taken, [])
 
         for test in (
-            right_behind_one_that_is_answered,
-            half_read,
-            arrived_whole_in_the_last_instant,
+            pipelined_during_a_response,
+            partly_read,
+            complete_just_before_the_stop,
         ):
             with self.subTest(test.__name__):
                 run(test)
 
-    def test_the_log_tells_how_far_a_connection_came_that_the_stop_ends(self) -> None:
+    def test_the_log_shows_the_progress_of_a_connection_that_the_stop_closes(self) -> None:
         async def test(server: Server) -> None:
             caller, _ = server.open(), server.open()
             await caller.stream.send_all(request_bytes(PLAIN)[:10])
@@ -251,15 +251,15 @@
             server.stop_taking()
             with mock.patch.object(caller_connection, "logger") as logger:
                 await caller.answers()
-            [unreadable], [closed] = logger.info.mock_calls, logger.debug.mock_calls
-            waited_ms = round((BALANCER_NOTICE_S + LAST_LOOK_S) * 1000)
-            came = {"held_bytes": 10, "requests": 0, "waited_ms": waited_ms}
-            self.assertLessEqual(came.items(), unreadable.kwargs.items())
+            [rejected], [closed] = logger.info.mock_calls, logger.debug.mock_calls
+            waited_ms = round((DEREGISTRATION_DELAY_S + FINAL_READ_S) * 1000)
+            expected_fields = {"held_bytes": 10, "requests": 0, "waited_ms": waited_ms}
+            self.assertLessEqual(expected_fields.items(), rejected.kwargs.items())
             self.assertLessEqual({"held_bytes": 0, "requests": 0}.items(), closed.kwargs.items())
 
         run(test)
 
-    def test_a_connection_that_is_accepted_in_the_last_instant_takes_nothing(self) -> None:
+    def test_a_connection_accepted_just_before_the_stop_accepts_no_request(self) -> None:
         async def test(server: Server) -> None:
             await server.begin_stop()
             silent, asking = server.open(), server.open()
@@ -271,7 +271,7 @@
 
         run(test)
 
-    def test_a_request_whose_rest_does_not_come_does_not_hold_the_stop(self) -> None:
+    def test_an_incomplete_request_does_not_delay_the_stop(self) -> None:
         for head in (b"GET / HT", b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nabc"):
 
             async def test(server: Server, head: bytes = head) -> None:
@@ -279,7 +279,7 @@
                 await caller.stream.send_all(head)
                 await server.begin_stop()
                 server.stop_taking()
-                with trio.fail_after(2 * LAST_LOOK_S):
+                with trio.fail_after(2 * FINAL_READ_S):
                     answer = await caller.stream.receive_some(65536)
                 self.assertEqual(answer.split(b" ")[1], b"503")
                 self.assertEqual(server.taken, [])
@@ -287,7 +287,7 @@
             with self.subTest(head):
                 run(test)
 
-    def test_a_body_is_not_asked_for_once_no_request_is_taken(self) -> None:
+    def test_no_100_continue_is_sent_once_requests_are_rejected(self) -> None:
         async def test(server: Server) -> None:
             caller = server.open()
             await server.begin_stop()
@@ -302,8 +302,8 @@
         run(test)
 
     @staticmethod
-    async def _answer_across_the_stop(server: Server) -> Caller:
-        """Return a caller whose answer began before the stop and ends behind the notice."""
+    async def _open_stream_across_the_stop(server: Server) -> Caller:
+        """Return a caller whose response begins before the stop and ends after deregistration."""
         caller = server.open()
         await caller.send(STREAM)
         await trio.testing.wait_all_tasks_blocked()
@@ -312,7 +312,7 @@
         server.may_end.set()
         return caller
 
-    def test_requests_are_taken_until_the_balancer_has_had_its_notice(self) -> None:
+    def test_requests_are_accepted_until_the_deregistration_delay_is_over(self) -> None:
         async def test(server: Server) -> None:
             await server.begin_stop()
             caller = server.open()
--- a/yewloom/tests/test_caller_server.py
+++ b/yewloom/tests/test_caller_server.py
@@ -19,20 +19,20 @@
 from yewloom.tests.free_ports import free_address
 
 HEADERS = [(b"host", b"x.example"), (b"content-length", b"0")]
-IDLE = 8
-"""Connections that are idle when the server stops."""
+IDLE_CONNECTIONS = 8
+"""Number of idle connections when the server stops."""
 
 ANSWER_LIMIT_S = 5.0
-"""Longest time until a caller has an answer."""
+"""Maximum time until a caller has a response."""
 
 ARRIVAL_S = 0.05
-"""Time in which the system hands on what was sent."""
+"""Time for the operating system to deliver what was sent."""
 
 REQUEST = OutgoingRequest(b"POST", b"/", HEADERS, b"")
 
 
 async def _status_of(caller: socket.socket) -> bytes:
-    """Return the status that a caller reads, or what it sees in its place."""
+    """Return the status that a caller receives, or else the error or ``closed``."""
     caller.settimeout(ANSWER_LIMIT_S)
     try:
         answer = await trio.to_thread.run_sync(caller.recv, 1000)
@@ -42,16 +42,16 @@
 
 
 class TestPlannedStop(unittest.TestCase):
-    """What a server that stops still takes."""
+    """What a stopping server still accepts."""
 
-    def test_no_connection_is_accepted_any_more_and_open_requests_are_answered(self) -> None:
+    def test_no_connection_is_accepted_and_open_requests_are_answered(self) -> None:
         trio.run(self._stop_with_an_open_request)
 
     async def _stop_with_an_open_request(self) -> None:
-        asked, may_answer = trio.Event(), trio.Event()
+        handler_started, may_answer = trio.Event(), trio.Event()
 
         async def handle(request: CallerRequest, reply: Reply) -> None:
-            asked.set()
+            handler_started.set()
             await may_answer.wait()
             await reply.send_whole(200, [], b"done")
 
@@ -60,7 +60,7 @@
             await nursery.start(server.serve, listen(address))
             async with open_exchange(address, 1.0) as exchange:
                 await exchange.send(REQUEST)
-                await asked.wait()
+                await handler_started.wait()
                 server.stop_taking()
                 await trio.testing.wait_all_tasks_blocked(0.05)
                 with self.assertRaises(ExchangeError) as refused:
@@ -72,13 +72,13 @@
                 self.assertEqual((head.status, await exchange.whole_body()), (200, b"done"))
             nursery.cancel_scope.cancel()
 
-    def test_a_connection_that_comes_while_the_server_closes_is_refused_and_not_reset(self) -> None:
-        """Guards against a last look at the queue that is not the last before the close."""
-        trio.run(self._connect_behind_the_last_look)
+    def test_a_connection_opened_while_the_server_closes_is_rejected_not_reset(self) -> None:
+        """Guards against resets of connections opened after the last check of the queue."""
+        trio.run(self._connect_after_the_last_check)
 
-    async def _connect_behind_the_last_look(self) -> None:
+    async def _connect_after_the_last_check(self) -> None:
         async def handle(request: CallerRequest, reply: Reply) -> None:
-            self.fail("a request was begun")
+            self.fail("a request was started")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
         async with trio.open_nursery() as nursery:
@@ -94,44 +94,46 @@
                 self.assertEqual(await _status_of(caller), b"503")
             nursery.cancel_scope.cancel()
 
-    def test_a_request_that_comes_while_idle_connections_are_closed_is_refused(self) -> None:
-        """Guards against a pass of the loop that closes many and resets who asks meanwhile."""
-        trio.run(self._ask_while_connections_are_closed)
+    def test_a_request_sent_while_idle_connections_are_closed_is_rejected(self) -> None:
+        """Guards against resets of new requests while a loop pass closes many connections."""
+        trio.run(self._send_while_connections_are_closed)
 
-    async def _ask_while_connections_are_closed(self) -> None:
+    async def _send_while_connections_are_closed(self) -> None:
         async def handle(request: CallerRequest, reply: Reply) -> None:
-            self.fail("a request was begun")
+            self.fail("a request was started")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
         callers: list[socket.socket] = []
-        asking: list[socket.socket] = []
+        sending: list[socket.socket] = []
 
-        def ask_on_the_others(event: str, caller_port: int, **fields: object) -> None:
-            if not asking:
-                asking.extend(c for c in callers if c.getsockname()[1] != caller_port)
-                for caller in asking:
+        def send_on_the_others(event: str, caller_port: int, **fields: object) -> None:
+            if not sending:
+                sending.extend(c for c in callers if c.getsockname()[1] != caller_port)
+                for caller in sending:
                     caller.sendall(request_bytes("/1"))
                 time.sleep(ARRIVAL_S)
 
         async with trio.open_nursery() as nursery:
             await nursery.start(server.serve, listen(address))
-            callers += [socket.create_connection(split_address(address)) for _ in range(IDLE)]
+            callers += [
+                socket.create_connection(split_address(address)) for _ in range(IDLE_CONNECTIONS)
+            ]
             await trio.testing.wait_all_tasks_blocked(0.05)
             with mock.patch.object(caller_connection, "logger") as logger:
-                logger.debug.side_effect = ask_on_the_others
+                logger.debug.side_effect = send_on_the_others
                 server.stop_taking()
                 with trio.fail_after(2.0):
                     await server.activity.wait_until_idle()
-            statuses = [await _status_of(caller) for caller in asking]
+            statuses = [await _status_of(caller) for caller in sending]
             for caller in callers:
                 caller.close()
             nursery.cancel_scope.cancel()
-        self.assertEqual(statuses, [b"503"] * (IDLE - 1))
+        self.assertEqual(statuses, [b"503"] * (IDLE_CONNECTIONS - 1))
 
-    def test_connections_that_were_accepted_before_are_served(self) -> None:
-        trio.run(self._serve_what_was_accepted)
+    def test_connections_accepted_before_the_server_ran_are_served(self) -> None:
+        trio.run(self._serve_accepted_connections)
 
-    async def _serve_what_was_accepted(self) -> None:
+    async def _serve_accepted_connections(self) -> None:
         async def handle(request: CallerRequest, reply: Reply) -> None:
             await reply.send_whole(200, [], b"done")
 
@@ -146,13 +148,13 @@
                 self.assertEqual((await exchange.head()).status, 200)
             nursery.cancel_scope.cancel()
 
-    def test_connections_that_wait_when_the_server_closes_are_refused_and_not_reset(self) -> None:
-        """A host is stopped while it starts: nothing has been accepted, and callers have sent."""
+    def test_connections_in_the_accept_queue_are_rejected_not_reset(self) -> None:
+        """Guards against resets when a host is stopped while it starts, with requests sent."""
         trio.run(self._stop_before_anything_is_accepted)
 
     async def _stop_before_anything_is_accepted(self) -> None:
         async def handle(request: CallerRequest, reply: Reply) -> None:
-            self.fail("a request was begun")
+            self.fail("a request was started")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
         async with trio.open_nursery() as nursery:
--- a/yewloom/tests/test_early_listener.py
+++ b/yewloom/tests/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Tests of the socket for callers while the program starts."""
+"""Tests of the callers' listening socket while the program starts."""
 
 import signal
 import socket
@@ -9,18 +9,18 @@
 from unittest import mock
 
 from yewloom.addresses import split_address
-from yewloom.early_listener import USUAL_WAIT_S, EarlyListener, listen
+from yewloom.early_listener import DEFAULT_MAX_WAIT_S, EarlyListener, listen
 from yewloom.tests.free_ports import free_address
 
 HEAD = b"POST /x HTTP/1.1\r\nhost: x.example\r\nContent-Length: 4\r\n"
-WHOLE = HEAD + b"\r\nbody"
+COMPLETE = HEAD + b"\r\nbody"
 READ_BYTES = 1000
 ANSWER_LIMIT_S = 5.0
-"""Longest wait for an answer; reaching it fails a test."""
+"""Maximum wait for a response; reaching it fails a test."""
 
 
 class TestEarlyListener(unittest.TestCase):
-    """Who is refused before the program runs, and who waits for it."""
+    """Which requests are rejected before the program runs, and which wait for it."""
 
     def setUp(self) -> None:
         address = free_address()
@@ -30,7 +30,7 @@
         self.addCleanup(self._close)
 
     def _close(self) -> None:
-        listener, accepted = self.early.take_over()
+        listener, accepted = self.early.hand_over()
         for one in (listener, *accepted):
             one.close()
 
@@ -46,28 +46,28 @@
             answer += data
         return answer
 
-    def test_a_request_that_has_come_whole_is_told_that_it_has_not_run(self) -> None:
-        with self._caller(WHOLE) as caller:
+    def test_a_complete_request_gets_503(self) -> None:
+        with self._caller(COMPLETE) as caller:
             self.early.refuse_late()
             answer = self._read_all(caller)
         self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
         self.assertIn(b"\r\nretry-after: 0.5\r\n", answer)
         self.assertEqual((self.early.refused, self.early.errors), (1, []))
 
-    def test_a_request_that_has_come_in_part_is_kept_for_the_program_unread(self) -> None:
-        parts = (b"", HEAD, WHOLE[:-1], HEAD + b"Expect: 100-continue\r\n\r\nbody")
+    def test_an_incomplete_request_is_left_unread_for_the_program(self) -> None:
+        parts = (b"", HEAD, COMPLETE[:-1], HEAD + b"Expect: 100-continue\r\n\r\nbody")
         for data in parts:
             with self.subTest(data=data), self._caller(data):
                 self.early.refuse_late()
-                _, accepted = self.early.take_over()
+                _, accepted = self.early.hand_over()
                 kept = accepted.pop()
                 self.addCleanup(kept.close)
                 if data:
                     self.assertEqual(kept.recv(READ_BYTES), data)
         self.assertEqual(self.early.refused, 0)
 
-    def test_an_alarm_that_comes_while_the_one_before_is_at_work_changes_nothing(self) -> None:
-        """Guards against a start that its own timer ends, with all callers that wait for it."""
+    def test_a_nested_alarm_changes_nothing(self) -> None:
+        """Guards against a start that its own timer ends, with all waiting callers."""
 
         def alarm_again(connection: socket.socket) -> float:
             if not alarms:
@@ -76,52 +76,52 @@
             return self.waited_s
 
         alarms: list[socket.socket] = []
-        self.early = EarlyListener(self.early.take_over()[0], b"x-time-ms", alarm_again)
+        self.early = EarlyListener(self.early.hand_over()[0], b"x-time-ms", alarm_again)
         before = signal.getsignal(signal.SIGALRM)
         self.addCleanup(signal.signal, signal.SIGALRM, before)
         with mock.patch("signal.setitimer"):
             self.early.start()
-        with self._caller(WHOLE) as caller:
+        with self._caller(COMPLETE) as caller:
             signal.raise_signal(signal.SIGALRM)
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
         self.assertEqual((len(alarms), self.early.refused, self.early.errors), (1, 1, []))
 
-    def test_an_alarm_behind_the_takeover_leaves_connections_to_the_program(self) -> None:
-        """Guards against a caller whose connection is accepted where nobody serves it."""
+    def test_an_alarm_after_the_handover_accepts_no_connection(self) -> None:
+        """Guards against accepting a connection that the program never gets."""
         before = signal.getsignal(signal.SIGALRM)
         self.addCleanup(signal.signal, signal.SIGALRM, before)
         with mock.patch("signal.setitimer"):
             self.early.start()
-            listener, _ = self.early.take_over()
-        with self._caller(WHOLE):
+            listener, _ = self.early.hand_over()
+        with self._caller(COMPLETE):
             signal.raise_signal(signal.SIGALRM)
             accepted, _ = listener.accept()
             with accepted:
-                self.assertEqual(accepted.recv(READ_BYTES), WHOLE)
+                self.assertEqual(accepted.recv(READ_BYTES), COMPLETE)
 
-    def test_what_goes_wrong_in_an_alarm_does_not_end_the_start(self) -> None:
+    def test_an_error_in_an_alarm_does_not_end_the_start(self) -> None:
         def fail(connection: socket.socket) -> float:
             raise RuntimeError("unforeseen")
 
-        self.early = EarlyListener(self.early.take_over()[0], b"x-time-ms", fail)
+        self.early = EarlyListener(self.early.hand_over()[0], b"x-time-ms", fail)
         before = signal.getsignal(signal.SIGALRM)
         self.addCleanup(signal.signal, signal.SIGALRM, before)
         with mock.patch("signal.setitimer"):
             self.early.start()
-        with self._caller(WHOLE):
+        with self._caller(COMPLETE):
             signal.raise_signal(signal.SIGALRM)
         self.assertEqual([str(error) for error in self.early.errors], ["unforeseen"])
 
-    def test_a_request_whose_rest_comes_later_is_refused_then(self) -> None:
+    def test_a_request_that_is_completed_later_is_rejected_then(self) -> None:
         with self._caller(HEAD) as caller:
             self.early.refuse_late()
             caller.sendall(b"\r\nbody")
             self.early.refuse_late()
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
-    def test_a_request_waits_for_a_part_of_its_time(self) -> None:
+    def test_a_request_waits_for_a_share_of_its_timeout(self) -> None:
         timed = HEAD + b"X-Time-Ms: 6000\r\n\r\nbody"
-        for data, limit_s in ((timed, 2.0), (WHOLE, USUAL_WAIT_S)):
+        for data, limit_s in ((timed, 2.0), (COMPLETE, DEFAULT_MAX_WAIT_S)):
             with self.subTest(data=data), self._caller(data) as caller:
                 before = self.early.refused
                 self.waited_s = limit_s - 0.01
@@ -132,44 +132,44 @@
                 self.assertEqual(self.early.refused, before + 1)
                 self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
-    def test_a_caller_that_left_is_forgotten(self) -> None:
+    def test_a_disconnected_caller_is_dropped(self) -> None:
         with self._caller(b""):
             pass
         self.early.refuse_late()
-        self.assertEqual(self.early.take_over()[1], [])
+        self.assertEqual(self.early.hand_over()[1], [])
 
-    def test_nobody_waits_for_a_program_that_takes_long_to_start(self) -> None:
-        """Guards against callers held by a host that can't read them yet."""
+    def test_no_request_waits_long_for_a_slow_start(self) -> None:
+        """Guards against callers waiting for a host that can't read their requests yet."""
         before = signal.getsignal(signal.SIGALRM)
         self.addCleanup(signal.signal, signal.SIGALRM, before)
-        with self._caller(WHOLE) as caller:
+        with self._caller(COMPLETE) as caller:
             self.early.start()
-            time.sleep(0.3)  # The program's imports.
-            self.early.take_over()
+            time.sleep(0.3)  # Stands for the program's imports.
+            self.early.hand_over()
             self.assertEqual(self.early.refused, 1)
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
-    def test_a_system_without_the_timer_lets_callers_wait_and_the_program_start(self) -> None:
+    def test_without_a_timer_callers_wait_and_the_program_starts(self) -> None:
         before = signal.getsignal(signal.SIGALRM)
         self.addCleanup(signal.signal, signal.SIGALRM, before)
         error = OSError("no timer")
         with mock.patch("yewloom.early_listener.signal.setitimer", side_effect=error):
             self.early.start()
-            self.early.take_over()
+            self.early.hand_over()
         self.assertEqual(self.early.errors, [error])
 
-    def test_a_request_whose_age_the_system_does_not_tell_waits_from_when_it_is_seen(self) -> None:
+    def test_a_request_of_unknown_age_counts_from_when_it_was_accepted(self) -> None:
         self.waited_s = 0.0
         with self._caller(HEAD + b"X-Time-Ms: 300\r\n\r\nbody") as caller:
             self.early.refuse_late()
             self.assertEqual(self.early.refused, 0)
-            time.sleep(0.1)  # A third of its time.
+            time.sleep(0.1)  # A third of its timeout.
             self.early.refuse_late()
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
-    def test_those_that_were_accepted_are_served_by_the_program(self) -> None:
+    def test_accepted_connections_are_handed_to_the_program(self) -> None:
         with self._caller(HEAD):
             self.early.refuse_late()
-        listener, accepted = self.early.take_over()
+        listener, accepted = self.early.hand_over()
         self.assertEqual(len(accepted), 1)
         self.assertGreaterEqual(listener.fileno(), 0)
--- a/yewloom/tests/test_entry_host.py
+++ b/yewloom/tests/test_entry_host.py
@@ -1,4 +1,4 @@
-"""Tests of a whole entry host before stand-ins of the users' store and engines."""
+"""Tests of complete entry hosts with simulations of the users' store and engines."""
 
 import json
 import random
@@ -69,7 +69,7 @@
 
 
 class World:
-    """A store, engines and entry hosts on the loopback."""
+    """A store, engines and entry hosts on the loopback interface."""
 
     def __init__(self) -> None:
         self.store = StandinStore()
@@ -79,7 +79,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def start(self, nursery: trio.Nursery, engines: int, hosts: int) -> None:
-        """Start everything and wait until requests can be served."""
+        """Start everything and wait until requests are served."""
         self._nursery = nursery
         self.store.put("config", "main", _configuration(3, ["k1"]))
         await self._serve(self.store.application(), self.store_address)
@@ -102,7 +102,7 @@
             return False
 
     async def add_engine(self, name: str) -> StandinEngine:
-        """Start an engine and list it."""
+        """Start an engine and publish it in the store."""
         engine = StandinEngine(name, free_address(), SERVICE, "d1", "hall-a", self.store)
         self.engines.append(engine)
         await self._serve(engine.application(), engine.address)
@@ -125,7 +125,7 @@
             return head.status, await exchange.whole_body()
 
     async def ask_operator(self, method: bytes, path: bytes, host: int = 0) -> tuple[int, Any]:
-        """Ask a host at the port of its metrics; return status and what the body holds."""
+        """Send a request to a host's metrics port; return status and decoded body."""
         settings = self.hosts[host].host
         ip, _ = split_address(settings.caller_address)
         headers = [(b"host", b"x"), (b"content-length", b"0")]
@@ -135,14 +135,14 @@
             body = await exchange.whole_body()
             return head.status, json.loads(body) if body else None
 
-    async def wait_for(self, is_so: Callable[[], Awaitable[bool]]) -> None:
-        """Wait until something is so; the test's own limit ends it otherwise."""
+    async def wait_for(self, condition: Callable[[], Awaitable[bool]]) -> None:
+        """Wait until a condition holds; the test's own time limit ends the wait otherwise."""
         while True:
-            if await is_so():
+            if await condition():
                 return
             await trio.sleep(0.05)
 
-    def heads(self) -> list[StandinEngine]:
+    def group_leaders(self) -> list[StandinEngine]:
         """Return the engines that lead open groups."""
         return [e for e in self.engines if e.group is not None and e.group["state"] == "open"]
 
@@ -197,7 +197,7 @@
     hosts: int = 2,
     prepare: Callable[[World], None] = lambda world: None,
 ) -> None:
-    """Run a test in a world that serves; ``prepare`` is called before any host starts."""
+    """Run a test in a world that serves requests; ``prepare`` is called before any host starts."""
 
     async def main() -> None:
         world = World()
@@ -212,9 +212,9 @@
 
 
 class TestEntryHost(unittest.TestCase):
-    """From an empty store to answers, and through failures."""
+    """From an empty store to responses, and through failures."""
 
-    def test_engines_are_formed_into_groups_and_serve(self) -> None:
+    def test_engines_form_groups_and_serve(self) -> None:
         async def test(world: World) -> None:
             status, body = await world.ask()
             self.assertEqual((status, body.count(b"id: ")), (200, EVENTS))
@@ -226,7 +226,7 @@
 
         run(test)
 
-    def test_a_key_that_is_taken_away_is_refused_at_every_host(self) -> None:
+    def test_a_revoked_key_is_rejected_at_every_host(self) -> None:
         async def test(world: World) -> None:
             world.store.put("config", "main", _configuration(4, ["k2"]))
 
@@ -238,16 +238,16 @@
 
         run(test)
 
-    def test_hosts_that_do_not_follow_the_store_learn_of_changes_from_those_that_do(self) -> None:
+    def test_hosts_that_do_not_follow_the_store_learn_changes_from_peers(self) -> None:
         async def test(world: World) -> None:
             world.store.put("config", "main", _configuration(4, ["k2"]))
-            everyone = range(len(world.hosts))
+            all_hosts = range(len(world.hosts))
 
             async def all_changed() -> bool:
-                return all([(await world.ask(host, "k2"))[0] == 200 for host in everyone])
+                return all([(await world.ask(host, "k2"))[0] == 200 for host in all_hosts])
 
             await world.wait_for(all_changed)
-            self.assertEqual([(await world.ask(host))[0] for host in everyone], [401] * 5)
+            self.assertEqual([(await world.ask(host))[0] for host in all_hosts], [401] * 5)
 
         run(test, hosts=5)
 
@@ -260,7 +260,7 @@
 
         run(test)
 
-    def test_hosts_serve_on_while_the_store_is_down_until_keys_are_too_old(self) -> None:
+    def test_hosts_serve_without_the_store_until_keys_are_too_old(self) -> None:
         async def test(world: World) -> None:
             world.store.faults.status = 503
             self.assertEqual((await world.ask())[0], 200)
@@ -278,7 +278,7 @@
 
         run(test)
 
-    def test_a_listing_after_lost_history_brings_what_was_missed(self) -> None:
+    def test_a_listing_after_lost_history_recovers_missed_changes(self) -> None:
         async def test(world: World) -> None:
             world.store.put("config", "main", _configuration(4, ["k1", "k2"]))
             world.store.forget_history()
@@ -290,72 +290,72 @@
 
         run(test)
 
-    def test_a_stream_leaves_a_group_that_stands_still(self) -> None:
+    def test_a_stream_moves_away_from_a_stalled_group(self) -> None:
         async def test(world: World) -> None:
             await world.wait_for(self._has_two_groups(world))
-            world.heads()[0].moves = trio.Event()
+            world.group_leaders()[0].moves = trio.Event()
             for _ in range(4):
                 status, body = await world.ask()
                 self.assertEqual((status, body.count(b"id: ")), (200, EVENTS))
 
         run(test)
 
-    def test_a_group_that_lost_a_member_is_formed_anew(self) -> None:
+    def test_a_group_that_lost_a_member_is_replaced(self) -> None:
         async def test(world: World) -> None:
             await world.wait_for(self._has_two_groups(world))
             spare = await world.add_engine("spare")
             spare.staged = [MODEL]
             spare.publish()
-            head = world.heads()[0]
+            head = world.group_leaders()[0]
             lost = next(e for e in world.engines if e.name == head.members[1])
-            old = head.group
+            old_group = head.group
             lost.is_lost = True
             world.store.remove("servers", lost.name)
             world.engines.remove(lost)
 
-            async def is_formed_anew() -> bool:
-                groups = [e.group for e in world.heads()]
-                return len(groups) == 2 and old not in groups
+            async def is_replaced() -> bool:
+                groups = [e.group for e in world.group_leaders()]
+                return len(groups) == 2 and old_group not in groups
 
-            await world.wait_for(is_formed_anew)
-            self.assertIn(spare.name, [name for e in world.heads() for name in e.members])
+            await world.wait_for(is_replaced)
+            self.assertIn(spare.name, [name for e in world.group_leaders() for name in e.members])
 
         run(test)
 
-    def test_a_group_serves_on_when_a_member_is_cut_off_from_the_store_alone(self) -> None:
+    def test_a_group_keeps_serving_when_a_member_only_lost_the_store(self) -> None:
         async def test(world: World) -> None:
             await world.wait_for(self._has_two_groups(world))
-            head = world.heads()[0]
+            head = world.group_leaders()[0]
             hidden = next(e for e in world.engines if e.name == head.members[1])
             world.store.remove("servers", hidden.name)
             await trio.sleep(UNLISTED_GRACE_S + 1.0)
-            self.assertEqual(len(world.heads()), 2)
+            self.assertEqual(len(world.group_leaders()), 2)
             self.assertEqual((await world.ask())[0], 200)
 
         run(test)
 
-    def test_operators_see_what_is_held_since_before_the_start_and_let_it_go(self) -> None:
+    def test_operators_see_and_lift_quarantines_from_before_the_start(self) -> None:
         def prepare(world: World) -> None:
             held = {"fingerprint": "171", "count": 1, "since_unix_ms": str(int(time.time() * 1000))}
             kind, _, name = KEY.partition("/")
             world.store.put(kind, name, {"requests": [held]})
 
         async def test(world: World) -> None:
-            async def is_held() -> bool:
-                return all([await self._held(world, host) for host in (0, 1)])
+            async def is_quarantined() -> bool:
+                return all([await self._quarantined(world, host) for host in (0, 1)])
 
-            async def is_let_go() -> bool:
-                return not any([await self._held(world, host) for host in (0, 1)])
+            async def is_lifted() -> bool:
+                return not any([await self._quarantined(world, host) for host in (0, 1)])
 
-            await world.wait_for(is_held)
+            await world.wait_for(is_quarantined)
             path = f"/quarantine/{fingerprint_text(Fingerprint(171))}/lift".encode()
             self.assertEqual(await world.ask_operator(b"POST", path, host=1), (200, None))
-            await world.wait_for(is_let_go)
+            await world.wait_for(is_lifted)
 
         run(test, prepare=prepare)
 
-    async def _held(self, world: World, host: int) -> list[str]:
-        """Return the fingerprints that a host says are held."""
+    async def _quarantined(self, world: World, host: int) -> list[str]:
+        """Return the fingerprints that a host reports as quarantined."""
         status, held = await world.ask_operator(b"GET", b"/quarantine", host)
         self.assertEqual(status, 200)
         return [request["fingerprint"] for request in held]
@@ -363,6 +363,6 @@
     @staticmethod
     def _has_two_groups(world: World) -> Callable[[], Awaitable[bool]]:
         async def check() -> bool:
-            return len(world.heads()) == 2
+            return len(world.group_leaders()) == 2
 
         return check
--- a/yewloom/tests/test_entry_process.py
+++ b/yewloom/tests/test_entry_process.py
@@ -15,80 +15,81 @@
 import trio
 
 from yewloom.addresses import split_address
-from yewloom.early_listener import WAIT_SHARE
+from yewloom.early_listener import MAX_WAIT_SHARE
 from yewloom.tests.soak.balancer import Balancer
 from yewloom.tests.soak.callers import Caller
 from yewloom.tests.soak.fleet import EntryProcess, Fleet, configuration
 from yewloom.tests.soak.ledger import GRACE_S, NOTICE_S, NOTICE_SLACK_S, Kind, Ledger, Sent
 
 TEST_LIMIT_S = 120.0
-"""Longest time of a test; reaching it fails the test."""
+"""Time limit of a test; reaching it fails the test."""
 
-LOOK_S = 0.01
-"""Pause between two looks at a process."""
+POLL_INTERVAL_S = 0.01
+"""Polling interval for the state of a process."""
 
-FIRST_LIBRARIES = "/lib-dynload/"
-"""Folder of Python's own libraries; the first one is loaded as the long imports begin."""
+EXTENSION_MODULES_PATH = "/lib-dynload/"
+"""Folder of the standard library's extension modules; loading the first one marks the start of the
+long imports."""
 
 
 @dataclass(frozen=True)
 class Stream:
-    """How engines answer: so many events, one each ``event_s``."""
+    """How engines respond: the number of events, and the seconds per event."""
 
     events: int
     event_s: float
 
 
 SHORT = Stream(5, 0.02)
-"""Streams that end at once."""
+"""Streams that end almost at once."""
 
 LONG = Stream(6, 0.6)
-"""Streams that outlast the notice to the balancer."""
+"""Streams that take longer than the deregistration delay."""
 
 ENDLESS = Stream(60, 0.5)
-"""Streams that outlast the grace."""
+"""Streams that take longer than the grace period."""
 
 TIMEOUT_S = 30.0
-"""Time for which callers wait for an answer, and routes allow one."""
+"""Timeout of callers and routes."""
 
 SLOTS = 1000
-"""Streams that engines take at once: more than a test opens."""
+"""Number of streams that engines accept at once: more than a test opens."""
 
 DUTY_PERIOD_S = 0.1
-"""Time in which a slowed process runs once, as under the users' quota."""
+"""Period in which a slowed process runs once, as under the users' CPU quota."""
 
 SLOW_SHARE = 0.2
-"""Part of the time for which a slowed process runs."""
+"""Share of the time for which a slowed process runs."""
 
 SLOWEST_SHARE = 0.1
-"""Part of the time for which the slowest process runs."""
+"""Share of the time for which the slowest process runs."""
 
 SHORT_DEADLINE_S = 1.0
-"""Time of a request that a process stands still for longer than."""
+"""Deadline of a request, shorter than the suspension of the process."""
 
 LONG_PATIENCE_S = 5.0
-"""Time for which a caller waits beyond that, to see what becomes of its request."""
+"""How much longer than that a caller waits, to see the outcome of its request."""
 
 SLOW_START_SHARE = 0.03
-"""Part of the time for which a process runs whose start takes longer than callers wait."""
+"""Share of the time for which a process runs so that it starts more slowly than callers wait."""
 
-SLOW_ANSWER_S = 0.8
-"""Time in which such a process, which runs ten times a second, answers once it means to."""
+SLOW_RESPONSE_S = 0.8
+"""Time in which such a process, which runs ten times per second, sends a response."""
 
 Series = Sequence[signal.Signals]
 
 
 class World:
-    """A fleet of one data centre, and callers that send one request each."""
+    """A fleet in one data centre, and callers that send one request each."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self._balancer = Balancer(fleet.entries)  # It asks nobody, so all hosts are used.
+        self._balancer = Balancer(fleet.entries)  # It checks no host, so all are used.
         self._asked = 0
         self._events = SHORT.events
 
     async def ask(self, entry: EntryProcess, kind: Kind = Kind.STREAM) -> Sent:
-        """Send one request on a connection of its own."""
+        """Send one request on its own connection."""
         self._asked += 1
         caller = Caller(entry, self.fleet, self._balancer, self.fleet.ledger, self._asked)
         async with caller.open_pool() as pool:
@@ -96,7 +97,7 @@
 
     @contextmanager
     def streams_of(self, stream: Stream) -> Iterator[None]:
-        """Let engines answer in a way of its own."""
+        """Make engines respond in the given way within the block."""
         self._set_stream(stream)
         try:
             yield
@@ -109,17 +110,17 @@
             engine.engine.event_s = stream.event_s
 
     async def wait_until_served(self, entry: EntryProcess) -> None:
-        """Wait until an entry host answers a stream; fail if its process ends."""
+        """Wait until an entry host completes a stream; fail if its process ends."""
         while not _is_served(await self.ask(entry)):
-            assert entry.is_running, _end_of(entry)
-            await trio.sleep(LOOK_S)
+            assert entry.is_running, _describe_end(entry)
+            await trio.sleep(POLL_INTERVAL_S)
 
     async def open_streams(
         self, nursery: trio.Nursery, entry: EntryProcess, count: int
     ) -> list[Sent]:
-        """Begin streams; return their notes once so many are open and have their first event.
+        """Open streams; return their records once that many are open and have their first event.
 
-        One that ends without an event, as a busy fleet refuses some, is begun again.
+        A stream that ends without an event is started again, because a busy fleet rejects some.
         """
         before = set(self.fleet.ledger.sent)
         begun = 0
@@ -133,12 +134,12 @@
             while begun - over < count:
                 nursery.start_soon(self.ask, entry)
                 begun += 1
-            assert entry.is_running, _end_of(entry)
-            await trio.sleep(LOOK_S)
+            assert entry.is_running, _describe_end(entry)
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 def run(test: Callable[[World], Awaitable[None]], entries: int = 1) -> None:
-    """Run a test with entry hosts that serve."""
+    """Run a test with entry hosts that serve requests."""
 
     async def main() -> None:
         with tempfile.TemporaryDirectory() as folder, trio.fail_after(TEST_LIMIT_S):
@@ -162,12 +163,12 @@
 
 
 def _is_served(sent: Sent) -> bool:
-    """Tell whether a stream came whole."""
+    """Return whether a stream was received completely."""
     return sent.status == 200 and sent.is_whole
 
 
 def _patient_configuration(version: int) -> dict[str, Any]:
-    """Return a configuration whose routes allow long answers."""
+    """Return a configuration whose routes allow long responses."""
     changed = configuration(version)
     for route in changed["routes"]:
         route["timeoutMs"] = round(TIMEOUT_S * 1000)
@@ -175,56 +176,56 @@
     return changed
 
 
-def _end_of(entry: EntryProcess) -> str:
+def _describe_end(entry: EntryProcess) -> str:
     """Return how a process ended, with the end of its log."""
     code = entry.process.returncode if entry.process is not None else None
     return f"{entry.life} ended with {code}: {entry.log.read_text()[-2000:]}"
 
 
 async def _wait_for_log(entry: EntryProcess, event: str) -> None:
-    """Wait until the log of an entry host's only life names an event."""
+    """Wait until the log of an entry host's only process contains an event."""
     while f'"event": "{event}"' not in entry.log.read_text():
-        assert entry.is_running, _end_of(entry)
-        await trio.sleep(LOOK_S)
+        assert entry.is_running, _describe_end(entry)
+        await trio.sleep(POLL_INTERVAL_S)
 
 
 async def _wait_for_imports(entry: EntryProcess) -> None:
-    """Wait until a process has begun with its long imports."""
+    """Wait until a process has begun its long imports."""
     assert entry.process is not None
     maps = Path(f"/proc/{entry.process.pid}/maps")
-    while FIRST_LIBRARIES not in maps.read_text():  # noqa: ASYNC110, ASYNC240 - a process
-        await trio.sleep(LOOK_S)
+    while EXTENSION_MODULES_PATH not in maps.read_text():  # noqa: ASYNC110, ASYNC240 - a process
+        await trio.sleep(POLL_INTERVAL_S)
 
 
 async def _wait_until_it_listens(entry: EntryProcess) -> None:
-    """Wait until a process lets callers connect."""
+    """Wait until a process accepts connections."""
     host, port = split_address(entry.caller_address)
     while True:
-        assert entry.is_running, _end_of(entry)
+        assert entry.is_running, _describe_end(entry)
         with suppress(OSError):
             await trio.aclose_forcefully(await trio.open_tcp_stream(host, port))
             return
-        await trio.sleep(LOOK_S)
+        await trio.sleep(POLL_INTERVAL_S)
 
 
-async def _start_anew(entry: EntryProcess) -> None:
-    """Kill a process and start it again with an empty log."""
+async def _restart(entry: EntryProcess) -> None:
+    """Kill a process and restart it with an empty log."""
     entry.signal(signal.SIGKILL)
     await entry.wait_ended()
     entry.log.write_text("")
     entry.start()
 
 
-async def _ends_in_time(entry: EntryProcess, asked_s: float) -> bool:
-    """Tell whether a process that was asked to stop ends within its grace."""
-    with trio.move_on_at(asked_s + GRACE_S) as timer:
+async def _ends_in_time(entry: EntryProcess, requested_s: float) -> bool:
+    """Return whether a process that was asked to stop ends within its grace period."""
+    with trio.move_on_at(requested_s + GRACE_S) as timer:
         while entry.is_running:  # noqa: ASYNC110 - a process
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
     return not timer.cancelled_caught
 
 
 async def _slow_down(entry: EntryProcess, share: float) -> None:
-    """Let a process run for a part of the time alone, until cancelled."""
+    """Let a process run for a share of the time only, until cancelled."""
     while True:
         entry.signal(signal.SIGSTOP)
         await trio.sleep(DUTY_PERIOD_S * (1 - share))
@@ -253,31 +254,31 @@
     async def _reload_often(self, entry: EntryProcess) -> None:
         while True:
             entry.signal(signal.SIGHUP)
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
 
-    def test_a_caller_that_connects_while_the_host_starts_is_answered(self) -> None:
+    def test_a_caller_that_connects_during_the_start_is_served(self) -> None:
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
-            await _start_anew(entry)
+            await _restart(entry)
             await _wait_until_it_listens(entry)
             self.assertNotIn('"event": "started"', entry.log.read_text())
             self.assertTrue(_is_served(await world.ask(entry)))
 
         run(test)
 
-    def test_a_request_that_waits_past_its_deadline_in_a_process_that_stands_still(self) -> None:
-        """Guards against late requests that run: an unsafe one after its caller gave it up."""
+    def test_a_request_that_expires_in_a_suspended_process_is_not_run(self) -> None:
+        """Guards against running expired requests, above all unsafe ones."""
 
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
-            for kind, held_up_s in itertools.product(Kind, (1.5, 3.0)):
+            for kind, stopped_s in itertools.product(Kind, (1.5, 3.0)):
                 async with trio.open_nursery() as nursery:
                     sent: list[Sent] = []
                     entry.signal(signal.SIGSTOP)
-                    nursery.start_soon(self._ask_into, world, entry, sent, kind)
-                    await trio.sleep(held_up_s)
+                    nursery.start_soon(self._send_and_record, world, entry, sent, kind)
+                    await trio.sleep(stopped_s)
                     entry.signal(signal.SIGCONT)
-                self.assertEqual([s.status for s in sent], [503], f"{kind} {held_up_s}")
+                self.assertEqual([s.status for s in sent], [503], f"{kind} {stopped_s}")
                 self.assertEqual(world.fleet.ledger.runs.get(sent[0].request_id, []), [])
 
         with (
@@ -287,8 +288,8 @@
         ):
             run(test)
 
-    def test_a_host_that_stood_still_takes_nothing_later_after_sigterm_than_any(self) -> None:
-        """Guards against a notice that begins anew where a signal was noticed late."""
+    def test_a_suspended_host_accepts_no_request_later_after_sigterm(self) -> None:
+        """Guards against a deregistration delay that starts over when a signal was noticed late."""
 
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
@@ -303,12 +304,12 @@
 
         run(test)
 
-    def test_a_caller_that_connects_while_a_host_starts_slowly_does_not_wait_for_it(self) -> None:
-        """Guards against callers held by a host that can't read them yet."""
+    def test_a_caller_does_not_wait_for_a_slow_start(self) -> None:
+        """Guards against callers waiting for a host that can't read their requests yet."""
 
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
-            await _start_anew(entry)
+            await _restart(entry)
             await _wait_until_it_listens(entry)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_slow_down, entry, SLOW_START_SHARE)
@@ -316,42 +317,42 @@
                     sent = await world.ask(entry, kind)
                     self.assertEqual(sent.status, 503)
                     assert sent.ended_s is not None
-                    limit_s = sent.deadline_s * WAIT_SHARE + SLOW_ANSWER_S
+                    limit_s = sent.deadline_s * MAX_WAIT_SHARE + SLOW_RESPONSE_S
                     self.assertLess(sent.ended_s - sent.sent_s, limit_s)
                 self.assertNotIn('"event": "started"', entry.log.read_text())
                 nursery.cancel_scope.cancel()
 
         run(test)
 
-    def test_a_stop_while_the_host_starts_answers_callers_that_wait(self) -> None:
+    def test_a_stop_during_the_start_answers_waiting_callers(self) -> None:
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
-            await _start_anew(entry)
+            await _restart(entry)
             await _wait_until_it_listens(entry)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._ask_and_stop, world, entry)
+                nursery.start_soon(self._send_and_stop, world, entry)
             await entry.wait_ended()
-            self._assert_ended_whole(entry, [])
+            self._assert_clean_exit(entry, [])
             self.assertEqual(world.fleet.ledger.check(), [])
 
         run(test)
 
-    async def _ask_and_stop(self, world: World, entry: EntryProcess) -> None:
-        """Ask for a stop while requests wait at a process that is still starting."""
+    async def _send_and_stop(self, world: World, entry: EntryProcess) -> None:
+        """Request a stop while requests wait for a process that is still starting."""
         async with trio.open_nursery() as nursery:
             sent: list[Sent] = []
             for _ in range(5):
-                nursery.start_soon(self._ask_into, world, entry, sent)
-            await trio.sleep(LOOK_S)
+                nursery.start_soon(self._send_and_record, world, entry, sent)
+            await trio.sleep(POLL_INTERVAL_S)
             entry.signal(signal.SIGTERM)
         self.assertEqual([s for s in sent if s.status is None], [])
 
-    async def _ask_into(
+    async def _send_and_record(
         self, world: World, entry: EntryProcess, sent: list[Sent], kind: Kind = Kind.STREAM
     ) -> None:
         sent.append(await world.ask(entry, kind))
 
-    def test_more_signals_beside_a_stop_change_nothing(self) -> None:
+    def test_further_signals_during_a_stop_change_nothing(self) -> None:
         hang_up, stop = signal.SIGHUP, signal.SIGTERM
         series = [(stop, stop), (stop, hang_up), (hang_up, stop), (stop, hang_up, stop, hang_up)]
         series.append((stop, signal.SIGINT))
@@ -360,62 +361,64 @@
             with world.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
                     for entry, numbers in zip(world.fleet.entries, series, strict=True):
-                        nursery.start_soon(self._stop_by, world, entry, numbers)
+                        nursery.start_soon(self._stop_with_signals, world, entry, numbers)
 
         run(test, len(series))
 
-    async def _stop_by(self, world: World, entry: EntryProcess, numbers: Series) -> None:
-        """Send signals at once, and again while the process stops, with streams open."""
+    async def _stop_with_signals(self, world: World, entry: EntryProcess, numbers: Series) -> None:
+        """Send signals at once, and again while the process is stopping, with streams open."""
         async with trio.open_nursery() as nursery:
             streams = await world.open_streams(nursery, entry, 3)
-            asked_s = trio.current_time()
+            requested_s = trio.current_time()
             for number in numbers:
                 entry.signal(number)
             await _wait_for_log(entry, "stopping")
             for number in numbers:
                 entry.signal(number)
-            self.assertTrue(await _ends_in_time(entry, asked_s), f"{numbers} {_end_of(entry)}")
-        self._assert_ended_whole(entry, streams)
+            self.assertTrue(
+                await _ends_in_time(entry, requested_s), f"{numbers} {_describe_end(entry)}"
+            )
+        self._assert_clean_exit(entry, streams)
 
-    def _assert_ended_whole(self, entry: EntryProcess, streams: list[Sent]) -> None:
+    def _assert_clean_exit(self, entry: EntryProcess, streams: list[Sent]) -> None:
         assert entry.process is not None
-        self.assertEqual(entry.process.returncode, 0, _end_of(entry))
+        self.assertEqual(entry.process.returncode, 0, _describe_end(entry))
         self.assertIn('"event": "stopped"', entry.log.read_text())
         self.assertEqual([s for s in streams if not _is_served(s)], [])
 
-    def test_a_stop_before_the_host_listens_ends_in_order(self) -> None:
+    def test_a_stop_before_the_host_listens_is_clean(self) -> None:
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
-            await _start_anew(entry)
+            await _restart(entry)
             await entry.wait_until_taken(signal.SIGTERM)
             entry.signal(signal.SIGTERM)
             await entry.wait_ended()
-            self._assert_ended_whole(entry, [])
+            self._assert_clean_exit(entry, [])
 
         run(test)
 
-    def test_a_stop_right_after_the_start_ends_in_order(self) -> None:
+    def test_a_stop_right_after_the_start_is_clean(self) -> None:
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
-            await _start_anew(entry)
+            await _restart(entry)
             await _wait_for_log(entry, "started")
-            asked_s = trio.current_time()
+            requested_s = trio.current_time()
             entry.signal(signal.SIGTERM)
-            self.assertTrue(await _ends_in_time(entry, asked_s), _end_of(entry))
-            self._assert_ended_whole(entry, [])
+            self.assertTrue(await _ends_in_time(entry, requested_s), _describe_end(entry))
+            self._assert_clean_exit(entry, [])
 
         run(test)
 
-    def test_a_stop_with_many_streams_open_cuts_none_off(self) -> None:
+    def test_a_stop_with_many_open_streams_cuts_off_none(self) -> None:
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
             with world.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
                     streams = await world.open_streams(nursery, entry, 20)
-                    asked_s = trio.current_time()
+                    requested_s = trio.current_time()
                     entry.signal(signal.SIGTERM)
-                    self.assertTrue(await _ends_in_time(entry, asked_s), _end_of(entry))
-            self._assert_ended_whole(entry, streams)
+                    self.assertTrue(await _ends_in_time(entry, requested_s), _describe_end(entry))
+            self._assert_clean_exit(entry, streams)
 
         run(test)
 
@@ -426,7 +429,7 @@
         run(self._cut_off(100, SLOWEST_SHARE))
 
     def _cut_off(self, streams: int, share: float) -> Callable[[World], Awaitable[None]]:
-        """Return a test of a stop of a slowed process that has to cut streams off."""
+        """Return a test that stops a slowed process with streams that must be cut off."""
 
         async def test(world: World) -> None:
             entry = world.fleet.entries[0]
@@ -434,10 +437,10 @@
                 async with trio.open_nursery() as nursery:
                     await world.open_streams(nursery, entry, streams)
                     nursery.start_soon(_slow_down, entry, share)
-                    asked_s = trio.current_time()
+                    requested_s = trio.current_time()
                     entry.signal(signal.SIGTERM)
-                    self.assertTrue(await _ends_in_time(entry, asked_s), _end_of(entry))
+                    self.assertTrue(await _ends_in_time(entry, requested_s), _describe_end(entry))
                     nursery.cancel_scope.cancel()
-            self._assert_ended_whole(entry, [])
+            self._assert_clean_exit(entry, [])
 
         return test
--- a/yewloom/tests/test_program_start.py
+++ b/yewloom/tests/test_program_start.py
@@ -1,10 +1,10 @@
-"""Tests of the first steps of an entry host's process."""
+"""Tests of the first steps of an entry host process."""
 
 import subprocess
 import sys
 import unittest
 
-NAME_WHAT_IS_LOADED = """
+PRINT_LOADED_MODULES = """
 import os, runpy, sys
 from yewloom.early_signals import EarlySignals
 
@@ -15,16 +15,17 @@
 EarlySignals.listen = name_loaded
 runpy.run_module("yewloom.platform", run_name="__main__")
 """
-"""Starts the program and prints which modules are loaded when it first takes signals."""
+"""Starts the program and prints the modules that are loaded when it installs its signal handlers.
+"""
 
-LATER = {"configparser", "socket", "structlog", "trio", "yewloom.early_listener"}
-"""Modules that take milliseconds to load, in which a signal would end the process."""
+SLOW_MODULES = {"configparser", "socket", "structlog", "trio", "yewloom.early_listener"}
+"""Modules that take milliseconds to load; a signal during that time would end the process."""
 
 
 class TestProgramStart(unittest.TestCase):
     """What a process does before its long imports."""
 
-    def test_signals_are_taken_before_anything_that_takes_time_is_loaded(self) -> None:
-        command = [sys.executable, "-c", NAME_WHAT_IS_LOADED]
+    def test_signal_handlers_are_installed_before_slow_imports(self) -> None:
+        command = [sys.executable, "-c", PRINT_LOADED_MODULES]
         done = subprocess.run(command, capture_output=True, text=True, check=True)
-        self.assertEqual(LATER & set(done.stdout.split()), set())
+        self.assertEqual(SLOW_MODULES & set(done.stdout.split()), set())
--- a/yewloom/tests/test_shutdown.py
+++ b/yewloom/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Tests of the steps of a planned stop, on a clock that the tests move."""
+"""Tests of the steps of a planned stop, with a simulated clock."""
 
 import unittest
 from collections.abc import Callable, Iterator
@@ -9,13 +9,13 @@
 
 from yewloom.caller_activity import CallerActivity
 from yewloom.planned_stop import EXIT_MARGIN_S, PlannedStop
-from yewloom.shutdown import ENDED_AT_ONCE, Shutdown
+from yewloom.shutdown import CUT_OFF_BATCH_SIZE, Shutdown
 
 GRACE_S = 8.0
 
 
 class Requests:
-    """Requests that end only when they are cut off, each after some time of a slow host."""
+    """Requests that end only when cut off; each cut-off takes ``end_s`` of simulated time."""
 
     def __init__(self, clock: trio.testing.MockClock, count: int, end_s: float) -> None:
         self.activity = CallerActivity()
@@ -30,8 +30,8 @@
             request.enter_context(self.activity.request())
             yield number, request
 
-    def end_by_itself(self) -> None:
-        """Let the oldest request end with its whole answer."""
+    def complete_oldest(self) -> None:
+        """End the oldest request with its complete response."""
         if self._open:
             _, request = self._open.pop(0)
             request.close()
@@ -41,7 +41,7 @@
         self.activity.stop_taking()
 
     def end_open(self, at_most: int) -> bool:
-        """Cut some off; the clock runs on meanwhile."""
+        """Cut off some requests, and advance the clock for each."""
         cut_off, self._open = self._open[:at_most], self._open[at_most:]
         for number, request in cut_off:
             self.ended.append(number)
@@ -51,25 +51,25 @@
 
 
 class Alarm:
-    """An alarm that notes its time, and comes as late as it is told to."""
+    """An alarm that records its delay, and reports a configured lateness."""
 
     delay_s = 0.0
     late_s = 0.0
 
     def start(self, left_s: Callable[[], float], on_late: Callable[[float], None]) -> None:
-        """Note the time."""
+        """Record the delay."""
         self.delay_s = left_s()
         on_late(self.late_s)
 
 
 class TestShutdown(unittest.TestCase):
-    """A stop ends in time on a host of any pace."""
+    """A stop ends in time on hosts of any speed."""
 
     def setUp(self) -> None:
         self.alarm = Alarm()
 
     def _stop(self, count: int, end_s: float) -> tuple[Requests, int, float]:
-        """Stop a host; return its requests, how many were left open and when it ended."""
+        """Stop a host; return its requests, the number left open, and the duration."""
         clock = trio.testing.MockClock(autojump_threshold=0)
         requests = Requests(clock, count, end_s)
 
@@ -81,51 +81,51 @@
 
         return requests, *trio.run(stop, clock=clock)
 
-    def test_a_host_without_work_ends_once_the_balancer_knows(self) -> None:
+    def test_a_host_without_work_ends_after_deregistration(self) -> None:
         _, left, took_s = self._stop(0, 0.0)
         self.assertEqual(left, 0)
         self.assertLess(took_s, GRACE_S / 2)
 
-    def test_an_answer_that_has_arrived_when_the_rest_is_cut_off_goes_out(self) -> None:
-        """Guards against answers that are lost because the host is late when its stop ends."""
+    def test_a_received_response_is_sent_before_requests_are_cut_off(self) -> None:
+        """Guards against losing received responses because the host is late when its stop ends."""
         clock = trio.testing.MockClock(autojump_threshold=0)
         requests = Requests(clock, 1, 0.001)
         plan = PlannedStop(GRACE_S)
 
         async def stop() -> None:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(pass_on)
+                nursery.start_soon(forward_response)
                 began_s = trio.current_time()
                 await Shutdown(plan, requests, requests, self.alarm).run(began_s)
 
-        async def pass_on() -> None:
+        async def forward_response() -> None:
             await trio.lowlevel.checkpoint()
             await trio.sleep_until(plan.cut_off_s(1))
             await trio.lowlevel.checkpoint()
-            requests.end_by_itself()
+            requests.complete_oldest()
 
         trio.run(stop, clock=clock)
         self.assertEqual(requests.ended, [])
 
-    def test_the_alarm_is_set_for_the_time_at_which_the_process_must_end(self) -> None:
+    def test_the_alarm_is_set_for_the_exit_time(self) -> None:
         self._stop(0, 0.0)
         self.assertAlmostEqual(self.alarm.delay_s, GRACE_S - EXIT_MARGIN_S)
 
-    def test_a_fast_host_cuts_all_off_in_order_of_their_age(self) -> None:
+    def test_a_fast_host_cuts_off_all_requests_oldest_first(self) -> None:
         requests, left, took_s = self._stop(100, 0.001)
         self.assertEqual((left, requests.ended), (0, list(range(100))))
         self.assertLess(took_s, GRACE_S - EXIT_MARGIN_S)
 
-    def test_a_slow_host_with_much_work_ends_within_its_grace_and_tells_what_is_left(self) -> None:
-        """A hundred streams on a host with a twentieth of a core: 20 ms for the end of each."""
+    def test_a_slow_busy_host_ends_within_its_grace(self) -> None:
+        """100 streams on a host with a twentieth of a core: 20 ms for cutting off each."""
         requests, left, took_s = self._stop(100, 0.02)
         self.assertGreater(left, 0)
         self.assertEqual(left, 100 - len(requests.ended))
-        self.assertLess(took_s, GRACE_S - EXIT_MARGIN_S + ENDED_AT_ONCE * 0.02)
+        self.assertLess(took_s, GRACE_S - EXIT_MARGIN_S + CUT_OFF_BATCH_SIZE * 0.02)
         self.assertLess(took_s, GRACE_S)
 
-    def test_a_host_that_the_system_lets_wait_ends_that_much_earlier(self) -> None:
-        """Its requests are cut off before that, so that they still get their last answers."""
+    def test_a_host_that_is_scheduled_late_ends_earlier(self) -> None:
+        """Its requests are cut off before that, so that they still get their final responses."""
         self.alarm.late_s = 0.5
         requests, left, took_s = self._stop(100, 0.001)
         self.assertEqual((left, requests.ended), (0, list(range(100))))
--- a/yewloom/tests/test_socket_ages.py
+++ b/yewloom/tests/test_socket_ages.py
@@ -1,4 +1,4 @@
-"""Tests of how long bytes have waited in a socket."""
+"""Tests of the age of received bytes."""
 
 import socket
 import struct
@@ -9,13 +9,13 @@
 
 WAITED_S = 0.3
 SLACK_S = 0.05
-"""The system counts in some milliseconds, and its own hand-over takes some."""
+"""Tolerance: the system counts in steps of some milliseconds, and delivery also takes time."""
 
 
 class TestReceivedAgo(unittest.TestCase):
-    """The age of what is read late."""
+    """The age of bytes that are read late."""
 
-    def test_bytes_that_wait_grow_old_also_when_they_are_read(self) -> None:
+    def test_the_age_includes_time_waiting_in_the_socket(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = server.getsockname()
             with socket.create_connection(address) as caller, server.accept()[0] as accepted:
@@ -27,20 +27,20 @@
                 self.assertGreaterEqual(age_s, WAITED_S - SLACK_S)
                 self.assertLessEqual(age_s, waited_s + SLACK_S)
 
-    def test_a_socket_without_that_knowledge_counts_bytes_from_when_they_are_read(self) -> None:
+    def test_a_socket_without_tcp_info_has_age_zero(self) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams:
             self.assertEqual(received_ago_s(datagrams), 0.0)
 
 
 class _Connection:
-    """A socket of a system that tells an age, or none."""
+    """A socket of a system that reports an age, or 0 for none."""
 
     def __init__(self, age_ms: int) -> None:
-        self._facts = struct.pack("=52xI", age_ms)
+        self._tcp_info = struct.pack("=52xI", age_ms)
 
     def getsockopt(self, level: int, optname: int, buflen: int, /) -> bytes:
-        """Return the age alone."""
-        return self._facts
+        """Return ``tcp_info`` with only the age."""
+        return self._tcp_info
 
 
 class _Stream:
@@ -49,9 +49,9 @@
 
 
 class TestReadAges(unittest.TestCase):
-    """Whose word counts."""
+    """Which source of the age is used."""
 
-    def test_the_readers_lateness_counts_until_the_system_tells_an_age(self) -> None:
+    def test_the_loop_delay_is_used_until_the_system_reports_an_age(self) -> None:
         ages = ReadAges(lambda: 3.0)
         self.assertEqual(ages.of(_Stream(0)), 3.0)
         self.assertEqual(ages.of(_Stream(250)), 0.25)
