--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -92,7 +92,7 @@
     Mutation(
         "planned stop: a request that was read after the notice is refused",
         "caller_connection",
-        "self._handlers.accept if self._activity.accepts_requests else self._handlers.refuse",
+        "self._handlers.accept if self._activity.accepts_requests else self._handlers.reject",
         "self._handlers.accept",
         "test_planned_stop",
     ),
--- a/yewloom/boot_time.py
+++ b/yewloom/boot_time.py
@@ -16,8 +16,7 @@
 """Maximum time for reading both clocks; a reading that was interrupted is discarded."""
 
 RETENTION_S = 60.0
-"""How long a suspension is remembered; no request stays in a socket for longer and is still useful.
-"""
+"""How long a suspension is remembered; requests that wait longer in a socket have expired."""
 
 
 def boot_s() -> float:
@@ -35,9 +34,7 @@
     ) -> None:
         self._monotonic_clock_s = monotonic_clock_s
         self._boot_clock_s = boot_clock_s
-        self._clock_offset_s: float | None = (
-            None  # None until both clocks were read without interruption.
-        )
+        self._clock_offset_s: float | None = None  # Until both clocks were read uninterrupted.
         self._suspensions: deque[tuple[float, float]] = deque()  # Time of detection and duration.
         self._detect_suspension()
 
--- a/yewloom/caller_connection.py
+++ b/yewloom/caller_connection.py
@@ -137,7 +137,7 @@
     def _read_pending(self) -> bytes:
         """Read data that arrived after the wait timed out, while other connections were handled.
 
-        Without any, the connection is to be closed as idle.
+        If there is none, the connection is about to be closed as idle.
         """
         connection = getattr(self._stream, "socket", None)
         data = b"" if connection is None else read_available(connection, READ_BYTES)
@@ -189,7 +189,7 @@
             self._stream, self._connection, lambda: self._activity.is_leaving, self._send_timer
         )
         handler = (
-            self._handlers.accept if self._activity.accepts_requests else self._handlers.refuse
+            self._handlers.accept if self._activity.accepts_requests else self._handlers.reject
         )
         with self._activity.request():
             async with trio.open_nursery() as nursery:
--- a/yewloom/caller_messages.py
+++ b/yewloom/caller_messages.py
@@ -161,4 +161,4 @@
     """Request handlers: one while the server accepts requests, one once it no longer does."""
 
     accept: Handler
-    refuse: Handler = respond_unavailable
+    reject: Handler = respond_unavailable
--- a/yewloom/early_listener.py
+++ b/yewloom/early_listener.py
@@ -58,8 +58,9 @@
 class EarlyListener:
     """The callers' listening socket until the program takes it over; for the main thread only.
 
-    ``deadline_header`` is the lower-case name of the header with the caller's timeout. ``refused``
-    counts rejected requests, and ``errors`` collects errors, for the program to log.
+    ``deadline_header`` is the lower-case name of the header with the caller's timeout.
+    ``rejected_count`` is the number of rejected requests, and ``errors`` holds errors; the program
+    logs both.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self._has_timer = False
         self._is_checking = False
         self._is_handed_over = False
-        self.refused = 0
+        self.rejected_count = 0
         self.errors: list[Exception] = []
 
     def start(self) -> None:
@@ -143,7 +144,7 @@
                 # Closing with unread bytes would reset the connection before the response is read.
                 connection.recv(len(data))
                 connection.send(_REJECTION)
-                self.refused += 1
+                self.rejected_count += 1
         except BlockingIOError:
             return False  # The caller has sent nothing yet.
         except OSError as error:
--- a/yewloom/endpoints.py
+++ b/yewloom/endpoints.py
@@ -174,7 +174,7 @@
 
 
 async def _read_end(stream: HttpStream) -> None:
-    """Read the partial_event of the body, so that the connection can be reused."""
+    """Read the rest of the body, so that the connection can be reused."""
     with trio.move_on_after(_READ_END_TIMEOUT_S):
         async for _ in stream.chunks:
             continue
--- a/yewloom/entry_servers.py
+++ b/yewloom/entry_servers.py
@@ -74,9 +74,11 @@
         if early is None:
             return listen(self._settings.caller_address), []
         listener_and_connections = early.hand_over()
-        if early.refused or early.errors:
+        if early.rejected_count or early.errors:
             errors = [repr(error) for error in early.errors]
-            logger.warning("requests rejected during start", count=early.refused, errors=errors)
+            logger.warning(
+                "requests rejected during start", count=early.rejected_count, errors=errors
+            )
         return listener_and_connections
 
     async def _wait_for_configuration(self) -> None:
--- a/yewloom/exit_timer.py
+++ b/yewloom/exit_timer.py
@@ -28,8 +28,8 @@
 class ExitTimer:
     """Calls ``end`` at a set time; for the main thread only, which receives the signals.
 
-    ``end`` is called in the middle of any other code and must not block on it; it should end the
-    process.
+    ``end`` interrupts arbitrary code, so it must not wait for anything that the interrupted code
+    holds; it is meant to end the process.
     """
 
     def __init__(self, end: Callable[[], None]) -> None:
--- a/yewloom/http_calls.py
+++ b/yewloom/http_calls.py
@@ -142,7 +142,7 @@
     ) -> AsyncIterator[HttpStream]:
         """Send a request and read the response body as it arrives.
 
-        ``read_timeout_s`` timeouts each wait for more of the response.
+        ``read_timeout_s`` limits each wait for more of the response.
         """
         extensions = self._extensions(read_timeout_s)
         try:
--- a/yewloom/loop_lateness.py
+++ b/yewloom/loop_lateness.py
@@ -42,9 +42,7 @@
         self._clock_s = clock_s
         self._pass_began_s = clock_s()
         self._wait_began_s = 0.0
-        self._blocked_periods: deque[_BlockedPeriod] = (
-            deque()
-        )  # Those that the loop may not have caught up from.
+        self._blocked_periods: deque[_BlockedPeriod] = deque()  # May still be catching up.
 
     def watch_this_run(self) -> None:
         """Start measuring the loop of the current trio run, until its end."""
--- a/yewloom/shutdown.py
+++ b/yewloom/shutdown.py
@@ -24,7 +24,7 @@
 
 
 class Listener(Protocol):
-    """What a planned stop needs of the server' server."""
+    """What a planned stop needs of the callers' server."""
 
     activity: CallerActivity
 
@@ -54,7 +54,7 @@
 
     The time to cut off a request depends on the share of a core that the host gets. So the
     remaining requests are cut off a few at a time, and those still open when the time is up end
-    with the process: their server see a closed connection, as if the platform had killed the
+    with the process: their callers see a closed connection, as if the platform had killed the
     process. The alarm covers a loop that is in the middle of a pass at that time.
     """
 
--- a/yewloom/tests/test_early_listener.py
+++ b/yewloom/tests/test_early_listener.py
@@ -52,7 +52,7 @@
             answer = self._read_all(caller)
         self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
         self.assertIn(b"\r\nretry-after: 0.5\r\n", answer)
-        self.assertEqual((self.early.refused, self.early.errors), (1, []))
+        self.assertEqual((self.early.rejected_count, self.early.errors), (1, []))
 
     def test_an_incomplete_request_is_left_unread_for_the_program(self) -> None:
         parts = (b"", HEAD, COMPLETE[:-1], HEAD + b"Expect: 100-continue\r\n\r\nbody")
@@ -64,7 +64,7 @@
                 self.addCleanup(kept.close)
                 if data:
                     self.assertEqual(kept.recv(READ_BYTES), data)
-        self.assertEqual(self.early.refused, 0)
+        self.assertEqual(self.early.rejected_count, 0)
 
     def test_a_nested_alarm_changes_nothing(self) -> None:
         """Guards against a start that its own timer ends, with all waiting callers."""
@@ -84,7 +84,7 @@
         with self._caller(COMPLETE) as caller:
             signal.raise_signal(signal.SIGALRM)
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
-        self.assertEqual((len(alarms), self.early.refused, self.early.errors), (1, 1, []))
+        self.assertEqual((len(alarms), self.early.rejected_count, self.early.errors), (1, 1, []))
 
     def test_an_alarm_after_the_handover_accepts_no_connection(self) -> None:
         """Guards against accepting a connection that the program never gets."""
@@ -123,13 +123,13 @@
         timed = HEAD + b"X-Time-Ms: 6000\r\n\r\nbody"
         for data, limit_s in ((timed, 2.0), (COMPLETE, DEFAULT_MAX_WAIT_S)):
             with self.subTest(data=data), self._caller(data) as caller:
-                before = self.early.refused
+                before = self.early.rejected_count
                 self.waited_s = limit_s - 0.01
                 self.early.refuse_late()
-                self.assertEqual(self.early.refused, before)
+                self.assertEqual(self.early.rejected_count, before)
                 self.waited_s = limit_s
                 self.early.refuse_late()
-                self.assertEqual(self.early.refused, before + 1)
+                self.assertEqual(self.early.rejected_count, before + 1)
                 self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
     def test_a_disconnected_caller_is_dropped(self) -> None:
@@ -146,7 +146,7 @@
             self.early.start()
             time.sleep(0.3)  # Stands for the program's imports.
             self.early.hand_over()
-            self.assertEqual(self.early.refused, 1)
+            self.assertEqual(self.early.rejected_count, 1)
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
     def test_without_a_timer_callers_wait_and_the_program_starts(self) -> None:
@@ -162,7 +162,7 @@
         self.waited_s = 0.0
         with self._caller(HEAD + b"X-Time-Ms: 300\r\n\r\nbody") as caller:
             self.early.refuse_late()
-            self.assertEqual(self.early.refused, 0)
+            self.assertEqual(self.early.rejected_count, 0)
             time.sleep(0.1)  # A third of its timeout.
             self.early.refuse_late()
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
--- a/yewloom/tests/test_planned_stop.py
+++ b/yewloom/tests/test_planned_stop.py
@@ -146,7 +146,7 @@
 
 @dataclass
 class SimulatedCaller:
-    """A caller, its number, and the unsent unsent of a request that it has begun."""
+    """A caller, its number, and the unsent part of a request that it has begun."""
 
     caller: Caller
     number: int
