--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -136,10 +136,10 @@
         node.membership.set_cut_off(platform.is_down)
         open_groups = node.fleet.open_groups(now_s)
         local_capacities = [
-            seen.capacity for place, _, seen in open_groups if place == node.data_centre
+            seen.capacity for data_centre, _, seen in open_groups if data_centre == node.data_centre
         ]
         remote_capacities = [
-            seen.capacity for place, _, seen in open_groups if place != node.data_centre
+            seen.capacity for data_centre, _, seen in open_groups if data_centre != node.data_centre
         ]
         local_hosts = max(len(node.membership.alive_in(node.data_centre, now_s)), 1)
         all_hosts = max(len(node.membership.alive(now_s)), 1)
@@ -188,7 +188,7 @@
         with trio.move_on_after(FINAL_RESPONSES_S):
             await work.wait_until_none()
         logger.info("stopped", cut_off=work.in_progress)
-        work.cut_requests_off()
+        work.cancel_requests()
         with trio.move_on_after(FINAL_RESPONSES_S):
             await work.wait_until_none()
 
--- a/yewloom/entry_host.py
+++ b/yewloom/entry_host.py
@@ -195,7 +195,7 @@
         )
 
     def _configuration_age_s(self, now_s: float) -> float:
-        """Return the age that decides whether to ask the store.
+        """Return the configuration's age, which determines when the store is queried.
 
         It is infinite while a newer version is known.
         """
--- a/yewloom/entry_servers.py
+++ b/yewloom/entry_servers.py
@@ -31,7 +31,7 @@
 class HostReadiness:
     """Host state that the servers query: whether it knows enough to serve, and is ready."""
 
-    knows_all: Callable[[], bool]
+    has_full_state: Callable[[], bool]
     is_ready: Callable[[], bool]
 
 
@@ -84,9 +84,9 @@
     async def _wait_for_configuration(self) -> None:
         """Wait briefly until the host has the configuration and endpoints that it needs."""
         with trio.move_on_after(FIRST_CONFIGURATION_WAIT_S):
-            while not self._host_readiness.knows_all():  # noqa: ASYNC110 - two parts set it
+            while not self._host_readiness.has_full_state():  # noqa: ASYNC110 - two parts set it
                 await trio.sleep(FIRST_CONFIGURATION_CHECK_S)
-        logger.info("accepting callers", knows_all=self._host_readiness.knows_all())
+        logger.info("accepting callers", knows_all=self._host_readiness.has_full_state())
 
     async def _respond_readiness(self, request: CallerRequest, reply: Reply) -> None:
         await reply.send_whole(200 if self._host_readiness.is_ready() else 503, [], b"")
--- a/yewloom/planned_stop.py
+++ b/yewloom/planned_stop.py
@@ -24,8 +24,8 @@
 """The other part, in which open requests get their final responses."""
 
 EXIT_DELAY_FACTOR = 2.0
-"""Time reserved for the exit, as a multiple of a scheduling delay: how often the process gets to
-run in it."""
+"""Time reserved for the exit as a multiple of the scheduling delay, so that the process gets to run
+that often in it."""
 
 MAX_EXIT_MARGIN_S = 1.0
 """Maximum time reserved for the exit, however late the process is scheduled."""
--- a/yewloom/tests/caller_support.py
+++ b/yewloom/tests/caller_support.py
@@ -75,7 +75,7 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
         self.activity = CallerActivity()
-        self.taken: list[str] = []
+        self.accepted_paths: list[str] = []
         self.may_end = trio.Event()
         self._running: set[trio.CancelScope] = set()
 
@@ -97,7 +97,7 @@
         await trio.aclose_forcefully(stream)
 
     async def _handle(self, request: CallerRequest, reply: Reply) -> None:
-        self.taken.append(request.path)
+        self.accepted_paths.append(request.path)
         if not request.path.startswith(STREAM):
             await reply.send_whole(200, [], b"plain")
             return
@@ -115,7 +115,7 @@
         """Accept no more requests."""
         self.activity.stop_taking()
 
-    def end(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel the remaining connections, as when the process exits."""
         for scope in self._running:
             scope.cancel()
--- a/yewloom/tests/test_caller_connection.py
+++ b/yewloom/tests/test_caller_connection.py
@@ -116,10 +116,10 @@
         run_once(test)
 
     def test_a_request_arrives_when_its_first_bytes_may_have_arrived(self) -> None:
-        taken: list[tuple[float, float]] = []
+        arrival_and_read_times_s: list[tuple[float, float]] = []
 
         async def handle(request: CallerRequest, reply: Reply) -> None:
-            taken.append((request.arrived_s, request.read_s))
+            arrival_and_read_times_s.append((request.arrived_s, request.read_s))
             await trio.sleep(1.0)
             await reply.send_whole(200, [], b"")
 
@@ -141,7 +141,7 @@
                 await trio.sleep(3.0)
                 await ours.aclose()
             expected = [(5.0 - OLD_S, 6.0), (6.5 - OLD_S, 7.0)]
-            for found, times_s in zip(taken, expected, strict=True):
+            for found, times_s in zip(arrival_and_read_times_s, expected, strict=True):
                 for found_s, expected_s in zip(found, times_s, strict=True):
                     self.assertAlmostEqual(found_s - began_s, expected_s)
 
@@ -177,7 +177,7 @@
             await trio.testing.wait_all_tasks_blocked()
             await caller.send(PLAIN)
             self.assertEqual(await caller.answers(), [(200, b"ab"), (503, b"")])
-            self.assertEqual(server.taken, [STREAM])
+            self.assertEqual(server.accepted_paths, [STREAM])
 
         run(test)
 
@@ -189,7 +189,7 @@
             await trio.testing.wait_all_tasks_blocked()
             with self.assertRaises(trio.BrokenResourceError):
                 await caller.send(PLAIN)
-            self.assertEqual(server.taken, [STREAM])
+            self.assertEqual(server.accepted_paths, [STREAM])
 
         run(test)
 
@@ -213,7 +213,7 @@
             server.stop_taking()
             server.may_end.set()
             self.assertEqual(await caller.answers(), [(200, b"ab"), (503, b"")])
-            self.assertEqual(server.taken, [STREAM])
+            self.assertEqual(server.accepted_paths, [STREAM])
 
         async def partly_read(server: Server) -> None:
             caller = server.open()
@@ -224,7 +224,7 @@
             await trio.testing.wait_all_tasks_blocked()
             await caller.stream.send_all(request[10:])
             self.assertEqual(await caller.answers(), [(503, b"")])
-            self.assertEqual(server.taken, [])
+            self.assertEqual(server.accepted_paths, [])
 
         async def complete_just_before_the_stop(server: Server) -> None:
             caller = server.open()
@@ -232,7 +232,7 @@
             await caller.send(PLAIN)
             server.stop_taking()
             self.assertEqual(await caller.answers(), [(503, b"")])
-            self.assertEqual(server.taken, [])
+            self.assertEqual(server.accepted_paths, [])
 
         for test in (
             pipelined_during_a_response,
@@ -267,7 +267,7 @@
             server.stop_taking()
             self.assertEqual(await silent.answers(), [])
             self.assertEqual(await asking.answers(), [(503, b"")])
-            self.assertEqual(server.taken, [])
+            self.assertEqual(server.accepted_paths, [])
 
         run(test)
 
@@ -282,7 +282,7 @@
                 with trio.fail_after(2 * FINAL_READ_S):
                     answer = await caller.stream.receive_some(65536)
                 self.assertEqual(answer.split(b" ")[1], b"503")
-                self.assertEqual(server.taken, [])
+                self.assertEqual(server.accepted_paths, [])
 
             with self.subTest(head):
                 run(test)
@@ -297,7 +297,7 @@
             with trio.fail_after(1):
                 first = await caller.stream.receive_some(65536)
             self.assertEqual(first.split(b" ")[1], b"503")
-            self.assertEqual(server.taken, [])
+            self.assertEqual(server.accepted_paths, [])
 
         run(test)
 
--- a/yewloom/tests/test_planned_stop.py
+++ b/yewloom/tests/test_planned_stop.py
@@ -137,10 +137,10 @@
     SEND_REST = "send_rest"
     END_STREAMS = "end_streams"
     BEGIN_STOP = "begin_stop"
-    NOTICE_OVER = "notice_over"
+    DEREGISTRATION_OVER = "notice_over"
     GRACE_OVER = "grace_over"
-    CALLER_LEAVES = "caller_leaves"
-    LET_RUN = "let_run"
+    CALLER_DISCONNECTS = "caller_leaves"
+    RUN_TASKS = "let_run"
     PASS_TIME = "pass_time"
 
 
@@ -178,16 +178,16 @@
                 self._server.may_end.set()
             case Step.BEGIN_STOP:
                 self._server.activity.start_leaving()
-            case Step.NOTICE_OVER:
+            case Step.DEREGISTRATION_OVER:
                 self.close()
             case Step.GRACE_OVER:
                 self.close()
                 self.is_over = True
-                self._server.end()
-            case Step.CALLER_LEAVES:
+                self._server.cancel_all()
+            case Step.CALLER_DISCONNECTS:
                 if self.callers:
                     await self.callers.pop().caller.stream.aclose()
-            case Step.LET_RUN:
+            case Step.RUN_TASKS:
                 await trio.testing.wait_all_tasks_blocked()
             case Step.PASS_TIME:
                 await trio.sleep(0.02)
@@ -196,7 +196,7 @@
         """Make the server reject further requests."""
         self._server.stop_taking()
         if self.accepted_at_close is None:
-            self.accepted_at_close = len(self._server.taken)
+            self.accepted_at_close = len(self._server.accepted_paths)
 
     async def _send(self, step: Step) -> None:
         candidates = [one for one in self.callers if bool(one.unsent) is (step is Step.SEND_REST)]
@@ -240,7 +240,7 @@
                         await self._check(server, simulation, simulated)
                     await server.activity.wait_until_idle()
                 self.assertEqual(
-                    len(server.taken),
+                    len(server.accepted_paths),
                     simulation.accepted_at_close,
                     "accepted after the deregistration delay",
                 )
@@ -253,10 +253,12 @@
         """Check that a caller that stayed has a response to each accepted request."""
         answers = await simulated.caller.answers(may_be_cut=simulation.is_over)
         own = {simulated.path(PLAIN), simulated.path(STREAM)}
-        taken = [path for path in server.taken if path in own]
+        accepted_paths = [path for path in server.accepted_paths if path in own]
         served = [body for status, body in answers if status == 200]
         self.assertEqual({status for status, _ in answers} - {200, 503}, set())
         if simulation.is_over:
-            self.assertLessEqual(len(served), len(taken))
+            self.assertLessEqual(len(served), len(accepted_paths))
         else:
-            self.assertEqual(len(served), len(taken), "accepted but not answered completely")
+            self.assertEqual(
+                len(served), len(accepted_paths), "accepted but not answered completely"
+            )
--- a/yewloom/tests/test_process_signals.py
+++ b/yewloom/tests/test_process_signals.py
@@ -29,7 +29,7 @@
         self.reloads += 1
 
     def _run(self, act: Callable[[], Awaitable[None]]) -> float:
-        """Return how long ago a stop was requested, while ``act`` runs beside the wait."""
+        """Return how long ago a stop was requested; ``act`` runs concurrently."""
 
         async def main() -> float:
             async with trio.open_nursery() as nursery:
--- a/yewloom/tests/test_work.py
+++ b/yewloom/tests/test_work.py
@@ -104,7 +104,7 @@
                 nursery.start_soon(counted, _scope("1.1"), receive, send)
                 await trio.testing.wait_all_tasks_blocked()
                 self.work.phase = Phase.CLOSED
-                self.work.cut_requests_off()
+                self.work.cancel_requests()
                 await self.work.wait_until_none()
 
         run_on_mock_clock(scenario)
--- a/yewloom/work.py
+++ b/yewloom/work.py
@@ -68,7 +68,7 @@
         self.in_progress -= 1
         self._has_item_ended.set()
 
-    def cut_requests_off(self) -> None:
+    def cancel_requests(self) -> None:
         """Cancel the requests in progress, when a planned stop has run out of time."""
         for scope in self._request_scopes:
             scope.cancel()
