--- a/yewloom/cli_calls.py
+++ b/yewloom/cli_calls.py
@@ -1,6 +1,7 @@
-"""What the commands of the operators' tool share: options, exit codes, calls and printing.
+"""Options, exit codes, remote calls and output shared by the commands of the ``yewloom`` tool.
 
-Exit codes: 0 done, 1 failed, 2 wrong use, 3 conflict with another edit, 4 not in force everywhere.
+Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict with another edit, 4 an entry host has
+not applied every row yet.
 """
 
 import json
@@ -27,131 +28,136 @@
 from yewloom.tables import parse_row_name
 
 CONNECT_TIMEOUT_S = 3.0
-"""Longest wait for a connection, and for an answer of the platform: an operator is waiting."""
+"""Time-out for connecting, and for an answer from the platform; short, as an operator waits."""
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
 EXIT_CONFLICT = 3
-EXIT_LAGGING = 4
+EXIT_NOT_APPLIED = 4
 
 T = TypeVar("T")
 
-_tls: list[ssl.SSLContext] = []
-"""The authority that entry hosts are checked against, if the operator names one."""
+_tls_contexts: list[ssl.SSLContext] = []
+"""TLS context that verifies entry hosts against the operator's CA; empty without one."""
 
 PlatformOption = Annotated[
-    str, typer.Option("--platform", envvar="YEWLOOM_PLATFORM", help="Address of the platform.")
+    str, typer.Option("--platform", envvar="YEWLOOM_PLATFORM", help="URL of the platform.")
 ]
 TokenOption = Annotated[
-    str, typer.Option("--token", envvar="YEWLOOM_TOKEN", help="Operator's token at the platform.")
+    str, typer.Option("--token", envvar="YEWLOOM_TOKEN", help="Operator's token for the platform.")
 ]
 HostOption = Annotated[
-    str, typer.Option("--host", envvar="YEWLOOM_HOST", help="Address of one entry host.")
+    str, typer.Option("--host", envvar="YEWLOOM_HOST", help="URL of one entry host.")
 ]
 AuthorityOption = Annotated[
     Path | None,
     typer.Option(
-        "--authority-file", envvar="YEWLOOM_AUTHORITY_FILE", help="PEM authority of entry hosts."
+        "--authority-file",
+        envvar="YEWLOOM_AUTHORITY_FILE",
+        help="PEM file of the CA of entry hosts.",
     ),
 ]
 HostsOption = Annotated[
-    list[str], typer.Option("--host", envvar="YEWLOOM_HOSTS", help="Address; may be repeated.")
+    list[str],
+    typer.Option("--host", envvar="YEWLOOM_HOSTS", help="URL of an entry host; may be repeated."),
 ]
-JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON for scripts.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 RowArgument = Annotated[str, typer.Argument(help="Row as KIND/NAME, for example policy/hotel.")]
 ExpectOption = Annotated[
     int | None, typer.Option("--expect-version", help="Fail unless the row has this version.")
 ]
 
 
-def check_by(authority_file: Path) -> None:
-    """Check entry hosts against an authority."""
-    _tls.append(ssl.create_default_context(cafile=authority_file))
+def trust_authority(authority_file: Path) -> None:
+    """Verify the certificates of entry hosts against a CA."""
+    _tls_contexts.append(ssl.create_default_context(cafile=authority_file))
 
 
-def call_entry_host(method: str, url: str, body: dict[str, Any], headers: dict[str, str]) -> Any:
-    """Send a call to an entry host and return its answer; end the program if there is none."""
+def call_entry_host_or_exit(
+    method: str, url: str, body: dict[str, Any], headers: dict[str, str]
+) -> Any:
+    """Call an entry host and return its answer; exit if there is no answer."""
 
     async def call() -> Any:
-        caller = new_caller()
+        caller = create_caller()
         return await caller.call(method, url, 120.0, json.dumps(body).encode(), headers)
 
     try:
         return trio.run(call)
     except HttpCallError as error:
-        fail(f"The entry host at {url} did not answer ({error}).", EXIT_FAILED)
+        exit_with_error(f"The entry host at {url} did not answer ({error}).", EXIT_FAILED)
 
 
-def read_row(platform: str, row: str) -> VersionedRow:
-    """Return a row; end the program if there is none."""
-    name = row_name(row)
-    found = on_platform(platform, lambda api: get_row(api, name))
+def read_row_or_exit(platform: str, row: str) -> VersionedRow:
+    """Read a row; exit if it does not exist."""
+    name = row_name_or_exit(row)
+    found = run_on_platform(platform, lambda api: get_row(api, name))
     if found is None or found.row.deleted:
-        fail(f"There is no row {name}; see `yewloom table list`.", EXIT_FAILED)
+        exit_with_error(f"There is no row {name}; see `yewloom table list`.", EXIT_FAILED)
     return found
 
 
-def row_name(text: str) -> RowName:
-    """Return the name of a row; end the program if the text is none."""
+def row_name_or_exit(text: str) -> RowName:
+    """Parse a row name; exit if it is invalid."""
     match parse_row_name(text):
         case Ok(name):
             return name
         case Err(error):
-            fail(str(error), EXIT_USAGE)
+            exit_with_error(str(error), EXIT_USAGE)
 
 
-def on_platform(
+def run_on_platform(
     url: str, run: Callable[[Platform], Awaitable[Result[T, OperationError]]], token: str = ""
 ) -> T:
-    """Run one operation on the platform; end the program with a sentence if it fails."""
+    """Run one operation on the platform; exit with its error message if it fails."""
 
     async def call() -> Result[T, OperationError]:
         return await run(
-            HttpPlatform(new_caller(), url, CONNECT_TIMEOUT_S, CONNECT_TIMEOUT_S, token)
+            HttpPlatform(create_caller(), url, CONNECT_TIMEOUT_S, CONNECT_TIMEOUT_S, token)
         )
 
-    return value_of(trio.run(call))
+    return value_or_exit(trio.run(call))
 
 
-def read_status(host: str, path: str = "/status") -> dict[str, Any]:
-    """Return what an entry host tells of itself; end the program if it tells nothing."""
+def read_status_or_exit(host: str, path: str = "/status") -> dict[str, Any]:
+    """Read a JSON page of an entry host; exit if there is no valid answer."""
 
     async def call() -> Result[dict[str, Any], OperationError]:
-        return await read_entry_host(new_caller(), host, path)
+        return await read_entry_host(create_caller(), host, path)
 
-    return value_of(trio.run(call))
+    return value_or_exit(trio.run(call))
 
 
-def new_caller() -> HttpCaller:
-    """Return a caller that checks entry hosts as the operator asked for."""
-    return HttpCaller(CONNECT_TIMEOUT_S, tls=_tls[0] if _tls else None)
+def create_caller() -> HttpCaller:
+    """Create an HTTP client that verifies entry hosts as configured by the operator."""
+    return HttpCaller(CONNECT_TIMEOUT_S, tls=_tls_contexts[0] if _tls_contexts else None)
 
 
-def value_of(result: Result[T, OperationError]) -> T:
-    """Return the value of an operation; end the program with its sentence if it failed."""
+def value_or_exit(result: Result[T, OperationError]) -> T:
+    """Return the value of an operation's result; exit with the error message if it failed."""
     match result:
         case Ok(value):
             return value
         case Err(error):
-            fail(str(error), EXIT_CONFLICT if error.is_conflict else EXIT_FAILED)
+            exit_with_error(str(error), EXIT_CONFLICT if error.is_conflict else EXIT_FAILED)
 
 
 def row_fields(row: VersionedRow) -> dict[str, Any]:
-    """Return a row as JSON for scripts."""
+    """Return a row as JSON fields."""
     return {"name": row.name, "version": row.version, "cells": flat_cells(row)}
 
 
 def row_text(row: VersionedRow) -> str:
-    """Return a row as one line."""
+    """Format a row as one line of text."""
     return f"{row.name} version {row.version}: {cells_text(row)}"
 
 
-def print_answer(as_json: bool, fields: Any, lines: list[str]) -> None:
-    """Print what was asked for, for scripts or for people."""
+def print_result(as_json: bool, fields: Any, lines: list[str]) -> None:
+    """Print a result as JSON or as lines of text."""
     typer.echo(json.dumps(fields) if as_json else "\n".join(lines))
 
 
-def fail(sentence: str, code: int) -> NoReturn:
-    """End the program with a sentence and an exit code."""
-    typer.echo(f"yewloom: {sentence}", err=True)
+def exit_with_error(message: str, code: int) -> NoReturn:
+    """Print an error message to standard error and exit with a code."""
+    typer.echo(f"yewloom: {message}", err=True)
     raise typer.Exit(code)
--- a/yewloom/cli_table.py
+++ b/yewloom/cli_table.py
@@ -1,4 +1,4 @@
-"""Commands of the operators' tool that read and edit the table of weights and limits."""
+"""``yewloom table``: commands that read and edit the table of weights and limits."""
 
 import getpass
 from typing import Annotated
@@ -6,7 +6,7 @@
 import typer
 
 from yewloom.cli_calls import (
-    EXIT_LAGGING,
+    EXIT_NOT_APPLIED,
     EXIT_USAGE,
     ExpectOption,
     HostsOption,
@@ -14,14 +14,14 @@
     PlatformOption,
     RowArgument,
     TokenOption,
-    fail,
-    on_platform,
-    print_answer,
-    read_row,
-    read_status,
+    exit_with_error,
+    print_result,
+    read_row_or_exit,
+    read_status_or_exit,
     row_fields,
-    row_name,
+    row_name_or_exit,
     row_text,
+    run_on_platform,
 )
 from yewloom.node import unix_ms
 from yewloom.operations import Edit, apply_edit, cells_text, flat_cells, list_rows
@@ -32,22 +32,22 @@
 @table_app.command("list")
 def table_list(platform: PlatformOption, as_json: JsonOption = False) -> None:
     """Print all rows.  Example: yewloom table list"""
-    rows = on_platform(platform, list_rows)
-    print_answer(as_json, [row_fields(row) for row in rows], [row_text(row) for row in rows])
+    rows = run_on_platform(platform, list_rows)
+    print_result(as_json, [row_fields(row) for row in rows], [row_text(row) for row in rows])
 
 
 @table_app.command("get")
 def table_get(row: RowArgument, platform: PlatformOption, as_json: JsonOption = False) -> None:
     """Print one row.  Example: yewloom table get policy/hotel"""
-    found = read_row(platform, row)
+    found = read_row_or_exit(platform, row)
     lines = [f"{cell} = {value}" for cell, value in flat_cells(found).items()]
-    print_answer(as_json, row_fields(found), [f"{found.name} version {found.version}", *lines])
+    print_result(as_json, row_fields(found), [f"{found.name} version {found.version}", *lines])
 
 
 @table_app.command("set")
 def table_set(
     row: RowArgument,
-    cells: Annotated[list[str], typer.Argument(help="Cells as CELL=VALUE.")],
+    cells: Annotated[list[str], typer.Argument(help="Cells to set, as CELL=VALUE.")],
     platform: PlatformOption,
     token: TokenOption = "",
     expect_version: ExpectOption = None,
@@ -58,7 +58,7 @@
     for cell in cells:
         name, separator, value = cell.partition("=")
         if not separator:
-            fail(f"{cell!r} is not of the form CELL=VALUE.", EXIT_USAGE)
+            exit_with_error(f"{cell!r} is not of the form CELL=VALUE.", EXIT_USAGE)
         values[name] = value
     _edit(platform, token, row, values, expect_version, False, as_json)
 
@@ -80,30 +80,30 @@
     """Print the latest edits of a row.  Example: yewloom table history customer/hotel-1"""
     changes = [
         {"editor": c.editor, "edited_unix_ms": c.edited_unix_ms, "summary": c.summary}
-        for c in read_row(platform, row).row.history
+        for c in read_row_or_exit(platform, row).row.history
     ]
     lines = [f"{c['edited_unix_ms']} {c['editor']}: {c['summary']}" for c in changes]
-    print_answer(as_json, changes, lines)
+    print_result(as_json, changes, lines)
 
 
 @table_app.command("status")
 def table_status(platform: PlatformOption, hosts: HostsOption, as_json: JsonOption = False) -> None:
-    """Show which entry hosts have every row in force; exit code 4 if one lags."""
-    rows = {row.name: row.version for row in on_platform(platform, list_rows)}
-    states = [read_status(host) for host in hosts]
-    lags = {
-        state["entry_host"]: sorted(
-            name for name, version in rows.items() if state["rows"].get(name, 0) < version
+    """Show which entry hosts have applied every row; exit code 4 if one has not."""
+    rows = {row.name: row.version for row in run_on_platform(platform, list_rows)}
+    statuses = [read_status_or_exit(host) for host in hosts]
+    outdated_rows = {
+        status["entry_host"]: sorted(
+            name for name, version in rows.items() if status["rows"].get(name, 0) < version
         )
-        for state in states
+        for status in statuses
     }
     lines = [
-        f"{host}: " + (f"behind in {', '.join(names)}" if names else "all rows in force")
-        for host, names in lags.items()
+        f"{host}: " + (f"behind in {', '.join(names)}" if names else "all rows applied")
+        for host, names in outdated_rows.items()
     ]
-    print_answer(as_json, {"rows": rows, "behind": lags}, lines)
-    if any(lags.values()):
-        raise typer.Exit(EXIT_LAGGING)
+    print_result(as_json, {"rows": rows, "behind": outdated_rows}, lines)
+    if any(outdated_rows.values()):
+        raise typer.Exit(EXIT_NOT_APPLIED)
 
 
 def _edit(
@@ -115,7 +115,9 @@
     is_deletion: bool,
     as_json: bool,
 ) -> None:
-    edit = Edit(row_name(row), getpass.getuser(), unix_ms(), cells, expect_version, is_deletion)
-    written = on_platform(platform, lambda api: apply_edit(api, edit), token)
+    edit = Edit(
+        row_name_or_exit(row), getpass.getuser(), unix_ms(), cells, expect_version, is_deletion
+    )
+    written = run_on_platform(platform, lambda api: apply_edit(api, edit), token)
     text = f"{written.name} accepted as version {written.version}: {cells_text(written)}"
-    print_answer(as_json, row_fields(written), [text])
+    print_result(as_json, row_fields(written), [text])
--- a/yewloom/comparison.py
+++ b/yewloom/comparison.py
@@ -1,7 +1,8 @@
 """Comparison of the two sides of an experiment, with confidence intervals.
 
-Requests of one session share a side and a fate, so intervals come from a bootstrap over sessions.
-The two metrics share the stated error rate between them.
+Requests of one session are not independent: they run on the same side under similar conditions.
+Confidence intervals therefore come from a bootstrap that resamples whole sessions. The error rate
+is divided equally between the two metrics (Bonferroni correction).
 """
 
 import math
@@ -13,18 +14,18 @@
 from yewloom.values import value_class
 
 ERROR_RATE = 0.05
-"""Share of comparisons of equal policies that may find a difference."""
+"""Accepted rate of false positives: comparisons of equal policies that report a difference."""
 
 RESAMPLES = 400
 PERCENTILE = 0.95
 MIN_SESSIONS = 30
-"""Sessions a side below which no difference counts as established."""
+"""Minimum number of sessions on each side for a difference to count as established."""
 
 MAX_IMBALANCE = 3.0
-"""Standard deviations by which the split may miss its share."""
+"""Maximum deviation of the split from the configured share, in standard deviations."""
 
-_Value = Callable[[Observation], float | None]
-_METRICS: dict[str, _Value] = {
+_MetricReader = Callable[[Observation], float | None]
+_METRICS: dict[str, _MetricReader] = {
     "first token": lambda observation: observation.first_token_ms,
     "between tokens": lambda observation: observation.between_tokens_ms,
 }
@@ -32,7 +33,7 @@
 
 @value_class
 class MetricComparison:
-    """One metric: the 95th percentile of each side, and the interval of B less A, in ms."""
+    """Result for one metric: the 95th percentile of each side and the interval of B - A, in ms."""
 
     metric: str
     a_ms: float
@@ -43,7 +44,7 @@
 
     @property
     def verdict(self) -> str:
-        """Say in words what is known."""
+        """Describe the result in words."""
         if not self.is_established:
             return "the difference is not established"
         return "B is slower" if self.low_ms > 0 else "B is faster"
@@ -51,7 +52,7 @@
 
 @value_class
 class Comparison:
-    """Both sides: requests by outcome, sessions sampled, balance of the split, and the metrics."""
+    """Result for both sides: requests by outcome, sampled sessions, imbalance and metrics."""
 
     counts: dict[Side, dict[Outcome, int]]
     sessions: dict[Side, int]
@@ -60,7 +61,7 @@
 
     @property
     def is_balanced(self) -> bool:
-        """Tell whether the split fits its share."""
+        """Tell whether the split matches the configured share of side B."""
         return abs(self.imbalance) <= MAX_IMBALANCE
 
 
@@ -68,77 +69,96 @@
     record: ExperimentRecord, share_b: float, rng: random.Random, resamples: int = RESAMPLES
 ) -> Comparison:
     """Compare the sides of an experiment; ``share_b`` is the share of sessions on side B."""
-    sessions = {side: _sessions_of(record, side) for side in Side}
-    sizes = {side: len(found) for side, found in sessions.items()}
+    sessions = {side: _sessions_on_side(record, side) for side in Side}
+    session_counts = {side: len(found) for side, found in sessions.items()}
     metrics = tuple(
         _compare_metric(name, value, sessions, rng, resamples) for name, value in _METRICS.items()
     )
     counts = {
         side: {outcome: record.counts[(side, outcome)] for outcome in Outcome} for side in Side
     }
-    return Comparison(counts, sizes, _imbalance(sizes, share_b), metrics)
+    return Comparison(counts, session_counts, _imbalance(session_counts, share_b), metrics)
 
 
-def _sessions_of(record: ExperimentRecord, side: Side) -> list[list[Observation]]:
-    found = ([o for o in record.sample[p] if o.side is side] for p in sorted(record.sample))
+def _sessions_on_side(record: ExperimentRecord, side: Side) -> list[list[Observation]]:
+    found = (
+        [o for o in record.sample[session_hash] if o.side is side]
+        for session_hash in sorted(record.sample)
+    )
     return [observations for observations in found if observations]
 
 
-def _imbalance(sizes: dict[Side, int], share_b: float) -> float:
-    """Return by how many standard deviations side B misses its share."""
-    total = sizes[Side.A] + sizes[Side.B]
-    deviation = math.sqrt(total * share_b * (1 - share_b))
-    return (sizes[Side.B] - total * share_b) / deviation if deviation else 0.0
+def _imbalance(session_counts: dict[Side, int], share_b: float) -> float:
+    """Return the deviation of side B from its expected share, in standard deviations."""
+    total = session_counts[Side.A] + session_counts[Side.B]
+    standard_deviation = math.sqrt(total * share_b * (1 - share_b))
+    return (
+        (session_counts[Side.B] - total * share_b) / standard_deviation
+        if standard_deviation
+        else 0.0
+    )
 
 
 def _compare_metric(
     name: str,
-    value: _Value,
+    value: _MetricReader,
     sessions: dict[Side, list[list[Observation]]],
     rng: random.Random,
     resamples: int,
 ) -> MetricComparison:
     samples = {side: _Sample(found, value) for side, found in sessions.items()}
     a, b = samples[Side.A], samples[Side.B]
-    if min(a.size, b.size) == 0:
+    if min(a.session_count, b.session_count) == 0:
         return MetricComparison(name, math.nan, math.nan, -math.inf, math.inf, False)
-    drawn = sorted(b.draw(rng) - a.draw(rng) for _ in range(resamples))
-    tail = ERROR_RATE / len(_METRICS) / 2
-    low, high = _quantile(drawn, tail), _quantile(drawn, 1 - tail)
-    is_enough = min(a.size, b.size) >= MIN_SESSIONS
-    is_established = is_enough and (low > 0 or high < 0)
+    differences = sorted(
+        b.resampled_percentile(rng) - a.resampled_percentile(rng) for _ in range(resamples)
+    )
+    tail_probability = ERROR_RATE / len(_METRICS) / 2
+    low, high = (
+        _quantile(differences, tail_probability),
+        _quantile(differences, 1 - tail_probability),
+    )
+    has_enough_sessions = min(a.session_count, b.session_count) >= MIN_SESSIONS
+    is_established = has_enough_sessions and (low > 0 or high < 0)
     return MetricComparison(name, a.percentile(), b.percentile(), low, high, is_established)
 
 
 class _Sample:
-    """The values of one side, by session, in order of size."""
-
-    def __init__(self, sessions: Sequence[Sequence[Observation]], value: _Value) -> None:
-        pairs = [(v, n) for n, os in enumerate(sessions) for o in os if (v := value(o)) is not None]
-        names = sorted({number for _, number in pairs})
-        places = {number: place for place, number in enumerate(names)}
-        self.size = len(names)
-        self._values = sorted((v, places[number]) for v, number in pairs)
+    """Values of one metric on one side, sorted, each with the index of its session."""
+
+    def __init__(self, sessions: Sequence[Sequence[Observation]], value: _MetricReader) -> None:
+        numbered_values = [
+            (v, n)
+            for n, observations in enumerate(sessions)
+            for o in observations
+            if (v := value(o)) is not None
+        ]
+        session_numbers = sorted({number for _, number in numbered_values})
+        indexes = {number: index for index, number in enumerate(session_numbers)}
+        self.session_count = len(session_numbers)
+        self._values = sorted((v, indexes[number]) for v, number in numbered_values)
 
     def percentile(self) -> float:
-        """Return the percentile of all values."""
-        return self._weighted([1] * self.size)
-
-    def draw(self, rng: random.Random) -> float:
-        """Return the percentile of a resample of the sessions."""
-        weights = [0] * self.size
-        for _ in range(self.size):
-            weights[int(rng.random() * self.size)] += 1
-        return self._weighted(weights)
-
-    def _weighted(self, weights: Sequence[int]) -> float:
-        left = (1 - PERCENTILE) * sum(weights[place] for _, place in self._values)
-        for value, place in reversed(self._values):
-            left -= weights[place]
-            if left < 0:
+        """Return the percentile over all values."""
+        return self._weighted_percentile([1] * self.session_count)
+
+    def resampled_percentile(self, rng: random.Random) -> float:
+        """Return the percentile of one bootstrap resample of the sessions."""
+        weights = [0] * self.session_count
+        for _ in range(self.session_count):
+            weights[int(rng.random() * self.session_count)] += 1
+        return self._weighted_percentile(weights)
+
+    def _weighted_percentile(self, weights: Sequence[int]) -> float:
+        remaining = (1 - PERCENTILE) * sum(weights[index] for _, index in self._values)
+        for value, index in reversed(self._values):
+            remaining -= weights[index]
+            if remaining < 0:
                 return value
         return self._values[0][0]
 
 
-def _quantile(ordered: Sequence[float], share: float) -> float:
-    return ordered[min(len(ordered) - 1, max(0, round(share * (len(ordered) - 1))))]
+def _quantile(sorted_values: Sequence[float], share: float) -> float:
+    return sorted_values[
+        min(len(sorted_values) - 1, max(0, round(share * (len(sorted_values) - 1))))
+    ]
--- a/yewloom/experiments.py
+++ b/yewloom/experiments.py
@@ -1,9 +1,9 @@
-"""Experiments: a fair split of sessions between two policies on the same groups.
+"""Experiments that split sessions at random between two policies on the same groups.
 
-A session is assigned by a keyed hash of the experiment and the session's name, so the side does
-not depend on load, time or entry host. Every entry host keeps counts of all requests, and the
-single observations of the sessions with the lowest hashes, so that the samples of several entry
-hosts can be joined without favouring any.
+The side of a session is derived from a salted hash of the experiment and the session name, so it
+does not depend on load, time or entry host. Every entry host counts all requests, and keeps the
+individual observations of the sessions with the lowest hashes, so that the samples of several
+entry hosts can be merged without bias.
 """
 
 from collections import Counter, defaultdict
@@ -19,7 +19,7 @@
 from yewloom.values import value_class
 
 MAX_SESSIONS = 1000
-"""Sessions whose single observations an entry host keeps for one experiment."""
+"""Maximum number of sessions of an experiment whose observations an entry host keeps."""
 
 
 class Side(Enum):
@@ -30,19 +30,19 @@
 
 
 def assign_side(name: str, row: ExperimentRow, session: str) -> Side:
-    """Return the side of a session."""
-    point = hash64(f"{name}\0{row.salt}\0{session}") / 2**64
-    return Side.B if point < row.share_b else Side.A
+    """Return the side that a session is assigned to."""
+    fraction = hash64(f"{name}\0{row.salt}\0{session}") / 2**64
+    return Side.B if fraction < row.share_b else Side.A
 
 
 def policy_of(side: Side, row: ExperimentRow) -> PolicyName:
-    """Return the policy that routes a side's requests."""
+    """Return the policy that routes the requests of a side."""
     return PolicyName(row.policy_b if side is Side.B else row.policy_a)
 
 
 @value_class
 class Observation:
-    """One request; times in milliseconds, None where there was no token to take them from."""
+    """Measurements of one request; a time is None if too few tokens arrived to measure it."""
 
     side: Side
     outcome: Outcome
@@ -52,10 +52,10 @@
 
 @dataclass
 class ExperimentRecord:
-    """What was observed of one experiment.
+    """Counts and sampled observations of one experiment.
 
-    ``sample`` holds the observations of each session by the session's hash; it is whole for all
-    hashes up to ``threshold``.
+    ``sample`` maps the hash of a session to its observations. It is complete for all hashes up to
+    ``threshold``.
     """
 
     counts: Counter[tuple[Side, Outcome]] = field(default_factory=Counter)
@@ -63,20 +63,20 @@
     threshold: int = 2**64
 
     def add(self, session: str, observation: Observation) -> None:
-        """Take in one request."""
+        """Add one request."""
         self.counts[(observation.side, observation.outcome)] += 1
-        point = hash64(f"sample\0{session}")
-        if point > self.threshold:
+        session_hash = hash64(f"sample\0{session}")
+        if session_hash > self.threshold:
             return
-        self.sample[point].append(observation)
+        self.sample[session_hash].append(observation)
         if len(self.sample) > MAX_SESSIONS:
             self._lower_threshold(max(self.sample) - 1)
 
-    def join(self, other: "ExperimentRecord") -> None:
-        """Take in another entry host's record."""
+    def merge(self, other: "ExperimentRecord") -> None:
+        """Merge the record of another entry host into this one."""
         self.counts += other.counts
-        for point, observations in other.sample.items():
-            self.sample[point] += observations
+        for session_hash, observations in other.sample.items():
+            self.sample[session_hash] += observations
         self._lower_threshold(min(self.threshold, other.threshold))
 
     def to_fields(self) -> dict[str, Any]:
@@ -87,27 +87,31 @@
 
     def _lower_threshold(self, threshold: int) -> None:
         self.threshold = threshold
-        for point in [point for point in self.sample if point > threshold]:
-            del self.sample[point]
+        for session_hash in [
+            session_hash for session_hash in self.sample if session_hash > threshold
+        ]:
+            del self.sample[session_hash]
 
 
-def record_from(fields: Mapping[str, Any]) -> ExperimentRecord:
-    """Return a record from its JSON fields; raises KeyError or ValueError if they are not one."""
+def record_from_fields(fields: Mapping[str, Any]) -> ExperimentRecord:
+    """Decode a record from its JSON fields; raise KeyError or ValueError if they are invalid."""
     record = ExperimentRecord(threshold=int(fields["threshold"]))
-    for words, count in fields["counts"].items():
-        side, outcome = words.split()
+    for label, count in fields["counts"].items():
+        side, outcome = label.split()
         record.counts[(Side(side), Outcome(outcome))] = int(count)
-    for point, observations in fields["sample"].items():
-        record.sample[int(point)] = [_observation_from(entry) for entry in observations]
+    for session_hash, observations in fields["sample"].items():
+        record.sample[int(session_hash)] = [
+            _observation_from_fields(entry) for entry in observations
+        ]
     return record
 
 
-def join_records(records: Iterable[ExperimentRecord]) -> ExperimentRecord:
-    """Return the records of several entry hosts as one."""
-    joined = ExperimentRecord()
+def merge_records(records: Iterable[ExperimentRecord]) -> ExperimentRecord:
+    """Merge the records of several entry hosts."""
+    merged = ExperimentRecord()
     for record in records:
-        joined.join(record)
-    return joined
+        merged.merge(record)
+    return merged
 
 
 def _observation_fields(observation: Observation) -> list[Any]:
@@ -119,6 +123,6 @@
     ]
 
 
-def _observation_from(entry: list[Any]) -> Observation:
+def _observation_from_fields(entry: list[Any]) -> Observation:
     side, outcome, first_token_ms, between_tokens_ms = entry
     return Observation(Side(side), Outcome(outcome), first_token_ms, between_tokens_ms)
--- a/yewloom/explanation.py
+++ b/yewloom/explanation.py
@@ -1,11 +1,11 @@
-"""The story of one request, put together from the log lines of several entry hosts."""
+"""History of one request, assembled from the logs of several entry hosts."""
 
 import json
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Any
 
-_PLAIN_FIELDS = ("timestamp", "host", "event", "level", "request_id")
+_LEADING_FIELDS = ("timestamp", "host", "event", "level", "request_id")
 
 CONTEXT_EVENTS = frozenset(
     {
@@ -25,28 +25,28 @@
         "stopping",
     }
 )
-"""Events that may explain a request's fate: what a host believed or lost around it."""
+"""Events of other subjects that may explain the outcome of a request on the same host."""
 
-CONTEXT_LINES = 8
-"""Most lines of context, the latest before the request's end."""
+MAX_CONTEXT_LINES = 8
+"""Maximum number of context lines; the latest before the end of the request are kept."""
 
 
 @dataclass
-class Story:
-    """Gathers the lines that name a request, and what the same hosts logged before its end."""
+class RequestHistory:
+    """Collects the log events of one request and earlier context events of the same hosts."""
 
     request_id: str
     unreadable: int = 0
-    _own: list[dict[str, Any]] = field(default_factory=list)
-    _context: list[dict[str, Any]] = field(default_factory=list)
+    _request_events: list[dict[str, Any]] = field(default_factory=list)
+    _context_events: list[dict[str, Any]] = field(default_factory=list)
 
     @property
     def is_known(self) -> bool:
-        """Tell whether any line names the request."""
-        return bool(self._own)
+        """Tell whether any event belongs to the request."""
+        return bool(self._request_events)
 
     def read(self, lines: Iterable[str]) -> None:
-        """Take in the lines of one file; lines that are no JSON objects are counted."""
+        """Add the lines of one log file; count the lines that are not JSON objects."""
         for line in lines:
             if not line.strip():
                 continue
@@ -57,41 +57,51 @@
             if not isinstance(fields, dict):
                 self.unreadable += 1
             elif fields.get("request_id") == self.request_id:
-                self._own.append(fields)
+                self._request_events.append(fields)
             elif fields.get("event") in CONTEXT_EVENTS:
-                self._context.append(fields)
+                self._context_events.append(fields)
 
     def lines(self) -> list[str]:
-        """Return the story in order of time and host, with what went before it."""
-        told = [_sentence(fields) for fields in sorted(self._own, key=_order)]
-        context = self._context_lines()
+        """Return the events sorted by time and host, followed by their context."""
+        output = [_format_event(fields) for fields in sorted(self._request_events, key=_sort_key)]
+        context = self._format_context()
         if context:
-            told += ["", "Before its end, on the same hosts:", *context]
+            output += ["", "Earlier events on the same hosts:", *context]
         if self.unreadable:
-            told.append(f"({self.unreadable} lines could not be read and were left out.)")
-        return told
+            output.append(f"({self.unreadable} lines are not valid JSON objects and were skipped.)")
+        return output
 
-    def _context_lines(self) -> list[str]:
-        if not self._own:
+    def _format_context(self) -> list[str]:
+        if not self._request_events:
             return []
-        hosts = {fields.get("host") for fields in self._own}
-        last = max(_time(fields) for fields in self._own)
-        before = [f for f in self._context if f.get("host") in hosts and _time(f) <= last]
-        return [_sentence(fields) for fields in sorted(before, key=_order)[-CONTEXT_LINES:]]
-
-
-def _sentence(fields: dict[str, Any]) -> str:
-    rest = ", ".join(f"{k}={_text(v)}" for k, v in fields.items() if k not in _PLAIN_FIELDS)
-    return f"{_time(fields)} {fields.get('host', '')} {fields.get('event', '')}: {rest}"
-
-
-def _text(value: Any) -> str:
+        hosts = {fields.get("host") for fields in self._request_events}
+        last_timestamp = max(_timestamp(fields) for fields in self._request_events)
+        earlier = [
+            f
+            for f in self._context_events
+            if f.get("host") in hosts and _timestamp(f) <= last_timestamp
+        ]
+        return [
+            _format_event(fields) for fields in sorted(earlier, key=_sort_key)[-MAX_CONTEXT_LINES:]
+        ]
+
+
+def _format_event(fields: dict[str, Any]) -> str:
+    other_fields = ", ".join(
+        f"{k}={_format_value(v)}" for k, v in fields.items() if k not in _LEADING_FIELDS
+    )
+    return (
+        f"{_timestamp(fields)} {fields.get('host', '')} {fields.get('event', '')}: {other_fields}"
+    )
+
+
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
-def _time(fields: dict[str, Any]) -> str:
+def _timestamp(fields: dict[str, Any]) -> str:
     return str(fields.get("timestamp", ""))
 
 
-def _order(fields: dict[str, Any]) -> tuple[str, str]:
-    return _time(fields), str(fields.get("host", ""))
+def _sort_key(fields: dict[str, Any]) -> tuple[str, str]:
+    return _timestamp(fields), str(fields.get("host", ""))
--- a/yewloom/tests/test_comparison.py
+++ b/yewloom/tests/test_comparison.py
@@ -1,4 +1,4 @@
-"""Tests of experiments and of the comparison of their sides."""
+"""Tests of experiments and of the comparison of their two sides."""
 
 import json
 import random
@@ -14,8 +14,8 @@
     Observation,
     Side,
     assign_side,
-    join_records,
-    record_from,
+    merge_records,
+    record_from_fields,
 )
 from yewloom.schema.table_pb2 import ExperimentRow
 from yewloom.states import Outcome
@@ -23,8 +23,8 @@
 ROW = ExperimentRow(model="m", policy_a="a", policy_b="b", share_b=0.5, salt="s")
 
 
-def _record(seed: int, sessions: int = 120, slowdown: float = 1.0) -> ExperimentRecord:
-    """Return a trial in which a session's requests are alike; side B may be slower."""
+def _simulate(seed: int, sessions: int = 120, slowdown: float = 1.0) -> ExperimentRecord:
+    """Simulate an experiment whose sessions have similar requests; side B may be slower."""
     rng, record = random.Random(seed), ExperimentRecord()
     for number in range(sessions):
         session = f"{seed}/{number}"
@@ -37,7 +37,7 @@
 
 
 class TestAssignment(unittest.TestCase):
-    """The split of sessions."""
+    """Assignment of sessions to sides."""
 
     @given(st.text(max_size=20))
     def test_a_session_stays_on_its_side(self, session: str) -> None:
@@ -50,50 +50,50 @@
 
 
 class TestExperimentRecord(unittest.TestCase):
-    """Samples of several entry hosts."""
+    """Samples of several entry hosts, merged and encoded as JSON."""
 
-    def test_the_sample_is_bounded_and_joins_to_whole_sessions(self) -> None:
+    def test_the_sample_is_bounded_and_merges_to_complete_sessions(self) -> None:
         hosts = [ExperimentRecord() for _ in range(3)]
         total = 4 * MAX_SESSIONS
         for number in range(total):
             for host in hosts:
                 host.add(str(number), Observation(Side.A, Outcome.ANSWERED, 1.0, None))
-        joined = join_records(hosts)
-        self.assertLessEqual(len(joined.sample), MAX_SESSIONS)
-        self.assertTrue(all(len(found) == 3 for found in joined.sample.values()))
-        self.assertEqual(joined.counts[(Side.A, Outcome.ANSWERED)], 3 * total)
-
-    def test_a_record_survives_its_json_form(self) -> None:
-        record = _record(1, sessions=20)
-        copied = record_from(json.loads(json.dumps(record.to_fields())))
+        merged = merge_records(hosts)
+        self.assertLessEqual(len(merged.sample), MAX_SESSIONS)
+        self.assertTrue(all(len(found) == 3 for found in merged.sample.values()))
+        self.assertEqual(merged.counts[(Side.A, Outcome.ANSWERED)], 3 * total)
+
+    def test_a_record_survives_a_json_round_trip(self) -> None:
+        record = _simulate(1, sessions=20)
+        copied = record_from_fields(json.loads(json.dumps(record.to_fields())))
         self.assertEqual(copied, record)
 
 
 class TestCompare(unittest.TestCase):
-    """Differences that are there, and those that are not."""
+    """Detection of real differences, without false positives."""
 
     def test_equal_policies_rarely_differ(self) -> None:
         found = 0
         for seed in range(120):
-            result = compare(_record(seed), 0.5, random.Random(seed), resamples=150)
+            result = compare(_simulate(seed), 0.5, random.Random(seed), resamples=150)
             found += any(metric.is_established for metric in result.metrics)
         self.assertLessEqual(found / 120, 2 * ERROR_RATE)
 
     def test_a_large_difference_is_established(self) -> None:
-        result = compare(_record(1, 400, slowdown=3.0), 0.5, random.Random(1))
+        result = compare(_simulate(1, 400, slowdown=3.0), 0.5, random.Random(1))
         first = result.metrics[0]
         self.assertTrue(first.is_established)
         self.assertEqual(first.verdict, "B is slower")
         self.assertLess(first.a_ms, first.b_ms)
 
     def test_few_sessions_establish_nothing(self) -> None:
-        result = compare(_record(1, 20, slowdown=9.0), 0.5, random.Random(1))
+        result = compare(_simulate(1, 20, slowdown=9.0), 0.5, random.Random(1))
         self.assertFalse(any(metric.is_established for metric in result.metrics))
 
     def test_an_empty_record_is_compared_without_an_error(self) -> None:
         result = compare(ExperimentRecord(), 0.5, random.Random(1))
         self.assertIn("not established", result.metrics[0].verdict)
 
-    def test_a_split_that_misses_its_share_is_told(self) -> None:
-        self.assertTrue(compare(_record(1, 400), 0.5, random.Random(1)).is_balanced)
-        self.assertFalse(compare(_record(1, 400), 0.2, random.Random(1)).is_balanced)
+    def test_a_split_that_misses_its_share_is_not_balanced(self) -> None:
+        self.assertTrue(compare(_simulate(1, 400), 0.5, random.Random(1)).is_balanced)
+        self.assertFalse(compare(_simulate(1, 400), 0.2, random.Random(1)).is_balanced)
--- a/yewloom/tests/test_explanation.py
+++ b/yewloom/tests/test_explanation.py
@@ -1,4 +1,4 @@
-"""Tests of the story of one request."""
+"""Tests of the history of one request."""
 
 import json
 import tempfile
@@ -9,28 +9,28 @@
 
 from yewloom.cli import app
 from yewloom.cli_calls import EXIT_FAILED, EXIT_USAGE
-from yewloom.explanation import CONTEXT_LINES, Story
+from yewloom.explanation import MAX_CONTEXT_LINES, RequestHistory
 
 
 def _line(time_s: int, host: str, event: str, **fields: object) -> str:
-    stamp = f"2026-01-01T00:00:{time_s:02d}Z"
-    return json.dumps({**fields, "event": event, "host": host, "timestamp": stamp})
+    timestamp = f"2026-01-01T00:00:{time_s:02d}Z"
+    return json.dumps({**fields, "event": event, "host": host, "timestamp": timestamp})
 
 
-class TestStory(unittest.TestCase):
-    """Lines of one request over several hosts, with what went before."""
+class TestRequestHistory(unittest.TestCase):
+    """Events of one request on several hosts, with their context."""
 
-    def test_lines_come_in_order_of_time_whatever_file_they_are_in(self) -> None:
-        story = Story("r1")
-        story.read([_line(5, "b", "request", request_id="r1", outcome="answered")])
-        story.read([_line(3, "a", "attempt failed", request_id="r1", outcome="stalled")])
-        story.read([_line(4, "a", "request", request_id="r2")])
-        self.assertEqual([line.split()[1] for line in story.lines()], ["a", "b"])
-        self.assertIn("outcome=stalled", story.lines()[0])
+    def test_events_of_several_files_are_sorted_by_time(self) -> None:
+        history = RequestHistory("r1")
+        history.read([_line(5, "b", "request", request_id="r1", outcome="answered")])
+        history.read([_line(3, "a", "attempt failed", request_id="r1", outcome="stalled")])
+        history.read([_line(4, "a", "request", request_id="r2")])
+        self.assertEqual([line.split()[1] for line in history.lines()], ["a", "b"])
+        self.assertIn("outcome=stalled", history.lines()[0])
 
-    def test_what_the_same_host_lost_before_is_shown(self) -> None:
-        story = Story("r1")
-        story.read(
+    def test_earlier_events_of_the_same_host_are_shown(self) -> None:
+        history = RequestHistory("r1")
+        history.read(
             [
                 _line(1, "a", "platform lost", reason="down"),
                 _line(2, "b", "platform lost", reason="elsewhere"),
@@ -38,21 +38,23 @@
                 _line(4, "a", "platform regained"),
             ]
         )
-        text = "\n".join(story.lines())
+        text = "\n".join(history.lines())
         self.assertIn("reason=down", text)
         self.assertNotIn("elsewhere", text)
         self.assertNotIn("regained", text)
 
     def test_context_is_bounded(self) -> None:
-        story = Story("r1")
-        story.read(_line(n, "a", "endpoint gone", endpoint=f"e{n}") for n in range(30))
-        story.read([_line(40, "a", "request", request_id="r1")])
-        self.assertEqual(sum("endpoint gone" in line for line in story.lines()), CONTEXT_LINES)
+        history = RequestHistory("r1")
+        history.read(_line(n, "a", "endpoint gone", endpoint=f"e{n}") for n in range(30))
+        history.read([_line(40, "a", "request", request_id="r1")])
+        self.assertEqual(
+            sum("endpoint gone" in line for line in history.lines()), MAX_CONTEXT_LINES
+        )
 
-    def test_lines_that_can_not_be_read_are_counted(self) -> None:
-        story = Story("r1")
-        story.read(["{cut off", "7", "", _line(1, "a", "request", request_id="r1")])
-        self.assertIn("(2 lines", story.lines()[-1])
+    def test_invalid_lines_are_counted(self) -> None:
+        history = RequestHistory("r1")
+        history.read(["{cut off", "7", "", _line(1, "a", "request", request_id="r1")])
+        self.assertIn("(2 lines", history.lines()[-1])
 
 
 class TestCommand(unittest.TestCase):
