--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -401,7 +401,7 @@
     Mutation(
         "foreign entries: texts are what peers can be told",
         "platform/records",
-        "    value.encode()  # Half a character can't be encoded.\n",
+        "    value.encode()  # A lone surrogate can't be encoded.\n",
         "",
         "test_foreign_entries",
     ),
@@ -415,7 +415,7 @@
     Mutation(
         "foreign entries: deep nesting spoils no other entry",
         "platform/bodies",
-        "text = _without_deep_parts(text)",
+        "text = _replace_deep_parts(text)",
         "raise",
         "test_foreign_entries",
     ),
--- a/yewloom/ids.py
+++ b/yewloom/ids.py
@@ -3,17 +3,17 @@
 from typing import NewType
 
 HostId = NewType("HostId", str)
-"""Name of an endpoint host in the platform's list."""
+"""Name of an endpoint host in the platform's host list."""
 
 EntryHostId = NewType("EntryHostId", str)
-"""Name of an entry host, one daemon each."""
+"""Name of an entry host; each runs one daemon."""
 
 DataCentreId = NewType("DataCentreId", str)
 GroupId = NewType("GroupId", str)
 CustomerId = NewType("CustomerId", str)
 RequestId = NewType("RequestId", str)
 AttemptId = NewType("AttemptId", str)
-"""Names one write to the platform, so that a lost answer can be settled."""
+"""Identifies one write to the platform, so that the writer can find it if the answer is lost."""
 
 ModelName = NewType("ModelName", str)
 PolicyName = NewType("PolicyName", str)
@@ -24,4 +24,4 @@
 
 IdempotencyKey = NewType("IdempotencyKey", str)
 Fingerprint = NewType("Fingerprint", int)
-"""Names what a request asks, 64 bits: repeats of one request share it, and nothing else does."""
+"""64-bit hash of the content of a request, equal for repeats of that request."""
--- a/yewloom/log.py
+++ b/yewloom/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error."""
+"""Structured logs: one JSON object per line on standard error."""
 
 import logging
 import sys
@@ -7,7 +7,7 @@
 
 
 def set_up(level: str = "info") -> None:
-    """Send all log events at or above a level to standard error as JSON lines."""
+    """Configure structlog to write events at or above a level to standard error as JSON lines."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
--- a/yewloom/log_sink.py
+++ b/yewloom/log_sink.py
@@ -1,7 +1,7 @@
-"""Structured logs on standard output that never hold up the program.
+"""Structured logs that are written without blocking the program.
 
-Lines are written without waiting. While nobody reads, up to a bound of bytes is held; lines beyond
-it are left out and counted.
+Lines that the reader does not accept yet are buffered up to ``MAX_PENDING_BYTES``; further lines
+are dropped and counted.
 """
 
 import logging
@@ -11,52 +11,52 @@
 
 import structlog
 
-MAX_HELD_BYTES = 262144
-"""Bytes of log lines held while nobody reads: some hundred requests."""
+MAX_PENDING_BYTES = 262144
+"""Maximum size of the buffered log lines; enough for the lines of some hundred requests."""
 
 
 class LogSink:
-    """A file for structlog that writes to a descriptor without blocking."""
+    """A file-like object for structlog that writes to a file descriptor without blocking."""
 
-    def __init__(self, descriptor: int, on_lost: Callable[[], None]) -> None:
+    def __init__(self, descriptor: int, on_line_dropped: Callable[[], None]) -> None:
         self._descriptor = descriptor
-        self._on_lost = on_lost
-        self._held: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._on_line_dropped = on_line_dropped
+        self._pending: deque[bytes] = deque()
+        self._pending_bytes = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Take one line; it is written now, later, or left out."""
+        """Write a line now, buffer it, or drop it if the buffer is full."""
         data = text.encode()
-        if self._held_bytes + len(data) > MAX_HELD_BYTES:
+        if self._pending_bytes + len(data) > MAX_PENDING_BYTES:
             self.flush()
-        if self._held_bytes + len(data) > MAX_HELD_BYTES:
-            self._on_lost()
+        if self._pending_bytes + len(data) > MAX_PENDING_BYTES:
+            self._on_line_dropped()
             return len(text)
-        self._held.append(data)
-        self._held_bytes += len(data)
+        self._pending.append(data)
+        self._pending_bytes += len(data)
         self.flush()
         return len(text)
 
     def flush(self) -> None:
-        """Write what is held, as far as the reader takes it."""
-        while self._held:
+        """Write buffered lines until the reader accepts no more."""
+        while self._pending:
             try:
-                written = os.write(self._descriptor, self._held[0])
+                written = os.write(self._descriptor, self._pending[0])
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good, and there is no other place to say so.
-                self._on_lost()
-                written = len(self._held[0])
-            self._held_bytes -= written
-            rest = self._held.popleft()[written:]
-            if rest:
-                self._held.appendleft(rest)
+                # The reader has closed its end; the error itself can be logged nowhere else.
+                self._on_line_dropped()
+                written = len(self._pending[0])
+            self._pending_bytes -= written
+            remainder = self._pending.popleft()[written:]
+            if remainder:
+                self._pending.appendleft(remainder)
 
 
 def set_up_logs(level: str, sink: LogSink, host: str = "") -> None:
-    """Send all log events at or above a level to a sink as JSON lines that name the host."""
+    """Configure structlog to write events at or above a level to a sink, with the host's name."""
 
     def add_host(
         logger: structlog.typing.WrappedLogger, method: str, fields: structlog.typing.EventDict
--- a/yewloom/metrics.py
+++ b/yewloom/metrics.py
@@ -1,12 +1,12 @@
-"""Metrics for Prometheus, one registry a process."""
+"""Prometheus metrics, with one registry per process."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 30.0)
+_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 30.0)
 
 
 class Metrics:
-    """The metrics of one entry host; names are stated in docs/metrics.md."""
+    """Metrics of one entry host; docs/metrics.md documents their names."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -27,14 +27,14 @@
             "yewloom_first_token_seconds",
             "Time from arrival to the first token.",
             ["policy"],
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.between_tokens_s = Histogram(
             "yewloom_between_tokens_seconds",
             "Time between tokens.",
             ["policy"],
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
         self.in_flight = Gauge(
--- a/yewloom/operations.py
+++ b/yewloom/operations.py
@@ -1,4 +1,4 @@
-"""What operators do from the command line: edit the table and read the state of entry hosts."""
+"""Operations of the command-line tool: edit the table and read the status of entry hosts."""
 
 import uuid
 from collections.abc import Mapping, Sequence
@@ -21,7 +21,7 @@
 
 @value_class
 class OperationError:
-    """Why an operation failed, in one sentence; ``is_conflict`` if another edit came first."""
+    """Why an operation failed; ``is_conflict`` means that the row was changed by another edit."""
 
     sentence: str
     is_conflict: bool = False
@@ -34,7 +34,7 @@
 class Edit:
     """One edit of a row by an operator.
 
-    ``expected_version`` is the version that the operator has seen; None takes the current one.
+    ``expected_version`` is the version on which the edit is based; None means the current one.
     """
 
     name: RowName
@@ -46,7 +46,7 @@
 
 
 async def list_rows(platform: Platform) -> Result[Sequence[VersionedRow], OperationError]:
-    """Read all rows that are not deleted."""
+    """Read all rows except deleted ones."""
     match await platform.list(TABLE_PREFIX):
         case Ok(listing):
             return _read_rows(listing.objects)
@@ -55,7 +55,7 @@
 
 
 async def get_row(platform: Platform, name: RowName) -> Result[VersionedRow | None, OperationError]:
-    """Read one row, deleted or not."""
+    """Read one row, even if it is deleted; return None if it does not exist."""
     match await platform.get(f"{TABLE_PREFIX}{name}"):
         case Ok(stored):
             return Ok(None) if stored is None else _read_row(stored)
@@ -67,7 +67,7 @@
     try:
         rows = [parse_row(stored) for stored in objects]
     except RecordError as error:
-        return Err(OperationError(f"A row can't be read ({error}); write it again."))
+        return Err(OperationError(f"A row cannot be decoded ({error}); write it again."))
     return Ok([row for row in rows if not row.row.deleted])
 
 
@@ -75,11 +75,11 @@
     try:
         return Ok(parse_row(stored))
     except RecordError as error:
-        return Err(OperationError(f"The row can't be read ({error}); write it again."))
+        return Err(OperationError(f"The row cannot be decoded ({error}); write it again."))
 
 
 async def apply_edit(platform: Platform, edit: Edit) -> Result[VersionedRow, OperationError]:
-    """Write an edit; of two edits of one row at the same time, one is told of the conflict."""
+    """Write an edit; of two concurrent edits of a row, one fails with a conflict."""
     match await get_row(platform, edit.name):
         case Err(error):
             return Err(error)
@@ -87,21 +87,23 @@
             pass
     version = current.version if current is not None else 0
     if edit.expected_version is not None and edit.expected_version != version:
-        return Err(_conflict(edit.name, current))
+        return Err(_conflict_error(edit.name, current))
     change = RowChange(
         attempt_id=uuid.uuid4().hex,
         editor=edit.editor,
         edited_unix_ms=edit.edited_unix_ms,
         summary=" ".join(f"{c}={v}" for c, v in edit.cells.items()) or "deleted",
     )
-    match _edited(edit, current, change):
+    match _edited_row(edit, current, change):
         case Err(table_error):
             return Err(OperationError(table_error.sentence))
         case Ok(row):
             return await _write(platform, edit.name, row, version)
 
 
-def _edited(edit: Edit, current: VersionedRow | None, change: RowChange) -> Result[Row, TableError]:
+def _edited_row(
+    edit: Edit, current: VersionedRow | None, change: RowChange
+) -> Result[Row, TableError]:
     if not edit.is_deletion:
         return edit_row(edit.name, current.row if current else None, edit.cells, change)
     if current is None or current.row.deleted:
@@ -125,36 +127,40 @@
         case Ok(stored):
             return Ok(parse_row(stored))
         case Err(error):
-            return Err(_write_failed(name, error))
+            return Err(_write_failure(name, error))
 
 
-def _write_failed(name: RowName, error: WriteError) -> OperationError:
+def _write_failure(name: RowName, error: WriteError) -> OperationError:
     if isinstance(error, WriteConflict):
-        return _conflict(name, parse_row(error.current) if error.current is not None else None)
-    return OperationError(f"{name} was not confirmed ({error.detail}); read it before a retry.")
+        return _conflict_error(
+            name, parse_row(error.current) if error.current is not None else None
+        )
+    return OperationError(
+        f"The write of {name} was not confirmed ({error.detail}); read the row before a retry."
+    )
 
 
-def _conflict(name: RowName, current: VersionedRow | None) -> OperationError:
+def _conflict_error(name: RowName, current: VersionedRow | None) -> OperationError:
     if current is None:
-        return OperationError(f"{name} does not exist any more; read the table again.", True)
+        return OperationError(f"{name} no longer exists; read the table again.", True)
     last = current.row.history[-1] if current.row.history else RowChange()
     cells = cells_text(current)
     return OperationError(
-        f"{name} was changed by {last.editor or 'someone'} to version {current.version} "
-        f"({cells}); look at it and edit again.",
+        f"{name} was changed by {last.editor or 'someone'}, to version {current.version} "
+        f"({cells}); check it and edit again.",
         True,
     )
 
 
 def cells_text(row: VersionedRow) -> str:
-    """Return a row's cells as words of the form cell=value."""
+    """Format the cells of a row as ``cell=value`` pairs."""
     if row.row.deleted:
         return "deleted"
     return " ".join(f"{name}={value}" for name, value in flat_cells(row).items())
 
 
 def flat_cells(row: VersionedRow) -> dict[str, Any]:
-    """Return a row's cells by their dotted names."""
+    """Return the cells of a row by their dotted names."""
     kind = row.row.WhichOneof("cells")
     if kind is None:
         return {}
@@ -167,19 +173,19 @@
 
 
 def _flatten(fields: Mapping[str, Any], prefix: str) -> "list[tuple[str, Any]]":
-    flat: list[tuple[str, Any]] = []
+    cells: list[tuple[str, Any]] = []
     for name, value in fields.items():
         if isinstance(value, dict):
-            flat += _flatten(value, f"{prefix}{name}.") or [(f"{prefix}{name}", "")]
+            cells += _flatten(value, f"{prefix}{name}.") or [(f"{prefix}{name}", "")]
         else:
-            flat.append((f"{prefix}{name}", value))
-    return flat
+            cells.append((f"{prefix}{name}", value))
+    return cells
 
 
 async def read_entry_host(
     caller: HttpCaller, url: str, path: str = "/status"
 ) -> Result[dict[str, Any], OperationError]:
-    """Read the state of one entry host, or another of its JSON pages."""
+    """Read the status of one entry host, or another of its JSON pages."""
     try:
         answer = await caller.call("GET", f"{url.rstrip('/')}{path}", 3.0)
         return Ok(dict(answer.json()))
--- a/yewloom/platform/__init__.py
+++ b/yewloom/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: it translates their names and forms, and decides nothing."""
+"""Adapter to the users' platform: translates its names and formats, and makes no decisions."""
--- a/yewloom/platform/__main__.py
+++ b/yewloom/platform/__main__.py
@@ -1,7 +1,9 @@
-"""Starts an entry host on the users' platform: ``python3 -m yewloom.platform``.
+"""Start an entry host on the users' platform: ``python3 -m yewloom.platform``.
 
-Before the program's long imports it takes signals, whose default action would end the process, and
-lets callers connect. The imports that this needs take milliseconds too, so signals come first.
+Signal handlers are installed and the listening socket is opened before the main program is
+imported, which takes long: a signal would otherwise end the process by its default action, and
+callers could not connect. Signal handlers come first because even the imports that the socket
+needs take milliseconds.
 """
 
 import gc
@@ -10,14 +12,14 @@
 from yewloom.early_signals import EarlySignals
 
 SETTINGS_VARIABLE = "YEWLOOM_BOOT"
-"""Environment variable that names the settings file; set by the platform."""
+"""Environment variable with the path of the settings file; set by the platform."""
 
 
 def run() -> int:
-    """Take signals, let callers connect, import the program and run it; return the exit code."""
+    """Install signal handlers, open the socket, then import and run the program."""
     signals = EarlySignals()
     signals.listen()
-    gc.disable()  # What the imports make lives as long as the process.
+    gc.disable()  # Objects created by the imports live as long as the process.
     from pathlib import Path
 
     from yewloom.early_listener import open_early
@@ -33,7 +35,7 @@
 
 
 def end(code: int) -> None:
-    """End the process at once: Python's own end takes some 100 ms and nothing is open any more."""
+    """Exit at once: a normal exit of Python takes some 100 ms, and no resource is open any more."""
     os._exit(code)
 
 
--- a/yewloom/platform/bodies.py
+++ b/yewloom/platform/bodies.py
@@ -1,60 +1,61 @@
-"""Bodies of the store's answers, read so that one value nobody can read spoils no others.
+"""Lenient decoding of JSON bodies: one invalid value does not make the other values unreadable.
 
-Another writer's value may hold bytes that are no text, numbers of thousands of digits, or nesting
-that a recursive reader can't follow. What can't be read becomes a value that no decoder accepts.
+A value of another writer may contain invalid UTF-8, numbers with thousands of digits, or nesting
+that is too deep for a recursive parser. Such a part is replaced by a value that the decoders of
+records reject.
 """
 
 import json
 from typing import Any
 
-UNREADABLE = "\ufffd"
-"""What stands in a text in place of bytes that are none."""
+REPLACEMENT_CHARACTER = "\ufffd"
+"""Character that replaces invalid UTF-8 in a text."""
 
 MAX_DEPTH = 100
-"""Nesting that is read; the platform's own objects have some eight levels."""
+"""Maximum nesting that is decoded; objects of the platform have some eight levels."""
 
 
 def read_body(body: bytes) -> Any:
-    """Return a body's JSON; raises ValueError if it is none."""
+    """Decode a JSON body; raise ValueError if it is not JSON."""
     text = body.decode("utf-8", "replace")
     try:
         return json.loads(text)
     except RecursionError:
-        text = _without_deep_parts(text)
+        text = _replace_deep_parts(text)
     except ValueError:
-        pass  # Perhaps for a number of too many digits alone; else it is raised again.
-    return json.loads(text, parse_int=_whole_number)
+        pass  # Decode again, in case a number with too many digits is the only error.
+    return json.loads(text, parse_int=_parse_integer)
 
 
-def _whole_number(digits: str) -> int | None:
-    """Return a number, or None in place of one with more digits than Python reads."""
+def _parse_integer(digits: str) -> int | None:
+    """Parse an integer; return None if it has more digits than Python converts."""
     try:
         return int(digits)
     except ValueError:
         return None
 
 
-def _without_deep_parts(text: str) -> str:
-    """Return JSON text with null in place of whatever is nested too deeply."""
-    kept: list[str] = []
+def _replace_deep_parts(text: str) -> str:
+    """Return JSON text in which parts nested deeper than ``MAX_DEPTH`` are replaced by null."""
+    output: list[str] = []
     depth = 0
     in_string = is_escaped = False
-    for sign in text:
+    for character in text:
         if in_string:
-            in_string = is_escaped or sign != '"'
-            is_escaped = not is_escaped and sign == "\\"
+            in_string = is_escaped or character != '"'
+            is_escaped = not is_escaped and character == "\\"
             is_kept = depth <= MAX_DEPTH
-        elif sign in "[{":
+        elif character in "[{":
             depth += 1
             is_kept = depth <= MAX_DEPTH
             if depth == MAX_DEPTH + 1:
-                kept.append("null")
-        elif sign in "]}":
+                output.append("null")
+        elif character in "]}":
             is_kept = depth <= MAX_DEPTH
             depth -= 1
         else:
-            in_string = sign == '"'
+            in_string = character == '"'
             is_kept = depth <= MAX_DEPTH
         if is_kept:
-            kept.append(sign)
-    return "".join(kept)
+            output.append(character)
+    return "".join(output)
--- a/yewloom/platform/engines.py
+++ b/yewloom/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders to model engines in the platform's form."""
+"""Orders to model engines, and their reports, in the format of the platform."""
 
 import json
 from functools import singledispatch
@@ -8,7 +8,7 @@
 from yewloom.http_calls import HttpCaller, HttpCallError, HttpFailure
 from yewloom.ids import HostId
 from yewloom.platform.bodies import read_body
-from yewloom.platform.records import DECODE_ERRORS, membership_of, start_of_process
+from yewloom.platform.records import DECODE_ERRORS, membership_of, process_start_unix_ms
 from yewloom.replica_orders import (
     REPORT_TIMEOUT_S,
     CloseGroup,
@@ -22,9 +22,9 @@
 )
 
 ORDER_TIMEOUT_S = 0.8
-"""Longest wait for an engine's answer: it answers in some milliseconds, or not at all."""
+"""Time-out for an engine's answer to an order: engines answer within milliseconds or not at all."""
 
-_ANSWERS = {
+_ANSWERS_BY_STATUS = {
     200: OrderAnswer.HOLDS,
     202: OrderAnswer.BEGUN,
     400: OrderAnswer.OUT_OF_DATE,
@@ -35,7 +35,7 @@
 
 
 class HttpEngineOrders:
-    """Sends orders over HTTP."""
+    """Sends orders to engines, and reads their reports, over HTTP."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
@@ -43,10 +43,10 @@
     async def send(
         self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
     ) -> OrderAnswer:
-        """Give one order; it counts only if the engine has taken ``expected_sequence`` so far."""
+        """Send an order; the engine rejects it if its sequence is not ``expected_sequence``."""
         fields = order_fields(order)
         if expected_sequence is not None:
-            # The wire's "expectedRev" is the count of orders that the engine has taken.
+            # The wire's "expectedRev" is the number of orders that the engine has accepted.
             fields["expectedRev"] = expected_sequence
         headers = {"content-type": "application/json", "yewloom-expect-instance": engine}
         url = f"http://{address}/order"
@@ -55,31 +55,33 @@
                 "POST", url, ORDER_TIMEOUT_S, json.dumps(fields).encode(), headers, fresh=True
             )
         except HttpCallError as error:
-            is_sent = error.failure is not HttpFailure.NOT_SENT
-            return OrderAnswer.UNKNOWN if is_sent else OrderAnswer.UNREACHABLE
-        return _ANSWERS.get(answer.status, OrderAnswer.UNKNOWN)
+            may_be_sent = error.failure is not HttpFailure.NOT_SENT
+            return OrderAnswer.UNKNOWN if may_be_sent else OrderAnswer.UNREACHABLE
+        return _ANSWERS_BY_STATUS.get(answer.status, OrderAnswer.UNKNOWN)
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Ask an engine of itself; None if it does not answer in time."""
+        """Read the report of an engine; return None without a valid answer in time."""
         url = f"http://{address}/report"
         try:
             answer = await self._caller.call("GET", url, timeout_s, fresh=True)
             fields = read_body(answer.body)
             member = membership_of(fields)
             group = member.key if member is not None else None
-            # The wire's "utilization" says that an order is under way.
+            # The wire's "utilization" says whether an order is being carried out.
             is_busy = fields.get("utilization") is True
-            return EngineReport(int(fields["sequence"]), start_of_process(fields), group, is_busy)
+            return EngineReport(
+                int(fields["sequence"]), process_start_unix_ms(fields), group, is_busy
+            )
         except (HttpCallError, *DECODE_ERRORS):
-            return None  # The caller logs that the engine is silent.
+            return None  # The caller logs that the engine did not answer.
 
 
 @singledispatch
 def order_fields(order: Any) -> dict[str, Any]:
-    """Return the body of an order."""
-    raise TypeError(f"no order {type(order).__name__}")
+    """Return the JSON fields of an order."""
+    raise TypeError(f"not an engine order: {type(order).__name__}")
 
 
 @order_fields.register
@@ -105,7 +107,7 @@
 
 @order_fields.register
 def _(order: StageModel) -> dict[str, Any]:
-    # The wire's "phase" with a model loads that model onto the host.
+    # The wire's "phase" with a model loads the weights of that model onto the host.
     return {"op": "phase", "model": order.model}
 
 
--- a/yewloom/platform/headers.py
+++ b/yewloom/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's header names, decoded into what they say."""
+"""Translation of the platform's HTTP headers to the types of the product and back."""
 
 import re
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 _LAST_EVENT_ID = b"last-event-id"
 _KEY_SCHEME = b"Token "
 
-_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -27,20 +27,20 @@
         b"upgrade",
     }
 )
-_OURS = frozenset(
+_SET_BY_ENTRY_HOST = frozenset(
     {b"authorization", DEADLINE_HEADER, _EXPECTED_ENDPOINT, _CUSTOMER, b"content-length"}
 )
 _MISDIRECTED_STATUS = 421
-_LIMIT = b"server-limit"
+_SERVER_LIMIT = b"server-limit"
 _DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
-_SHOWN_BYTES = 40
+_MAX_LOGGED_BYTES = 40
 
 
 class WireHeaders:
-    """Translates the headers of callers' requests and endpoints' answers."""
+    """Translates the headers of requests from callers and of answers from endpoints."""
 
     def decode_request(self, headers: Sequence[Header]) -> RequestMarks:
-        """Return what a request's headers say; raises HeaderError."""
+        """Decode the headers of a request; raise HeaderError if one is invalid."""
         found = dict(headers)
         key = found.get(b"authorization")
         model = found.get(_MODEL)
@@ -48,27 +48,27 @@
             request_id=RequestId(found.get(_REQUEST_ID, b"").decode("latin-1")),
             host=found.get(b"host", b"").decode("latin-1").partition(":")[0],
             api_key=_api_key(key) if key is not None else None,
-            deadline_ms=_number(found, DEADLINE_HEADER),
+            deadline_ms=_integer_header(found, DEADLINE_HEADER),
             model=ModelName(model.decode("latin-1")) if model else None,
-            last_event_id=_number(found, _LAST_EVENT_ID) or 0,
+            last_event_id=_integer_header(found, _LAST_EVENT_ID) or 0,
         )
 
     def outgoing_headers(self, headers: Sequence[Header], sending: Sending) -> list[Header]:
-        """Return a request's headers as the endpoint gets them."""
-        dropped = _named_by_connection(headers) | _ONE_CONNECTION | _OURS
+        """Return the headers of a request to forward to an endpoint."""
+        dropped = _listed_in_connection(headers) | _HOP_BY_HOP | _SET_BY_ENTRY_HOST
         if sending.last_event_id is not None:
             dropped |= {_LAST_EVENT_ID}
-        passed = [header for header in headers if header[0] not in dropped]
-        passed.append((DEADLINE_HEADER, str(sending.deadline_ms).encode()))
-        passed.append((_EXPECTED_ENDPOINT, sending.endpoint.encode()))
+        forwarded = [header for header in headers if header[0] not in dropped]
+        forwarded.append((DEADLINE_HEADER, str(sending.deadline_ms).encode()))
+        forwarded.append((_EXPECTED_ENDPOINT, sending.endpoint.encode()))
         if sending.customer is not None:
-            passed.append((_CUSTOMER, sending.customer.encode()))
+            forwarded.append((_CUSTOMER, sending.customer.encode()))
         if sending.last_event_id is not None:
-            passed.append((_LAST_EVENT_ID, str(sending.last_event_id).encode()))
-        return passed
+            forwarded.append((_LAST_EVENT_ID, str(sending.last_event_id).encode()))
+        return forwarded
 
     def decode_answer(self, head: AnswerHead) -> AnswerMarks:
-        """Return what an answer's headers say."""
+        """Decode the headers of an answer."""
         request_id = head.get(_REQUEST_ID)
         is_not_run = head.get(_NOT_RUN) is not None or head.status == _MISDIRECTED_STATUS
         return AnswerMarks(
@@ -78,20 +78,24 @@
         )
 
     def returned_headers(self, head: AnswerHead) -> list[Header]:
-        """Return an answer's headers as the caller gets them, without those of framing."""
-        dropped = _named_by_connection(head.headers) | _ONE_CONNECTION | {b"content-length"}
+        """Return the headers of an answer to forward to the caller, without framing headers."""
+        dropped = _listed_in_connection(head.headers) | _HOP_BY_HOP | {b"content-length"}
         return [header for header in head.headers if header[0] not in dropped]
 
 
 def _limit(head: AnswerHead) -> NamedLimit:
-    """Return the limit that an answer names; another process answers what is misdirected."""
+    """Return the limit that an answer states.
+
+    A misdirected request was answered by another process, whose limit says nothing about the
+    endpoint.
+    """
     if head.status == _MISDIRECTED_STATUS:
         return NamedLimit(is_told=False)
-    text = head.get(_LIMIT)
+    text = head.get(_SERVER_LIMIT)
     if text is None:
         return NamedLimit()
     if not _DECIMAL.fullmatch(text):
-        return NamedLimit(is_told=False, unreadable=repr(text[:_SHOWN_BYTES]))
+        return NamedLimit(is_told=False, unreadable=repr(text[:_MAX_LOGGED_BYTES]))
     return NamedLimit(float(text))
 
 
@@ -99,13 +103,13 @@
     return value.removeprefix(_KEY_SCHEME).strip().decode("latin-1")
 
 
-def _named_by_connection(headers: Sequence[Header]) -> frozenset[bytes]:
-    """Return the headers that a Connection header says concern one connection only."""
-    named = b",".join(value for name, value in headers if name == b"connection")
-    return frozenset(name.strip().lower() for name in named.split(b",") if name.strip())
+def _listed_in_connection(headers: Sequence[Header]) -> frozenset[bytes]:
+    """Return the header names that a Connection header lists as hop-by-hop."""
+    values = b",".join(value for name, value in headers if name == b"connection")
+    return frozenset(name.strip().lower() for name in values.split(b",") if name.strip())
 
 
-def _number(found: dict[bytes, bytes], name: bytes) -> int | None:
+def _integer_header(found: dict[bytes, bytes], name: bytes) -> int | None:
     text = found.get(name)
     if text is None:
         return None
--- a/yewloom/platform/names.py
+++ b/yewloom/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform's wire that are needed before the program's long imports."""
+"""Wire names of the platform that are needed before the main program is imported."""
 
 DEADLINE_HEADER = b"yewloom-deadline-ms"
-"""Header with the milliseconds that are left to a request."""
+"""Header with the remaining time of a request, in milliseconds."""
--- a/yewloom/platform/program.py
+++ b/yewloom/platform/program.py
@@ -1,4 +1,4 @@
-"""The program of an entry host on the users' platform: settings, logs, wiring and the loop."""
+"""Main program of an entry host on the users' platform: settings, logs, wiring and event loop."""
 
 import gc
 import random
@@ -32,12 +32,14 @@
 logger = structlog.get_logger(__name__)
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest wait for a connection to the store or to an engine that is given an order."""
+"""Time-out for connecting to the store, or to an engine to send it an order."""
 
 STORE_KEEP_ALIVE_S = 0.5
-"""Time for which an idle connection to the store is used again: whoever follows it asks at once
-behind each answer, and what has rested for longer may have fallen silent. A new one costs a round
-trip, some 4 ms."""
+"""Time for which an idle connection to the store may be reused.
+
+Watches send their next request immediately after each answer, so only other connections stay idle
+for longer, and these may no longer work. A new connection costs one round trip, some 4 ms.
+"""
 
 
 def build_parts(
@@ -46,7 +48,7 @@
     metrics: ForwardMetrics,
     lateness: LoopLateness,
 ) -> PlatformParts:
-    """Return the platform's side of an entry host."""
+    """Create the parts of an entry host that depend on the platform."""
     store, watch_s = settings.store, follow_times(settings).watch_s
     caller = HttpCaller(CONNECT_TIMEOUT_S, keep_alive_s=STORE_KEEP_ALIVE_S)
     open_store = partial(
@@ -77,7 +79,7 @@
 ) -> int:
     """Run an entry host with a settings file; ``listener`` is its socket for callers, if open.
 
-    Return the exit code, unless a planned stop has called ``end`` with it.
+    Return the exit code, unless a planned stop exits the process by calling ``end`` with it.
     """
     signals = ProcessSignals(early)
     signals.listen()
@@ -86,7 +88,7 @@
     match read_entry_settings(path):
         case Err(error):
             set_up_logs("info", sink)
-            logger.error("settings can't be used", reason=str(error))
+            logger.error("invalid settings", reason=str(error))
             return 2
         case Ok(settings):
             pass
@@ -95,29 +97,31 @@
     lateness = LoopLateness()
     parts = build_parts(settings, rng, metrics, lateness)
     host = EntryHost(settings, parts, metrics, rng, listener, lateness)
-    _collect_garbage_from_now_on()
+    _enable_garbage_collection()
 
     def end_process() -> None:
         sink.flush()
         end(0)
 
-    trio.run(host.run, signals, lambda: _reload(path), end_process, clock=BootClock())
+    trio.run(
+        host.run, signals, lambda: _check_changed_settings(path), end_process, clock=BootClock()
+    )
     return 0
 
 
-def _collect_garbage_from_now_on() -> None:
-    """Begin to collect garbage, and never look through what the imports made.
+def _enable_garbage_collection() -> None:
+    """Enable garbage collection, and exclude the objects created by the imports from it.
 
-    Collections while the imports run find nothing, and make a start longer.
+    Collections during the imports would find no garbage and would make the start slower.
     """
     gc.freeze()
     gc.enable()
 
 
-def _reload(path: Path) -> None:
-    """Check the settings file after it changed; bounds that are in force stay until a restart."""
+def _check_changed_settings(path: Path) -> None:
+    """Validate the changed settings file; the current settings stay in force until a restart."""
     match read_entry_settings(path):
         case Ok(_):
-            logger.info("settings read again", outcome="in force from the next start")
+            logger.info("settings file checked", outcome="in force from the next start")
         case Err(error):
-            logger.error("settings can't be used", reason=str(error))
+            logger.error("invalid settings", reason=str(error))
--- a/yewloom/platform/records.py
+++ b/yewloom/platform/records.py
@@ -1,4 +1,4 @@
-"""The platform's own objects, decoded into the product's types."""
+"""Decoding of the platform's objects to the types of the product."""
 
 import json
 from typing import Any
@@ -13,7 +13,7 @@
 )
 from yewloom.directory import Endpoint, GroupKey, Membership, MemberState
 from yewloom.ids import CustomerId, DataCentreId, GroupId, HostId, ModelName, RouteName, ServiceName
-from yewloom.platform.bodies import UNREADABLE
+from yewloom.platform.bodies import REPLACEMENT_CHARACTER
 from yewloom.platforms import StoredObject
 from yewloom.routes import Route, RouteKind, RouteTable, ServiceWeight
 from yewloom.writes import RecordError
@@ -25,26 +25,26 @@
 }
 
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError)
-"""What reading an object's fields may raise where another writer put something else."""
+"""Exceptions raised by decoding an object whose fields have unexpected types or values."""
 
 _IS_LEAVING = {"ready": False, "draining": True}
-"""Whether an endpoint leaves, by its state; another state names no endpoint to use."""
+"""Whether an endpoint is leaving, by its state; an endpoint in another state is invalid."""
 
 _MAX_UNIX_MS = 2**53
-"""Greatest time that is read, some 285,000 years on."""
+"""Greatest accepted time, some 285,000 years from now."""
 
 _MAX_NUMBER = 2**31 - 1
-"""Greatest number of a group's formation or of a member's place that peers can be told."""
+"""Greatest generation of a group or rank of a member that messages to peers can carry."""
 
 
 class StoreRecords:
-    """Decodes the objects that the operator and the endpoints write."""
+    """Decodes the objects that operators and endpoints write."""
 
     configuration_kind = "config"
     endpoint_kind = "servers"
 
     def decode_configuration(self, stored: StoredObject) -> Configuration | None:
-        """Return a configuration, or None if the object is not one; raises RecordError."""
+        """Decode a configuration; return None for another object, raise RecordError if invalid."""
         if stored.key != f"{self.configuration_kind}/main":
             return None
         try:
@@ -53,14 +53,14 @@
             raise RecordError(f"{stored.key} can't be decoded: {error!r}") from error
 
     def decode_endpoint(self, stored: StoredObject) -> Endpoint:
-        """Return an endpoint; raises RecordError."""
+        """Decode an endpoint; raise RecordError if it is invalid."""
         try:
             return _endpoint(self.endpoint_id(stored.key), json.loads(stored.value))
         except DECODE_ERRORS as error:
             raise RecordError(f"{stored.key} can't be decoded: {error!r}") from error
 
     def endpoint_id(self, key: str) -> HostId:
-        """Return the endpoint that an object's key names."""
+        """Return the id of the endpoint from the key of its object."""
         return HostId(key.partition("/")[2])
 
 
@@ -113,7 +113,7 @@
             share=float(item.get("share") or 0),
             pace=float(item.get("pace") or 1),
             load_s=float(item["loadS"]),
-            # The wire's "warmupS" is the time to join when the weights lie on the host.
+            # The wire's "warmupS" is the time to join a group with the weights already on the host.
             warm_up_s=float(item["warmupS"]),
         )
         for item in fields.get("models") or []
@@ -126,67 +126,69 @@
 
 
 def _limits(fields: Any) -> CallerLimits:
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        max_header_bytes=int(fields.get("maxHeaderBytes") or usual.max_header_bytes),
-        max_body_bytes=int(fields.get("maxBodyBytes") or usual.max_body_bytes),
-        header_timeout_ms=int(fields.get("headerTimeoutMs") or usual.header_timeout_ms),
-        idle_timeout_ms=int(fields.get("idleTimeoutMs") or usual.idle_timeout_ms),
+        max_header_bytes=int(fields.get("maxHeaderBytes") or defaults.max_header_bytes),
+        max_body_bytes=int(fields.get("maxBodyBytes") or defaults.max_body_bytes),
+        header_timeout_ms=int(fields.get("headerTimeoutMs") or defaults.header_timeout_ms),
+        idle_timeout_ms=int(fields.get("idleTimeoutMs") or defaults.idle_timeout_ms),
     )
 
 
 def _endpoint(endpoint_id: HostId, fields: Any) -> Endpoint:
     return Endpoint(
-        id=HostId(_text(endpoint_id)),
-        service=ServiceName(_text(fields["service"])),
-        address=check_address(_text(fields["address"])),
-        data_centre=DataCentreId(_text(fields["zone"])),
+        id=HostId(_check_text(endpoint_id)),
+        service=ServiceName(_check_text(fields["service"])),
+        address=check_address(_check_text(fields["address"])),
+        data_centre=DataCentreId(_check_text(fields["zone"])),
         is_leaving=_IS_LEAVING[fields["state"]],
-        fabric_domain=_text(fields.get("domain") or ""),
-        models=frozenset(ModelName(_text(item["name"])) for item in fields.get("models") or []),
+        fabric_domain=_check_text(fields.get("domain") or ""),
+        models=frozenset(
+            ModelName(_check_text(item["name"])) for item in fields.get("models") or []
+        ),
         staged=frozenset(_model_name(item) for item in fields.get("staged") or []),
         membership=membership_of(fields),
-        started_unix_ms=start_of_process(fields),
+        started_unix_ms=process_start_unix_ms(fields),
     )
 
 
 def _model_name(item: Any) -> ModelName:
-    return ModelName(_text(item["name"] if isinstance(item, dict) else item))
+    return ModelName(_check_text(item["name"] if isinstance(item, dict) else item))
 
 
 def membership_of(fields: Any) -> Membership | None:
-    """Return the group that an endpoint says it belongs to; raises one of DECODE_ERRORS."""
+    """Decode the group membership of an endpoint, None without one; raise one of DECODE_ERRORS."""
     group = fields.get("group")
     if not group or not group.get("name"):
         return None
-    key = GroupKey(GroupId(_text(group["name"])), _number(group["epoch"]))
-    return Membership(key, _number(group["rank"]), MemberState(group["state"]))
+    key = GroupKey(GroupId(_check_text(group["name"])), _check_number(group["epoch"]))
+    return Membership(key, _check_number(group["rank"]), MemberState(group["state"]))
 
 
-def start_of_process(fields: Any) -> int:
-    """Return when the process started that tells of itself; raises ValueError or TypeError."""
+def process_start_unix_ms(fields: Any) -> int:
+    """Decode the start time of a process, 0 if not given; raise ValueError if it is invalid."""
     # The wire's "born" is the Unix time of the start, in milliseconds.
     started_unix_ms = fields.get("born")
     if started_unix_ms is None:
         return 0
     if type(started_unix_ms) is not int or not 0 < started_unix_ms <= _MAX_UNIX_MS:
-        raise ValueError(f"no time: {started_unix_ms!r:.40}")
+        raise ValueError(f"not a Unix time in ms: {started_unix_ms!r:.40}")
     return started_unix_ms
 
 
-def _text(value: Any) -> str:
-    """Return a text that peers can be told; raises TypeError or ValueError for what is none."""
+def _check_text(value: Any) -> str:
+    """Return a valid text; raise TypeError or ValueError if it could not be sent to peers."""
     if not isinstance(value, str):
-        raise TypeError(f"no text: {value!r:.40}")
-    value.encode()  # Half a character can't be encoded.
-    if UNREADABLE in value:
-        raise ValueError("bytes that are no text")
+        raise TypeError(f"not a text: {value!r:.40}")
+    value.encode()  # A lone surrogate can't be encoded.
+    if REPLACEMENT_CHARACTER in value:
+        raise ValueError("text with invalid UTF-8")
     return value
 
 
-def _number(value: Any) -> int:
-    """Return a whole number that peers can be told; raises ValueError for another one."""
+def _check_number(value: Any) -> int:
+    """Return a whole number; raise ValueError if it is out of the range of messages to peers."""
     number = int(value)
     if not 0 <= number <= _MAX_NUMBER:
-        raise ValueError(f"a number out of range: {value!r:.40}")
+        raise ValueError(f"number out of range: {value!r:.40}")
     return number
--- a/yewloom/platform/standin_store.py
+++ b/yewloom/platform/standin_store.py
@@ -1,6 +1,7 @@
-"""A stand-in for the users' store, in memory: objects, revisions, watches and lost history.
+"""In-memory stand-in for the users' store: objects, revisions, watches and expired history.
 
-It speaks the published protocol, so that the adapter is tested without the users' bench.
+It implements the published protocol, so that the adapter can be tested without the users' test
+environment.
 """
 
 import json
@@ -15,34 +16,38 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-PAGE = 50
-"""Objects on one page; the users' store gives some 500, and fewer show that pages are followed."""
+PAGE_SIZE = 50
+"""Objects per page; the users' store returns some 500, but small pages exercise the paging."""
 
 View = Callable[[str, Any], Any]
-"""What a caller reads in place of a spec, by its kind."""
+"""Maps a kind and a spec to the spec that is returned to callers."""
 
 
 @dataclass
 class StoreFaults:
-    """What befalls calls now: the status of every answer, or writes that are done unanswered."""
+    """Injected faults.
+
+    ``status`` is returned for every call if it is not 0. With ``loses_answers``, writes take effect
+    but are answered with an error.
+    """
 
     status: int = 0
     loses_answers: bool = False
 
 
 class StandinStore:
-    """Objects by kind and name, with one counter of revisions."""
+    """Objects by kind and name, with one revision counter for all of them."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
         self._objects: defaultdict[str, dict[str, Any]] = defaultdict(dict)
         self._history: list[tuple[int, str, dict[str, Any], bool]] = []
-        self._oldest = 0
+        self._oldest_position = 0
         self._revision = 0
         self._changed = trio.Event()
 
     def application(self, view: View = lambda kind, spec: spec) -> Starlette:
-        """Return an ASGI application; ``view`` gives what its callers read in place of a spec."""
+        """Return an ASGI application; ``view`` replaces the specs that its callers read."""
 
         async def list_kind(request: Request) -> Response:
             return await self._list(request, view)
@@ -56,39 +61,39 @@
         return Starlette(routes=routes)
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object as the operator or an endpoint would."""
-        known = self._objects[kind].get(name)
-        if known is not None and known["spec"] == spec:
+        """Write an object as an operator or an endpoint would."""
+        current = self._objects[kind].get(name)
+        if current is not None and current["spec"] == spec:
             return
         self._revision += 1
         metadata = {"name": name, "revision": self._revision, "finalizers": [], "deleting": False}
         stored = {"metadata": metadata, "spec": spec, "status": None}
         self._objects[kind][name] = stored
-        self._note(kind, stored, is_gone=False)
+        self._record_change(kind, stored, is_removed=False)
 
     def remove(self, kind: str, name: str) -> None:
-        """Drop an object."""
+        """Remove an object."""
         stored = self._objects[kind].pop(name, None)
         if stored is not None:
             self._revision += 1
-            self._note(kind, stored, is_gone=True)
+            self._record_change(kind, stored, is_removed=True)
 
     def spec(self, kind: str, name: str) -> Any:
-        """Return what an object holds; None if there is none."""
+        """Return the spec of an object; None if it does not exist."""
         stored = self._objects[kind].get(name)
         return stored["spec"] if stored is not None else None
 
     def names(self, kind: str) -> list[str]:
-        """Return the names of a kind's objects."""
+        """Return the names of all objects of a kind."""
         return sorted(self._objects[kind])
 
     def forget_history(self) -> None:
-        """Answer watches from before now with 410."""
+        """Drop the history, so that watches from an earlier position get status 410."""
         self._history.clear()
-        self._oldest = self._revision
+        self._oldest_position = self._revision
 
-    def _note(self, kind: str, stored: dict[str, Any], is_gone: bool) -> None:
-        self._history.append((self._revision, kind, stored, is_gone))
+    def _record_change(self, kind: str, stored: dict[str, Any], is_removed: bool) -> None:
+        self._history.append((self._revision, kind, stored, is_removed))
         self._changed.set()
         self._changed = trio.Event()
 
@@ -102,32 +107,34 @@
         names = [name for name in sorted(self._objects[kind]) if name > after]
         return JSONResponse(
             {
-                "items": [_seen(kind, self._objects[kind][n], view) for n in names[:PAGE]],
-                "morePages": len(names) > PAGE,
+                "items": [
+                    _apply_view(kind, self._objects[kind][n], view) for n in names[:PAGE_SIZE]
+                ],
+                "morePages": len(names) > PAGE_SIZE,
                 "storeRevision": self._revision,
             }
         )
 
     async def _watch(self, kind: str, request: Request, view: View) -> Response:
         position = int(request.query_params["watch"])
-        if position < self._oldest:
+        if position < self._oldest_position:
             return Response(status_code=410)
         with trio.move_on_after(int(request.query_params["waitMs"]) / 1000):
             while not self._events(kind, position):
                 await self._changed.wait()
-        if position < self._oldest:
+        if position < self._oldest_position:
             return Response(status_code=410)
         events = [
-            {**event, "object": _seen(kind, event["object"], view)}
+            {**event, "object": _apply_view(kind, event["object"], view)}
             for event in self._events(kind, position)
         ]
         return JSONResponse({"events": events, "storeRevision": self._revision})
 
     def _events(self, kind: str, position: int) -> list[dict[str, Any]]:
         return [
-            {"object": stored, "tombstone": is_gone}
-            for revision, of_kind, stored, is_gone in self._history
-            if revision > position and of_kind == kind
+            {"object": stored, "tombstone": is_removed}
+            for revision, changed_kind, stored, is_removed in self._history
+            if revision > position and changed_kind == kind
         ]
 
     async def _get(self, request: Request) -> Response:
@@ -165,5 +172,5 @@
         return JSONResponse(self._objects[kind][name])
 
 
-def _seen(kind: str, stored: dict[str, Any], view: View) -> dict[str, Any]:
+def _apply_view(kind: str, stored: dict[str, Any], view: View) -> dict[str, Any]:
     return {**stored, "spec": view(kind, stored["spec"])}
--- a/yewloom/platform/standins.py
+++ b/yewloom/platform/standins.py
@@ -1,4 +1,4 @@
-"""Runs stand-ins of the users' store and engines: ``python -m yewloom.platform.standins``."""
+"""Run stand-ins for the users' store and engines: ``python -m yewloom.platform.standins``."""
 
 from functools import partial
 from typing import Annotated
@@ -41,11 +41,11 @@
     ],
     "tenants": [{"name": "branch-1", "apiKeys": ["demo-key"]}],
 }
-"""What the operator of the demo wrote: one route to engines that form groups of two."""
+"""Configuration of the demo: one route to engines that form groups of two."""
 
 
 async def run(address: str, first_engine_port: int, engines: int) -> None:
-    """Serve a store and engines until a signal."""
+    """Serve a store and engines until a signal arrives."""
     store = StandinStore()
     store.put("config", "main", CONFIGURATION)
     tasks = []
@@ -69,7 +69,7 @@
 def main(
     address: Annotated[str, typer.Option(help="ip:port of the store.")],
     first_engine_port: Annotated[int, typer.Option(help="Port of the first engine.")],
-    engines: Annotated[int, typer.Option(help="Engines to run.")] = 4,
+    engines: Annotated[int, typer.Option(help="Number of engines to run.")] = 4,
 ) -> None:
     """Run the stand-ins."""
     trio.run(run, address, first_engine_port, engines)
--- a/yewloom/platform/store.py
+++ b/yewloom/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store behind the product's ``Platform`` interface.
+"""Client of the platform's metadata store that implements the ``Platform`` interface.
 
 A key is a kind and a name, ``kind/name``; a listing or a watch covers one kind.
 """
@@ -26,22 +26,29 @@
 from yewloom.values import value_class
 
 WATCH_SLACK_S = 0.4
-"""Time beyond its own length after which a watch counts as lost: some answers of a slow store. A
-watch on a silent connection is noticed after 1.9 s at most, as changes may have to be in force
-within 2 s."""
+"""Time after the end of a watch at which it counts as lost, unless the store is slow.
+
+A watch on a connection that has gone silent is noticed after 1.9 s at most, because changes may
+have to be in force within 2 s.
+"""
 
 MAX_WATCH_SLACK_S = 0.8
-"""The same where the store's latest listing took long: twice its time, up to this. A store that
-answers in 0.6 s is asked for no listing then; with the shorter time each watch would be followed by
-one, which makes a slow store slower (``test_silent_connections``)."""
+"""Upper bound of this time if the latest listing was slow; the time is then twice its duration.
+
+With ``WATCH_SLACK_S`` alone, each watch of a store that answers in 0.6 s would time out and be
+followed by a listing, which makes a slow store slower (``test_silent_connections``).
+"""
+
+MIN_WATCH_FRACTION = 0.75
+"""Shortest duration of a watch, as a fraction of the longest.
 
-WATCH_SHORTEST = 0.75
-"""Shortest watch as a part of the longest: lengths are drawn, so that the watches of several hosts
-end at different times and one of them has a recent proof."""
+Durations are random, so that the watches of several hosts end at different times and at least one
+host has recently confirmed that its state is current.
+"""
 
 _JSON = {"content-type": "application/json"}
 
-_FAILURES = {
+_FAILURES_BY_STATUS = {
     409: PlatformFailure.CONFLICT,
     410: PlatformFailure.EXPIRED,
     429: PlatformFailure.NOT_APPLIED,
@@ -50,11 +57,11 @@
 
 
 OnCall = Callable[[str, str, str], None]
-"""Is told of each call that is over: kind of call, kind of object, and status, or ``none``."""
+"""Called after each call with the kind of call, the kind of object, and the status or ``none``."""
 
 
 class ObjectStore:
-    """The store over HTTP. With ``allows_stale``, reads cost less and may be seconds old."""
+    """The store over HTTP. With ``allows_stale``, reads are cheaper but may be seconds old."""
 
     def __init__(
         self,
@@ -67,7 +74,7 @@
         on_call: OnCall = lambda call, kind, answer: None,
         late_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Take ``late_s``, which returns how long ago an answer that is read now may have come."""
+        """Initialize; ``late_s`` returns how long ago an answer read now may have arrived."""
         self._late_s = late_s
         self._on_call = on_call
         self._caller = caller
@@ -77,28 +84,28 @@
         self._watch_s = watch_s
         # The wire's "serializable" asks for an answer that need not be the latest.
         self._read_options = {"serializable": 1} if allows_stale else {}
-        self._failures = 0
+        self._consecutive_failures = 0
         self._listing_s = 0.0
 
     @property
     def is_down(self) -> bool:
-        """Tell whether the latest calls got no answer, so that waiting for one more is in vain."""
-        return self._failures >= FAILURES_TO_BE_DOWN
+        """Tell whether the latest calls failed, so that another call is likely to fail as well."""
+        return self._consecutive_failures >= FAILURES_TO_BE_DOWN
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
-        """Read one object; None if there is none."""
+        """Read one object; return None if it does not exist."""
         match await self._call("GET", key, self._read_options):
             case Ok(_Answer(status=404)):
                 return Ok(None)
             case Ok(answer):
-                return Ok(_decode_object(_kind_of(key), answer.fields))
+                return Ok(_decode_object(_kind_from_key(key), answer.fields))
             case Err(error):
                 return Err(error)
 
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is the expected one (0: absent); return the new one."""
+        """Write an object if it has the expected version (0: absent); return its new version."""
         kind, _, name = key.partition("/")
         metadata: dict[str, Any] = {"name": name}
         if expected_version:
@@ -107,21 +114,21 @@
         method, path = ("PUT", key) if expected_version else ("POST", kind)
         match await self._call(method, path, {}, body):
             case Ok(_Answer(status=404)):
-                return Err(PlatformError(PlatformFailure.CONFLICT, "the object is gone"))
+                return Err(PlatformError(PlatformFailure.CONFLICT, "the object no longer exists"))
             case Ok(answer):
                 return Ok(int(answer.fields["metadata"]["revision"]))
             case Err(error):
                 return Err(error)
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
-        """Read all objects of a kind, over as many pages as they fill.
+        """Read all objects of a kind, page by page.
 
-        The latest are read over a new connection: a listing is asked for where a watch has failed
-        or has missed a change, and what was open with it may be as silent.
+        Unless stale reads are allowed, a new connection is used: a listing follows a watch that
+        has failed or missed a change, so the other open connections may be broken as well.
         """
         if not self._read_options:
             await self._caller.renew(self._url)
-        asked_s = trio.current_time()
+        started_s = trio.current_time()
         objects: list[StoredObject] = []
         position: int | None = None
         query: dict[str, Any] = dict(self._read_options)
@@ -134,17 +141,17 @@
             page = [_decode_object(prefix, item) for item in fields["items"]]
             objects += page
             if position is None:
-                # A watch goes on from the first page, so that changes between pages are seen.
+                # A watch continues from the first page, so that no change between pages is missed.
                 position = int(fields["storeRevision"])
-                self._listing_s = trio.current_time() - asked_s
+                self._listing_s = trio.current_time() - started_s
             if not fields.get("morePages") or not page:
                 return Ok(Listing(objects, position))
-            # The wire's "sinceRev" takes the name after which the next page begins.
+            # The wire's "sinceRev" takes the name after which the next page starts.
             query["sinceRev"] = page[-1].key.partition("/")[2]
 
     async def watch(self, prefix: str, position: int) -> Result[Listing, PlatformError]:
-        """Wait for changes of a kind after a position; the answer may be empty."""
-        wait_ms = round(self._watch_s * self._rng.uniform(WATCH_SHORTEST, 1.0) * 1000)
+        """Wait for changes of a kind after a position; the result may be empty."""
+        wait_ms = round(self._watch_s * self._rng.uniform(MIN_WATCH_FRACTION, 1.0) * 1000)
         wait_s = wait_ms / 1000
         query = {"watch": position, "waitMs": wait_ms}
         slack_s = min(MAX_WATCH_SLACK_S, max(WATCH_SLACK_S, 2 * self._listing_s))
@@ -154,19 +161,19 @@
                 fields = answer.fields
             case Err(error):
                 return Err(error)
-        # Several changes of one object may come at once; the last one stands.
-        latest = {_name_of(event["object"]): event for event in fields["events"]}
+        # An answer may contain several changes of one object; the last one counts.
+        latest = {_object_name(event["object"]): event for event in fields["events"]}
         changed = [e["object"] for e in latest.values() if not e["tombstone"]]
         removed = [f"{prefix}/{name}" for name, e in latest.items() if e["tombstone"]]
         objects = [_decode_object(prefix, item) for item in changed]
-        # A watch that was cut before its time proves nothing beyond its beginning.
-        lasted_s = trio.current_time() - self._late_s() - sent_s
-        ended_empty = not latest and lasted_s >= wait_s
-        proved_after_s = wait_s if ended_empty else 0.0
+        # A watch that ended early proves nothing about the time after it was sent.
+        duration_s = trio.current_time() - self._late_s() - sent_s
+        has_elapsed_unchanged = not latest and duration_s >= wait_s
+        proved_after_s = wait_s if has_elapsed_unchanged else 0.0
         return Ok(Listing(objects, int(fields["storeRevision"]), removed, proved_after_s))
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
-        """Return nothing: endpoints are objects of a kind here, and are listed as such."""
+        """Return no hosts: on this platform, endpoints are objects and are listed as such."""
         return Ok([])
 
     async def _call(
@@ -183,37 +190,37 @@
                 method, url, timeout_s or self._timeout_s, body, _JSON if body else None
             )
         except HttpCallError as error:
-            self._failures += 1
-            self._on_call(_name_of_call(method, path, query), _kind_of(path), "none")
-            sent = error.failure is not HttpFailure.NOT_SENT
-            failure = PlatformFailure.AMBIGUOUS if sent else PlatformFailure.NOT_APPLIED
+            self._consecutive_failures += 1
+            self._on_call(_call_kind(method, path, query), _kind_from_key(path), "none")
+            may_be_sent = error.failure is not HttpFailure.NOT_SENT
+            failure = PlatformFailure.AMBIGUOUS if may_be_sent else PlatformFailure.NOT_APPLIED
             return Err(PlatformError(failure, str(error)))
-        self._on_call(_name_of_call(method, path, query), _kind_of(path), str(answer.status))
+        self._on_call(_call_kind(method, path, query), _kind_from_key(path), str(answer.status))
         return self._check(answer)
 
     def _check(self, answer: HttpAnswer) -> Result["_Answer", PlatformError]:
-        self._failures = self._failures + 1 if answer.status >= 500 else 0
+        self._consecutive_failures = self._consecutive_failures + 1 if answer.status >= 500 else 0
         if answer.status in (200, 201, 202):
             try:
                 return Ok(_Answer(answer.status, read_body(answer.body)))
             except ValueError as error:
-                return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"unreadable: {error}"))
+                return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"invalid JSON: {error}"))
         if answer.status == 404:
             return Ok(_Answer(answer.status, None))
-        usual = PlatformFailure.AMBIGUOUS if answer.status >= 500 else PlatformFailure.INVALID
-        failure = _FAILURES.get(answer.status, usual)
+        default = PlatformFailure.AMBIGUOUS if answer.status >= 500 else PlatformFailure.INVALID
+        failure = _FAILURES_BY_STATUS.get(answer.status, default)
         return Err(PlatformError(failure, f"status {answer.status}"))
 
 
 @value_class
 class _Answer:
-    """A call's status and the JSON of its body; ``fields`` is None where there is no object."""
+    """Status and decoded body of an answer; ``fields`` is None if the object does not exist."""
 
     status: int
     fields: Any
 
 
-def _name_of_call(method: str, path: str, query: Mapping[str, Any]) -> str:
+def _call_kind(method: str, path: str, query: Mapping[str, Any]) -> str:
     if method != "GET":
         return {"POST": "create", "PUT": "update"}[method]
     if "watch" in query:
@@ -222,14 +229,14 @@
     return f"stale {name}" if "serializable" in query else name
 
 
-def _kind_of(key: str) -> str:
+def _kind_from_key(key: str) -> str:
     return key.partition("/")[0]
 
 
-def _name_of(item: Any) -> str:
+def _object_name(item: Any) -> str:
     return str(item["metadata"]["name"])
 
 
 def _decode_object(kind: str, item: Any) -> StoredObject:
     revision = int(item["metadata"]["revision"])
-    return StoredObject(f"{kind}/{_name_of(item)}", revision, json.dumps(item.get("spec")))
+    return StoredObject(f"{kind}/{_object_name(item)}", revision, json.dumps(item.get("spec")))
--- a/yewloom/problems.py
+++ b/yewloom/problems.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457) that tell a caller what became of its request."""
+"""Problem documents (RFC 9457), the error responses of entry hosts."""
 
 import json
 import math
@@ -14,10 +14,10 @@
 
 
 @dataclass
-class Problem(Exception):  # noqa: N818 - the term of RFC 9457
-    """A request's final answer when it is not the one asked for.
+class Problem(Exception):  # noqa: N818 - RFC 9457 uses this term
+    """The error response to a request.
 
-    ``detail`` is one sentence; ``retry_after_s`` says when to come back, where that may help.
+    ``detail`` is one sentence; ``retry_after_s`` is None if a retry would not help.
     """
 
     status: int
@@ -30,7 +30,7 @@
         return f"{self.status} {self.title}: {self.detail}"
 
     def to_json(self) -> str:
-        """Return the problem document."""
+        """Encode the problem document."""
         fields: dict[str, object] = {
             "type": "about:blank",
             "title": self.title,
@@ -51,16 +51,16 @@
 
 
 def bad_request(detail: str, status: int = 400) -> Problem:
-    """Return the problem of a request that can't be understood; nothing has run."""
+    """Return the problem for an invalid request, which has not run."""
     titles = {401: "Unauthorized", 404: "Not Found", 413: "Content Too Large"}
     return Problem(status, titles.get(status, "Bad Request"), detail, Outcome.NOT_RUN)
 
 
 def unavailable(detail: str, outcome: Outcome, retry_after_s: float = 1.0) -> Problem:
-    """Return the problem of a request that was given up for now."""
+    """Return the problem for a request that failed and may be retried later."""
     return Problem(503, "Service Unavailable", detail, outcome, retry_after_s)
 
 
 def overloaded(detail: str, retry_after_s: float) -> Problem:
-    """Return the problem of a request that was turned away before it ran."""
+    """Return the problem for a request that was rejected because of overload before it ran."""
     return Problem(OVERLOADED_STATUS, "Too Many Requests", detail, Outcome.NOT_RUN, retry_after_s)
--- a/yewloom/states.py
+++ b/yewloom/states.py
@@ -1,4 +1,4 @@
-"""States and kinds, with the words that stand for them in records and messages."""
+"""States and kinds, with the values that represent them in records and messages."""
 
 from enum import Enum
 
@@ -6,8 +6,8 @@
 class Phase(Enum):
     """Phase of an entry host's process.
 
-    While it leaves it still takes requests, until the balancer has seen that it is not ready; once
-    closed it takes none and ends those that it has accepted.
+    A leaving process still accepts requests until the load balancer has noticed that it is not
+    ready. A closed one accepts no more and completes those that it has accepted.
     """
 
     SERVING = "serving"
@@ -16,14 +16,14 @@
 
 
 class HostState(Enum):
-    """State of a host in the platform's lagging list."""
+    """State of a host in the platform's host list, which lags behind."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class EngineState(Enum):
-    """State of a model engine in its own report."""
+    """State of a model engine as given in its report."""
 
     IDLE = "idle"
     LOADING = "loading"
@@ -32,7 +32,7 @@
 
 
 class GroupIntent(Enum):
-    """What the placement record wants of a group."""
+    """Desired state of a group in the placement record."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -40,7 +40,7 @@
 
 
 class GroupState(Enum):
-    """State of a group, derived from intent and observation."""
+    """State of a group, derived from its desired state and from observations."""
 
     FORMING = "forming"
     LOADING = "loading"
@@ -58,7 +58,7 @@
 
 
 class Outcome(Enum):
-    """What a caller is told about its request."""
+    """What a caller is told about the outcome of its request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
