--- a/yewloom/platform/standin_engine.py
+++ b/yewloom/platform/standin_engine.py
@@ -1,6 +1,6 @@
-"""A stand-in for the users' model engines: orders, groups, reports and streams of events.
+"""Stand-in for the users' model engines: orders, groups, reports and event streams.
 
-Times are short, and nothing is checked that the users' engines don't check.
+Its delays are short, and it checks nothing that the users' engines do not check.
 """
 
 import json
@@ -17,16 +17,16 @@
 from yewloom.platform.standin_store import StandinStore
 
 JOIN_S = 0.1
-"""Time to join a group; some seconds at the users' engines."""
+"""Time to join a group; the users' engines take some seconds."""
 
 EVENT_S = 0.02
-"""Time between two events."""
+"""Default time between two events of an answer."""
 
 EVENTS = 5
-"""Events of an answer."""
+"""Default number of events of an answer."""
 
 FIRST_START_UNIX_MS = 1_790_000_000_000
-"""Start of an engine's first process; some day in 2026."""
+"""Start time of an engine's first process; a day in 2026."""
 
 
 def _set_event() -> trio.Event:
@@ -37,16 +37,20 @@
 
 @dataclass
 class StandinEngine:
-    """One engine; while ``moves`` is not set, its group stands still, as after a lost member.
-
-    One that ``is_lost`` tells nothing of itself any more, and one that ``is_unlisted`` is cut off
-    from the store alone. One that ``is_loading`` has a load of weights under way. ``was_ready``
-    holds the groups, with their members, in which it was ready, and ``left_behind`` the names and
-    generations of those that its earlier processes were in. ``on_run`` and ``on_join`` are told of
-    each request that it begins to run, with its body, and of each join before it is carried out;
-    ``on_whole`` of each request whose answer it ends, and ``on_left`` of each departure from a
-    group.
-    ``events`` gives the number of events of an answer, and ``event_s`` the time between two.
+    """One engine, with switches for failures and callbacks for tests.
+
+    Switches: while ``moves`` is not set, its streams stall, as after the loss of a group member.
+    With ``is_lost``, it sends no reports and does not update the store; with ``is_unlisted``, only
+    the store is not updated. With ``is_loading``, it is loading weights.
+
+    Records: ``was_ready`` holds the groups, with their members, in which it has been ready, and
+    ``left_behind`` the names and generations of the groups of its earlier processes.
+
+    Callbacks: ``on_run`` gets each request, with its body, before it runs; ``on_join`` each order
+    to join before it is carried out; ``on_whole`` each request whose answer is complete; and
+    ``on_left`` is called after each departure from a group.
+
+    ``events`` returns the number of events of an answer, and ``event_s`` is the time between two.
     """
 
     name: str
@@ -85,7 +89,7 @@
         return Starlette(routes=routes)
 
     def start_again(self, clock_step_ms: int) -> None:
-        """Run as another process under the same name, which holds and knows nothing of before."""
+        """Restart as a new process under the same name, without the state of the previous one."""
         if self.group is not None:
             self.left_behind.add((self.group["name"], self.group["epoch"]))
         self.started_unix_ms += clock_step_ms
@@ -94,7 +98,7 @@
         self.publish()
 
     def publish(self) -> None:
-        """Write the engine's entry into the store, if it lives and reaches that."""
+        """Write the engine's object to the store, unless it is lost or cut off from the store."""
         if self.is_lost or self.is_unlisted:
             return
         spec = {
@@ -141,20 +145,20 @@
         self.models = self.staged = [order["model"]]
         self.group = {**self.group, "state": "ready"}
         self.was_ready.add((order["group"], order["epoch"], tuple(order["members"])))
-        return self._begun()
+        return self._accept_order()
 
     def _load(self, model: str) -> Response:
         if self.is_loading:
             return Response(status_code=409)
         self.staged = [model]
-        return self._begun()
+        return self._accept_order()
 
     def _change_group(self, op: str) -> Response:
-        """Carry out an order to a group; a departure is done with the answer, which says so."""
+        """Carry out an order to a group; a departure is complete when the order is answered."""
         assert self.group is not None
         if op == "leave":
-            self._leave()
-            self._begun()
+            self._leave_group()
+            self._accept_order()
             return Response(status_code=200)
         if op == "open" and self.group["state"] == "ready":
             self.group = {**self.group, "state": "open"}
@@ -162,20 +166,20 @@
             self.group = {**self.group, "state": "ready"}
         else:
             return Response(status_code=200)
-        return self._begun()
+        return self._accept_order()
 
-    def _leave(self) -> None:
+    def _leave_group(self) -> None:
         self.group = None
         if self.on_left is not None:
             self.on_left(self)
 
     def break_group(self) -> None:
-        """Serve the group no more, as after a stall."""
+        """Stop serving the group, as after a stall."""
         if self.group is not None and self.group["state"] == "open":
             self.group = {**self.group, "state": "broken"}
             self.publish()
 
-    def _begun(self) -> Response:
+    def _accept_order(self) -> Response:
         self.sequence += 1
         self.publish()
         return Response(status_code=202)
@@ -183,9 +187,9 @@
     async def _report(self, request: Request) -> Response:
         if self.is_lost:
             return Response(status_code=503)
-        told = {"phase": "both", "sequence": self.sequence, "queued": 0, "active": 0}
-        told |= {"utilization": self.is_loading}
-        return JSONResponse(told | {"born": self.started_unix_ms, "group": self.group})
+        report = {"phase": "both", "sequence": self.sequence, "queued": 0, "active": 0}
+        report |= {"utilization": self.is_loading}
+        return JSONResponse(report | {"born": self.started_unix_ms, "group": self.group})
 
     async def _answer(self, request: Request) -> Response:
         headers = {"yewloom-request-id": request.headers["yewloom-request-id"]}
@@ -195,16 +199,16 @@
         if self.on_run is not None:
             self.on_run(self, request, await request.body())
         headers["yewloom-server-stamp"] = self.name
-        last = int(request.headers.get("last-event-id", "0"))
+        last_event_id = int(request.headers.get("last-event-id", "0"))
         return StreamingResponse(
-            self._events(request, last),
+            self._events(request, last_event_id),
             headers=headers,
             media_type="text/event-stream",
         )
 
-    async def _events(self, request: Request, last: int) -> AsyncIterator[bytes]:
+    async def _events(self, request: Request, last_event_id: int) -> AsyncIterator[bytes]:
         events = self.events(request)
-        for number in range(last + 1, events + 1):
+        for number in range(last_event_id + 1, events + 1):
             await self.moves.wait()
             yield b"id: %d\ndata: %d\n\n" % (number, number)
             await trio.sleep(self.event_s)
--- a/yewloom/platform/store.py
+++ b/yewloom/platform/store.py
@@ -26,14 +26,14 @@
 from yewloom.values import value_class
 
 WATCH_SLACK_S = 0.4
-"""Time after the end of a watch at which it counts as lost, unless the store is slow.
+"""Time beyond its requested duration after which a watch counts as lost.
 
-A watch on a connection that has gone silent is noticed after 1.9 s at most, because changes may
-have to be in force within 2 s.
+It is as long as a slow store takes for some answers. A watch on a connection that has gone silent
+is noticed after 1.9 s at most, because changes may have to be in force within 2 s.
 """
 
 MAX_WATCH_SLACK_S = 0.8
-"""Upper bound of this time if the latest listing was slow; the time is then twice its duration.
+"""Upper bound of that time when the latest listing was slow: it is then twice the listing's time.
 
 With ``WATCH_SLACK_S`` alone, each watch of a store that answers in 0.6 s would time out and be
 followed by a listing, which makes a slow store slower (``test_silent_connections``).
@@ -166,7 +166,7 @@
         changed = [e["object"] for e in latest.values() if not e["tombstone"]]
         removed = [f"{prefix}/{name}" for name, e in latest.items() if e["tombstone"]]
         objects = [_decode_object(prefix, item) for item in changed]
-        # A watch that ended early proves nothing about the time after it was sent.
+        # A watch that ended early proves nothing about the time after its start.
         duration_s = trio.current_time() - self._late_s() - sent_s
         has_elapsed_unchanged = not latest and duration_s >= wait_s
         proved_after_s = wait_s if has_elapsed_unchanged else 0.0
--- a/yewloom/standins/__init__.py
+++ b/yewloom/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform, model engines and plain services, for trials and tests only.
+"""Stand-ins for the platform, model engines and plain services, for demos and tests only.
 
-Each is a program of its own with switches for the failures that the system must bear.
+Each is a separate program with switches that inject the failures which the system must tolerate.
 """
--- a/yewloom/standins/engine.py
+++ b/yewloom/standins/engine.py
@@ -1,13 +1,13 @@
 """Stand-in for a model engine: one member of a group.
 
-The first member of a group leads and generates. It computes its tokens from the prompt, so a test
-can tell whether an answer is whole. While it serves it pings the other members; a replica that
-loses one fails, and its streams break.
+The first member of a group is its leader and generates the tokens. It derives them from the
+prompt, so that a test can tell whether an answer is complete. While it serves, it pings the other
+members; when one is lost, the replica fails and its streams break.
 
 Switches (``POST /control`` with JSON fields): ``token_ms``, ``load_ms``, ``leaving``,
-``report_lag_ms``, ``break_after`` (streams end early after so many tokens), ``shuffle`` (pieces
-come doubled and out of order), ``lose_events`` (so many cache events are lost), ``frozen``,
-``refuse``, ``checks_fences``.
+``report_lag_ms`` (reports may be that old), ``break_after`` (streams break after that many
+tokens), ``shuffle`` (pieces arrive duplicated and out of order), ``lose_events`` (number of cache
+events to lose), ``frozen``, ``refuse``, ``checks_fences``.
 """
 
 from collections import deque
@@ -30,22 +30,24 @@
 from yewloom.standins.server import read_json, refuse, serve, set_switches
 from yewloom.states import EngineState
 
-KEPT_STREAMS = 256
-KEPT_EVENTS = 64
+MAX_STREAMS = 256
+MAX_EVENTS = 64
 CACHED_BLOCKS = 2048
 PING_INTERVAL_S = 0.25
-WORDS = ("room ", "plate ", "night ", "star ", "guest ", "survey ", "rate ", "field ")
+TOKENS = ("room ", "plate ", "night ", "star ", "guest ", "survey ", "rate ", "field ")
 
 
 def expected_tokens(prompt: str, count: int) -> list[str]:
-    """Return the tokens that every stand-in generates for a prompt."""
+    """Return the tokens that every stand-in engine generates for a prompt."""
     seed = hash64(prompt)
-    return [f"{WORDS[(seed >> (i % 60)) % len(WORDS)]}" for i in range(count - 1)] + [f"#{seed:x}"]
+    return [f"{TOKENS[(seed >> (i % 60)) % len(TOKENS)]}" for i in range(count - 1)] + [
+        f"#{seed:x}"
+    ]
 
 
 @dataclass
 class Switches:
-    """Failures and rates that are in force now."""
+    """Injected failures and current rates."""
 
     token_ms: float = 5.0
     load_ms: int = 300
@@ -70,7 +72,7 @@
     is_cancelled: bool = False
     changed: trio.Event = field(default_factory=trio.Event)
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
 
@@ -89,11 +91,11 @@
         self.cached_model = ""
         self._fence = 0
         self._sequence = 0
-        self._events: deque[CacheEvent] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
         self._blocks: dict[int, None] = {}
         self._last_report: HostReport | None = None
-        self._report_s = float("-inf")
-        self._was_whole = False
+        self._reported_s = float("-inf")
+        self._has_been_complete = False
         self._nursery: trio.Nursery | None = None
 
     def application(self) -> Starlette:
@@ -117,14 +119,14 @@
             await self._watch_members()
 
     async def _report(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         lag_s = self.switches.report_lag_ms / 1000
-        if self._last_report is None or trio.current_time() - self._report_s >= lag_s:
-            self._last_report, self._report_s = self._fresh_report(), trio.current_time()
+        if self._last_report is None or trio.current_time() - self._reported_s >= lag_s:
+            self._last_report, self._reported_s = self._current_report(), trio.current_time()
         text = json_format.MessageToJson(self._last_report, preserving_proto_field_name=True)
         return Response(text, media_type="application/json")
 
-    def _fresh_report(self) -> HostReport:
+    def _current_report(self) -> HostReport:
         active = [g for g in self.runs.values() if g.produced < g.finish_at and not g.is_cancelled]
         return HostReport(
             host_id=self.host_id,
@@ -142,7 +144,7 @@
         )
 
     async def _take_order(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         order = json_format.Parse(await request.body(), Order(), ignore_unknown_fields=True)
         if self.switches.checks_fences and order.fence < self._fence:
             return refuse(f"fence {order.fence} is below {self._fence}")
@@ -150,27 +152,27 @@
         if (order.group_id, order.generation) != (self.order.group_id, self.order.generation):
             self._stop_runs()
             self.order, self.state = order, EngineState.LOADING
-            self._was_whole = False
+            self._has_been_complete = False
             assert self._nursery is not None
             self._nursery.start_soon(self._load, order)
         return JSONResponse({"state": self.state.value})
 
     async def _load(self, order: Order) -> None:
-        wanted = f"{order.model}@{order.model_version}"
-        if self.cached_model != wanted:
+        model = f"{order.model}@{order.model_version}"
+        if self.cached_model != model:
             await trio.sleep(self.switches.load_ms / 1000)
         if self.order is order:
-            self.cached_model, self.state = wanted, EngineState.READY
+            self.cached_model, self.state = model, EngineState.READY
 
     def _stop_runs(self) -> None:
         for run in self.runs.values():
             run.is_cancelled = True
-            run.tell()
+            run.notify()
         self.runs.clear()
         self._blocks.clear()
 
     async def _watch_members(self) -> None:
-        """Fail the replica when this engine leads and a member does not answer."""
+        """Fail the replica if this engine is its leader and a member does not answer."""
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
                 await trio.sleep(PING_INTERVAL_S)
@@ -182,30 +184,30 @@
                         self.state = EngineState.FAILED
 
     async def _ping_members(self, pool: httpcore.AsyncConnectionPool, order: Order) -> bool:
-        results: list[bool] = []
+        matches: list[bool] = []
         placement = f"{order.group_id}@{order.generation}"
 
         async def ping(address: str) -> None:
             with trio.move_on_after(4 * PING_INTERVAL_S):
                 try:
                     answer = await pool.request("GET", f"http://{address}/ping")
-                    results.append(answer.content.decode() == placement)
+                    matches.append(answer.content.decode() == placement)
                 except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
                     return
 
         async with trio.open_nursery() as nursery:
             for address in order.member_addresses[1:]:
                 nursery.start_soon(ping, address)
-        is_whole = len(results) == len(order.member_addresses) - 1 and all(results)
-        self._was_whole = self._was_whole or is_whole
-        return is_whole or not self._was_whole
+        is_complete = len(matches) == len(order.member_addresses) - 1 and all(matches)
+        self._has_been_complete = self._has_been_complete or is_complete
+        return is_complete or not self._has_been_complete
 
     async def _ping(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         return Response(f"{self.order.group_id}@{self.order.generation}")
 
     async def _generate(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         fields = await read_json(request)
         request_id, offset = fields["request_id"], int(fields["offset"])
         group = (fields["group_id"], fields["generation"])
@@ -217,27 +219,27 @@
         if run is None:
             if fields["resume_only"]:
                 return refuse("the request is not known here")
-            run = self._start(request_id, fields)
+            run = self._start_run(request_id, fields)
         return StreamingResponse(
             self._stream(request_id, run, offset), media_type="text/event-stream"
         )
 
-    def _start(self, request_id: str, fields: dict[str, Any]) -> _Generation:
+    def _start_run(self, request_id: str, fields: dict[str, Any]) -> _Generation:
         prompt, count = str(fields["prompt"]), int(fields["max_tokens"])
         tokens = expected_tokens(prompt, count)
         run = _Generation(tokens, count, produced=len(fields.get("delivered", [])))
-        if len(self.runs) >= KEPT_STREAMS:
-            done = [name for name, g in self.runs.items() if g.produced >= g.finish_at]
-            for name in done[: KEPT_STREAMS // 2]:
+        if len(self.runs) >= MAX_STREAMS:
+            finished = [name for name, g in self.runs.items() if g.produced >= g.finish_at]
+            for name in finished[: MAX_STREAMS // 2]:
                 del self.runs[name]
         self.runs[request_id] = run
         self.run_counts[request_id] = self.run_counts.get(request_id, 0) + 1
         assert self._nursery is not None
-        self._nursery.start_soon(self._produce, run, self._cache(prompt))
+        self._nursery.start_soon(self._produce, run, self._cache_prompt(prompt))
         return run
 
-    def _cache(self, prompt: str) -> int:
-        """Cache a prompt's blocks and return how many were missing."""
+    def _cache_prompt(self, prompt: str) -> int:
+        """Cache the blocks of a prompt and return how many of them were missing."""
         missing = [block for block in block_hashes(prompt) if block not in self._blocks]
         for block in block_hashes(prompt):
             self._blocks.pop(block, None)
@@ -256,17 +258,19 @@
         return len(missing)
 
     async def _produce(self, run: _Generation, missing_blocks: int) -> None:
-        """Produce tokens at a rate that falls once more run than the capacity."""
+        """Produce tokens, more slowly while more requests run than the capacity."""
         await trio.sleep(missing_blocks * self.switches.token_ms / 1000)
         while run.produced < run.finish_at and not run.is_cancelled:
-            crowd = max(1.0, self._fresh_report().running / self.capacity + self._waiting_share())
-            await trio.sleep(self.switches.token_ms / 1000 * crowd)
-            await self._thaw()
+            slowdown = max(
+                1.0, self._current_report().running / self.capacity + self._waiting_share()
+            )
+            await trio.sleep(self.switches.token_ms / 1000 * slowdown)
+            await self._wait_while_frozen()
             run.produced += 1
-            run.tell()
+            run.notify()
 
     def _waiting_share(self) -> float:
-        return self._fresh_report().waiting / self.capacity
+        return self._current_report().waiting / self.capacity
 
     async def _stream(self, request_id: str, run: _Generation, offset: int) -> AsyncIterator[bytes]:
         run.readers += 1
@@ -277,20 +281,20 @@
                 while run.produced <= offset and not run.is_cancelled:
                     await run.changed.wait()
                 if run.is_cancelled:
-                    raise ConnectionAbortedError("the replica is gone")
+                    raise ConnectionAbortedError("the replica has stopped")
                 ready = min(run.produced, run.finish_at)
-                for event in self._pieces(request_id, generation, run, offset, ready):
+                for event in self._encoded_pieces(request_id, generation, run, offset, ready):
                     yield event
                 sent += ready - offset
                 offset = ready
                 if self.switches.break_after and sent >= self.switches.break_after:
-                    raise ConnectionAbortedError("broken on purpose")
+                    raise ConnectionAbortedError("stream broken by break_after")
             if offset >= run.finish_at and sent == 0:
                 yield _encode(request_id, generation, run.finish_at, [], True)
         finally:
             run.readers -= 1
 
-    def _pieces(
+    def _encoded_pieces(
         self, request_id: str, generation: int, run: _Generation, start: int, end: int
     ) -> list[bytes]:
         pieces = [
@@ -304,14 +308,14 @@
         return pieces
 
     async def _cancel(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         run = self.runs.get((await read_json(request)).get("request_id", ""))
         if run is not None and run.readers == 0:
             run.is_cancelled = True
-            run.tell()
+            run.notify()
         return JSONResponse({"cancelled": run is not None})
 
-    async def _thaw(self) -> None:
+    async def _wait_while_frozen(self) -> None:
         while self.switches.frozen:  # noqa: ASYNC110 - a switch, not an event
             await trio.sleep(0.05)
 
--- a/yewloom/standins/platform.py
+++ b/yewloom/standins/platform.py
@@ -1,8 +1,9 @@
-"""Stand-in for the platform: object API, watches and a lagging host list.
+"""Stand-in for the platform: object API, watches and a host list that lags behind.
 
-Switches (``POST /control`` with JSON fields): ``outage``, ``delay_ms``, ``lose_answers`` (so many
-writes take effect but their answers are lost), ``host_lag_ms``, ``cut_ports`` (calls to these ports
-are refused, as from a data centre that is cut off) and the rates that are allowed.
+Switches (``POST /control`` with JSON fields): ``outage``, ``delay_ms``, ``lose_answers`` (number of
+writes that take effect but whose answers are lost), ``host_lag_ms``, ``cut_ports`` (calls to these
+ports are refused, as from a data centre that is cut off), and the rate limits ``writes_a_s`` and
+``reads_a_s``, per second.
 """
 
 import configparser
@@ -25,7 +26,7 @@
 
 @dataclass
 class Switches:
-    """Failures that are brought about now."""
+    """Injected failures and rate limits."""
 
     outage: bool = False
     delay_ms: int = 0
@@ -38,14 +39,14 @@
 
 @dataclass
 class ObjectStore:
-    """Objects with versions, and a history that watches go on from."""
+    """Objects with versions, and the positions from which watches continue."""
 
     objects: dict[str, tuple[int, Any, int]] = field(default_factory=dict)
     position: int = 0
     changed: trio.Event = field(default_factory=trio.Event)
 
     def write(self, key: str, value: Any, expected: int) -> int | None:
-        """Write an object if its version is the expected one; return the new version."""
+        """Write an object if it has the expected version; return the new version, else None."""
         version = self.objects.get(key, (0, None, 0))[0]
         if version != expected:
             return None
@@ -56,7 +57,7 @@
         return version + 1
 
     def changes(self, prefix: str, after: int) -> list[dict[str, Any]]:
-        """Return the objects below a prefix that were written after a position."""
+        """Return the objects under a key prefix that were written after a position."""
         return [
             {"key": key, "version": version, "value": value}
             for key, (version, value, position) in sorted(self.objects.items())
@@ -72,7 +73,7 @@
         self.switches = Switches()
         self.counts: Counter[str] = Counter()
         self._hosts = {host["id"]: host for host in hosts}
-        self._used: Counter[tuple[str, int]] = Counter()
+        self._call_counts: Counter[tuple[str, int]] = Counter()
         self.operator_token = ""
 
     def application(self) -> Starlette:
@@ -91,23 +92,23 @@
         )
 
     def _is_forbidden(self, request: Request, key: str) -> bool:
-        """Tell whether a write of the table lacks the operator's token."""
-        given = request.headers.get("authorization", "").removeprefix("Bearer ")
-        is_operator = hmac.compare_digest(given, self.operator_token)
+        """Tell whether a write to the table lacks the operator's token."""
+        token = request.headers.get("authorization", "").removeprefix("Bearer ")
+        is_operator = hmac.compare_digest(token, self.operator_token)
         return bool(self.operator_token) and key.startswith("table/") and not is_operator
 
     def _is_cut(self, request: Request) -> bool:
         return request.scope["server"][1] in self.switches.cut_ports
 
     async def _refusal(self, request: Request, kind: str, is_write: bool) -> Response | None:
-        """Count a call, and refuse it in an outage or over the rate."""
+        """Count a call; return a refusal during an outage or above the rate limit, else None."""
         self.counts[kind] += 1
         if self.switches.outage or self._is_cut(request):
             return JSONResponse({"detail": "outage"}, 503)
         bucket = ("write" if is_write else "read", int(trio.current_time()))
-        self._used[bucket] += 1
+        self._call_counts[bucket] += 1
         limit = self.switches.writes_a_s if is_write else self.switches.reads_a_s
-        if self._used[bucket] > limit:
+        if self._call_counts[bucket] > limit:
             self.counts["limited"] += 1
             return JSONResponse({"detail": "rate limit"}, 429, {"retry-after": "1"})
         if self.switches.delay_ms:
@@ -131,8 +132,10 @@
         key = request.path_params["key"]
         if self._is_forbidden(request, key):
             return JSONResponse({"detail": "an operator's token is needed"}, 403)
-        condition = request.headers.get("if-match", "0").strip('"')
-        version = self.store.write(request.path_params["key"], await request.json(), int(condition))
+        expected_version = request.headers.get("if-match", "0").strip('"')
+        version = self.store.write(
+            request.path_params["key"], await request.json(), int(expected_version)
+        )
         if version is None:
             return JSONResponse({"detail": "another version"}, 412)
         if self.switches.lose_answers > 0:
@@ -167,8 +170,8 @@
         refusal = await self._refusal(request, "hosts", is_write=False)
         if refusal is not None:
             return refusal
-        place = request.query_params.get("data_centre")
-        hosts = [h for h in self._hosts.values() if place in (None, h["data_centre"])]
+        data_centre = request.query_params.get("data_centre")
+        hosts = [h for h in self._hosts.values() if data_centre in (None, h["data_centre"])]
         return JSONResponse({"hosts": hosts})
 
     async def _control(self, request: Request) -> Response:
@@ -179,7 +182,7 @@
         return answer
 
     async def _set_host(self, request: Request) -> Response:
-        """Add, change or remove a host; it shows in the list after the lag."""
+        """Add, change or remove a host in the list, after the configured lag."""
         fields = await read_json(request)
         await trio.sleep(self.switches.host_lag_ms / 1000)
         if fields.get("state") == "gone":
@@ -193,7 +196,7 @@
 
 
 def read_hosts(path: Path) -> list[dict[str, Any]]:
-    """Read an INI file with a section for each host."""
+    """Read hosts from an INI file with one section per host."""
     parser = configparser.ConfigParser()
     parser.read_string(path.read_text(encoding="utf-8"))
     return [
@@ -214,9 +217,11 @@
 
 def main(
     address: Annotated[list[str], typer.Option(help="ip:port to serve on; may be repeated.")],
-    hosts: Annotated[Path, typer.Option(help="INI file with a section for each host.")],
-    rows: Annotated[Path | None, typer.Option(help="JSON file with objects to start from.")] = None,
-    operator_token: Annotated[str, typer.Option(help="Token that writes of the table need.")] = "",
+    hosts: Annotated[Path, typer.Option(help="INI file with one section per host.")],
+    rows: Annotated[Path | None, typer.Option(help="JSON file with initial objects.")] = None,
+    operator_token: Annotated[
+        str, typer.Option(help="Token that writes to the table require.")
+    ] = "",
 ) -> None:
     """Run the stand-in for the platform."""
     stand_in = PlatformStandIn(read_hosts(hosts))
--- a/yewloom/standins/server.py
+++ b/yewloom/standins/server.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: serving an application and reading JSON bodies."""
+"""Helpers shared by all stand-ins: serving, JSON bodies, switches and refusals."""
 
 import signal
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 async def serve(application: Starlette, address: str | list[str], *tasks: Any) -> None:
-    """Serve an application, and run tasks beside it, until a signal."""
+    """Serve an application and run tasks concurrently until a signal arrives."""
     config = Config()
     config.bind = [address] if isinstance(address, str) else address
     config.errorlog = None
@@ -34,13 +34,13 @@
 
 
 async def read_json(request: Request) -> dict[str, Any]:
-    """Return the body as a JSON object; an empty one if there is no body."""
+    """Decode the body as a JSON object; return an empty one without a body."""
     body = await request.body()
     return dict(await request.json()) if body else {}
 
 
 async def set_switches(request: Request, switches: object) -> Response:
-    """Set the switches that a request names, and return all of them."""
+    """Set the switches given in a request, and return the values of all switches."""
     for name, value in (await read_json(request)).items():
         if not hasattr(switches, name):
             return JSONResponse({"detail": f"no switch {name}"}, 400)
@@ -49,5 +49,5 @@
 
 
 def refuse(reason: str, status: int = 409) -> Response:
-    """Return the answer by which an endpoint says that it ran nothing."""
+    """Return the response with which an endpoint states that it did not run the request."""
     return JSONResponse({"detail": reason}, status, {"x-outcome": "not_run"})
--- a/yewloom/standins/service.py
+++ b/yewloom/standins/service.py
@@ -1,7 +1,8 @@
-"""Stand-in for a plain service: counts each run of each call.
+"""Stand-in for a plain service that counts how often it runs each call.
 
 Switches (``POST /control`` with JSON fields): ``delay_ms``, ``leaving``, ``refuse``,
-``drop_answers`` (so many calls run but their connections break before the answer), ``frozen``.
+``drop_answers`` (number of calls that run but whose connections break before the answer),
+``frozen``.
 """
 
 from collections import Counter
@@ -24,7 +25,7 @@
 
 @dataclass
 class Switches:
-    """Failures that are brought about now."""
+    """Injected failures."""
 
     delay_ms: int = 0
     leaving: bool = False
@@ -53,7 +54,7 @@
         )
 
     async def _report(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         report = HostReport(
             host_id=self.host_id,
             state=EngineState.READY.value,
@@ -63,20 +64,24 @@
         return Response(json_format.MessageToJson(report, preserving_proto_field_name=True))
 
     async def _run(self, request: Request) -> Response:
-        await self._thaw()
+        await self._wait_while_frozen()
         if self.switches.refuse:
             return refuse("the service takes no calls now", 503)
         body = await request.body()
-        name = request.headers.get("idempotency-key") or request.path_params["path"]
-        self.runs[name] += 1
+        call_name = request.headers.get("idempotency-key") or request.path_params["path"]
+        self.runs[call_name] += 1
         await trio.sleep(self.switches.delay_ms / 1000)
         if self.switches.drop_answers > 0:
             self.switches.drop_answers -= 1
-            return StreamingResponse(_break())
-        fields = {"path": request.path_params["path"], "run": self.runs[name], "bytes": len(body)}
+            return StreamingResponse(_broken_body())
+        fields = {
+            "path": request.path_params["path"],
+            "run": self.runs[call_name],
+            "bytes": len(body),
+        }
         return JSONResponse({**fields, "host": self.host_id})
 
-    async def _thaw(self) -> None:
+    async def _wait_while_frozen(self) -> None:
         while self.switches.frozen:  # noqa: ASYNC110 - a switch, not an event
             await trio.sleep(0.05)
 
@@ -87,9 +92,9 @@
         return JSONResponse({"runs": dict(self.runs)})
 
 
-async def _break() -> AsyncIterator[bytes]:
+async def _broken_body() -> AsyncIterator[bytes]:
     yield b"{"
-    raise ConnectionAbortedError("dropped on purpose")
+    raise ConnectionAbortedError("connection broken by drop_answers")
 
 
 def main(
--- a/yewloom/tests/__init__.py
+++ b/yewloom/tests/__init__.py
@@ -1,6 +1,6 @@
 """Tests; run them with ``make test``.
 
-Hypothesis draws the same examples in every run, so that a verdict does not depend on chance.
+Hypothesis generates the same examples in every run, so that results do not depend on chance.
 """
 
 from hypothesis import settings
--- a/yewloom/tests/support.py
+++ b/yewloom/tests/support.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces, and what several tests share."""
+"""Fakes and helpers shared by several tests."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
@@ -25,7 +25,7 @@
 
 
 class Fault(Enum):
-    """What a fake platform does to one write."""
+    """Fault that a fake platform injects into one write."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -35,9 +35,9 @@
 
 
 class FakePlatform:
-    """An object API in memory, with faults for the next writes.
+    """In-memory platform that injects faults into the next writes.
 
-    ``is_refusing`` makes every call fail; ``is_down`` is what callers see of earlier failures.
+    ``is_refusing`` makes every call fail; ``is_down`` tells callers that earlier calls have failed.
     """
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
         self.calls["get"] += 1
         await trio.lowlevel.checkpoint()
-        return _DOWN if self.is_refusing else Ok(self.objects.get(key))
+        return _UNAVAILABLE if self.is_refusing else Ok(self.objects.get(key))
 
     async def update(
         self, key: str, value: str, expected_version: int
@@ -62,14 +62,14 @@
         await trio.lowlevel.checkpoint()
         fault = self.faults.pop(0) if self.faults else Fault.NONE
         if self.is_refusing or fault is Fault.REFUSE:
-            return _DOWN
+            return _UNAVAILABLE
         if fault is Fault.APPLY_LATE:
             self.late.append((key, value, expected_version))
         if fault in (Fault.APPLY_LATE, Fault.LOSE_WRITE):
-            return _LOST
+            return _ANSWER_LOST
         version = self._apply(key, value, expected_version)
         if fault is Fault.LOSE_ANSWER:
-            return _LOST
+            return _ANSWER_LOST
         if version is None:
             return Err(PlatformError(PlatformFailure.CONFLICT, "another version"))
         return Ok(version)
@@ -78,28 +78,28 @@
         self.calls["list"] += 1
         await trio.lowlevel.checkpoint()
         if self.is_refusing:
-            return _DOWN
-        return Ok(Listing(self._below(prefix, 0), len(self.history)))
+            return _UNAVAILABLE
+        return Ok(Listing(self._changes_since(prefix, 0), len(self.history)))
 
     async def watch(self, prefix: str, position: int) -> Result[Listing, PlatformError]:
         self.calls["watch"] += 1
         await trio.sleep(0.1)
         if self.is_refusing:
-            return _DOWN
-        return Ok(Listing(self._below(prefix, position), len(self.history)))
+            return _UNAVAILABLE
+        return Ok(Listing(self._changes_since(prefix, position), len(self.history)))
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
         self.calls["hosts"] += 1
         await trio.lowlevel.checkpoint()
-        return _DOWN if self.is_refusing else Ok(self.listed)
+        return _UNAVAILABLE if self.is_refusing else Ok(self.listed)
 
     def apply_late_writes(self) -> None:
-        """Let the writes that were thought lost take effect now."""
+        """Apply the writes whose effect was delayed by ``Fault.APPLY_LATE``."""
         for write in self.late:
             self._apply(*write)
         self.late.clear()
 
-    def _below(self, prefix: str, position: int) -> Sequence[StoredObject]:
+    def _changes_since(self, prefix: str, position: int) -> Sequence[StoredObject]:
         return [stored for stored in self.history[position:] if stored.key.startswith(prefix)]
 
     def _apply(self, key: str, value: str, expected_version: int) -> int | None:
@@ -111,12 +111,12 @@
         return current + 1
 
 
-_DOWN: Err[PlatformError] = Err(PlatformError(PlatformFailure.NOT_APPLIED, "down"))
-_LOST: Err[PlatformError] = Err(PlatformError(PlatformFailure.AMBIGUOUS, "no answer"))
+_UNAVAILABLE: Err[PlatformError] = Err(PlatformError(PlatformFailure.NOT_APPLIED, "down"))
+_ANSWER_LOST: Err[PlatformError] = Err(PlatformError(PlatformFailure.AMBIGUOUS, "no answer"))
 
 
 def make_host(name: str, domain: str = "rack-1", checks_fences: bool = True) -> Host:
-    """Return a live host of the platform's list."""
+    """Return a live host, as in the platform's host list."""
     return Host(
         id=name,
         address=f"{name}:1",
@@ -128,7 +128,7 @@
 
 
 def make_policy(size: int = 2, spare: int = 0, **cells: object) -> PolicyRow:
-    """Return a policy that serves the model ``m``."""
+    """Return a policy for the model ``m``."""
     row = PolicyRow(
         model="m",
         model_version="1",
@@ -144,12 +144,12 @@
 
 
 def run_on_mock_clock(test: Callable[[], Awaitable[T]]) -> T:
-    """Run a test in trio with a clock that jumps ahead whenever nothing can run."""
+    """Run a test in trio on a mock clock that jumps ahead whenever all tasks are blocked."""
     return trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 class CallFault(Enum):
-    """What a fake engine does to one call."""
+    """Fault that a fake engine injects into one call."""
 
     NONE = "none"
     CONNECT = "connect"
@@ -162,7 +162,7 @@
 
 
 class FakeEngines:
-    """Model engines and services in memory; a list of faults tells what befalls each call."""
+    """In-memory model engines and services; ``faults`` holds the faults of the next calls."""
 
     def __init__(self, answer: Sequence[str], faults: Sequence[CallFault] = ()) -> None:
         self.answer = tuple(answer)
@@ -192,10 +192,10 @@
         self, address: str, call: GenerateCall, stall_timeout_s: float
     ) -> AsyncIterator[AsyncIterator[StreamPiece]]:
         fault = self._next_fault()
-        known = (address, call.request_id) in self.running
-        if not known and call.resume_only:
+        is_known = (address, call.request_id) in self.running
+        if not is_known and call.resume_only:
             raise EndpointError(CallFailure.REFUSED, "the request is not known here")
-        if not known:
+        if not is_known:
             self.running.add((address, call.request_id))
             self.runs[call.request_id] += 1
         if fault is CallFault.LOSE_STATE:
@@ -214,7 +214,7 @@
         return HttpAnswer(200, {}, b"ok")
 
     def _next_fault(self) -> CallFault:
-        """Return what befalls this call, or raise if it does not reach an engine."""
+        """Return the fault of this call, or raise if the call does not reach an engine."""
         fault = self.faults.pop(0) if self.faults else CallFault.NONE
         if fault is CallFault.CONNECT:
             raise EndpointError(CallFailure.CONNECT, "refused")
@@ -227,10 +227,12 @@
     ) -> AsyncIterator[StreamPiece]:
         if fault is CallFault.FAIL:
             raise EndpointError(CallFailure.ENDPOINT_ERROR, "status 500")
-        cuts = {CallFault.BREAK: 0, CallFault.STALL: 1, CallFault.LOSE_STATE: 1}
-        cut = cuts.get(fault, 2 if fault is CallFault.BREAK_LATER else len(self.answer))
+        breaks_after = {CallFault.BREAK: 0, CallFault.STALL: 1, CallFault.LOSE_STATE: 1}
+        break_after = breaks_after.get(
+            fault, 2 if fault is CallFault.BREAK_LATER else len(self.answer)
+        )
         for sent, offset in enumerate(range(call.offset, len(self.answer))):
-            if sent == cut:
+            if sent == break_after:
                 break
             await trio.sleep(self.token_s)
             yield self._piece(call, offset)
@@ -238,7 +240,7 @@
         if fault is CallFault.STALL:
             await trio.sleep(stall_timeout_s)
             raise EndpointError(CallFailure.STALLED, "silence")
-        if cut < len(self.answer):
+        if break_after < len(self.answer):
             raise EndpointError(CallFailure.BROKEN, "cut")
 
     def _piece(self, call: GenerateCall, offset: int) -> StreamPiece:
--- a/yewloom/tests/test_layers.py
+++ b/yewloom/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Tests of the layout: decisions do no I/O and read no clock."""
+"""Tests of the module structure: decision modules do no I/O and read no clock."""
 
 import ast
 import contextlib
@@ -9,7 +9,7 @@
 
 import yewloom
 
-DECISIONS = (
+DECISION_MODULES = (
     "addresses",
     "admission",
     "attempts",
@@ -84,11 +84,11 @@
     "tombstone",
     "YEWLOOM_BOOT",
 )
-"""Names of the users' platform; only its adapter may know them."""
+"""Wire names of the users' platform; only its adapter may contain them."""
 
 
-def _imports(path: Path) -> set[str]:
-    """Return the top-level names that a module imports, followed through the package."""
+def _imported_modules(path: Path) -> set[str]:
+    """Return the names of the modules that a module imports."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -99,36 +99,36 @@
 
 
 class TestLayers(unittest.TestCase):
-    """What modules may import."""
+    """Imports, wire names and sizes of modules."""
 
     def setUp(self) -> None:
         self.root = Path(yewloom.__file__).parent
 
     def test_decision_modules_import_nothing_that_does_io_or_reads_a_clock(self) -> None:
         seen: set[str] = set()
-        todo = [f"yewloom.{name}" for name in DECISIONS]
-        while todo:
-            module = todo.pop()
+        pending = [f"yewloom.{name}" for name in DECISION_MODULES]
+        while pending:
+            module = pending.pop()
             path = self.root / Path(*module.split(".")[1:]).with_suffix(".py")
             if module in seen or not path.exists():
                 continue
             seen.add(module)
-            imported = _imports(path)
+            imported = _imported_modules(path)
             forbidden = {name.split(".")[0] for name in imported} & IO_MODULES
             self.assertFalse(forbidden, f"{module} imports {forbidden}")
-            todo += [name for name in imported if name.startswith("yewloom.")]
+            pending += [name for name in imported if name.startswith("yewloom.")]
 
-    def test_the_example_for_embedders_runs_without_the_daemon(self) -> None:
+    def test_the_embedding_example_runs_without_the_daemon(self) -> None:
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             runpy.run_path(str(self.root.parent / "examples" / "embedding.py"), run_name="__main__")
         self.assertIn("route to archive-hall-a-1", output.getvalue())
 
-    def test_no_name_of_the_platform_stands_outside_its_adapter(self) -> None:
+    def test_only_the_adapter_contains_wire_names_of_the_platform(self) -> None:
         for path in [*self.root.glob("*.py"), *self.root.glob("standins/*.py")]:
             text = path.read_text(encoding="utf-8")
             for name in WIRE_NAMES:
-                self.assertNotIn(name, text, f"{path.name} names {name}")
+                self.assertNotIn(name, text, f"{path.name} contains {name}")
 
     def test_the_adapter_stays_small(self) -> None:
         def lines(pattern: str) -> int:
--- a/yewloom/tests/test_platform_adapter.py
+++ b/yewloom/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: what the platform's names are decoded into, and what is sent to it."""
+"""Tests of the adapter: decoding of the platform's formats, and the calls sent to it."""
 
 import json
 import random
@@ -84,18 +84,18 @@
 }
 
 
-def _stored(kind: str, name: str, fields: Any) -> StoredObject:
+def _stored_object(kind: str, name: str, fields: Any) -> StoredObject:
     return StoredObject(f"{kind}/{name}", 3, json.dumps(fields))
 
 
 class TestStoreRecords(unittest.TestCase):
-    """Configurations and endpoints."""
+    """Decoding of configurations and endpoints."""
 
     def setUp(self) -> None:
         self.records = StoreRecords()
 
     def test_a_configuration_is_decoded(self) -> None:
-        found = self.records.decode_configuration(_stored("config", "main", CONFIGURATION))
+        found = self.records.decode_configuration(_stored_object("config", "main", CONFIGURATION))
         assert found is not None
         stream = found.routes.find("x.example", "/a/1")
         unsafe = found.routes.find("x.example", "/b/1")
@@ -110,11 +110,11 @@
         assert service.engine is not None
         self.assertEqual(service.engine.models[ModelName("m")].group_size, 4)
 
-    def test_other_objects_of_the_kind_are_no_configuration(self) -> None:
-        self.assertIsNone(self.records.decode_configuration(_stored("config", "other", {})))
+    def test_other_objects_of_the_kind_are_ignored(self) -> None:
+        self.assertIsNone(self.records.decode_configuration(_stored_object("config", "other", {})))
 
     def test_an_endpoint_is_decoded(self) -> None:
-        endpoint = self.records.decode_endpoint(_stored("servers", "i1", ENDPOINT))
+        endpoint = self.records.decode_endpoint(_stored_object("servers", "i1", ENDPOINT))
         assert endpoint.membership is not None
         self.assertEqual(endpoint.id, "i1")
         self.assertEqual(endpoint.membership.key, GroupKey(GroupId("g"), 4))
@@ -124,22 +124,26 @@
 
     def test_any_state_but_ready_is_leaving(self) -> None:
         fields = ENDPOINT | {"state": "draining", "group": None}
-        endpoint = self.records.decode_endpoint(_stored("servers", "i1", fields))
+        endpoint = self.records.decode_endpoint(_stored_object("servers", "i1", fields))
         self.assertTrue(endpoint.is_leaving)
         self.assertIsNone(endpoint.membership)
 
     @given(st.sampled_from(sorted(ENDPOINT)), st.sampled_from([None, 3, "x", [], {}, [7]]))
-    def test_a_spoilt_object_is_decoded_or_named(self, field: str, value: Any) -> None:
+    def test_a_malformed_endpoint_is_decoded_or_named_in_the_error(
+        self, field: str, value: Any
+    ) -> None:
         try:
-            self.records.decode_endpoint(_stored("servers", "i1", ENDPOINT | {field: value}))
+            self.records.decode_endpoint(_stored_object("servers", "i1", ENDPOINT | {field: value}))
         except RecordError as error:
             self.assertIn("servers/i1", str(error))
 
     @given(st.sampled_from(sorted(CONFIGURATION)), st.sampled_from([3, "x", [7], {"a": 1}]))
-    def test_a_spoilt_configuration_is_decoded_or_named(self, field: str, value: Any) -> None:
+    def test_a_malformed_configuration_is_decoded_or_named_in_the_error(
+        self, field: str, value: Any
+    ) -> None:
         fields = CONFIGURATION | {field: value}
         try:
-            self.records.decode_configuration(_stored("config", "main", fields))
+            self.records.decode_configuration(_stored_object("config", "main", fields))
         except RecordError as error:
             self.assertIn("config/main", str(error))
 
@@ -161,7 +165,7 @@
 
 
 class TestWireHeaders(unittest.TestCase):
-    """Headers of requests and answers."""
+    """Translation of the headers of requests and answers."""
 
     def setUp(self) -> None:
         self.codec = WireHeaders()
@@ -171,11 +175,11 @@
         self.assertEqual((marks.request_id, marks.host, marks.api_key), ("abc", "x.example", "k1"))
         self.assertEqual((marks.deadline_ms, marks.model, marks.last_event_id), (900, "m", 12))
 
-    def test_a_number_that_is_none_is_an_error(self) -> None:
+    def test_an_invalid_number_is_an_error(self) -> None:
         with self.assertRaises(HeaderError):
             self.codec.decode_request([(b"yewloom-deadline-ms", b"soon")])
 
-    def test_the_endpoint_gets_no_key_and_nothing_forged(self) -> None:
+    def test_the_api_key_and_forged_headers_are_not_forwarded(self) -> None:
         sending = Sending(HostId("i1"), CustomerId("hotel"), 700, last_event_id=15)
         sent = self.codec.outgoing_headers(REQUEST, sending)
         names = [name for name, _ in sent]
@@ -191,25 +195,25 @@
         self.assertEqual(found[b"last-event-id"], b"15")
         self.assertEqual(found[b"yewloom-request-id"], b"abc")
 
-    def test_without_a_customer_a_forged_name_is_dropped(self) -> None:
+    def test_without_a_customer_a_forged_customer_header_is_dropped(self) -> None:
         sent = dict(self.codec.outgoing_headers(REQUEST, Sending(HostId("i1"), None, 1, None)))
         self.assertNotIn(b"yewloom-tenant", sent)
         self.assertEqual(sent[b"last-event-id"], b"12")
 
-    def test_only_the_endpoint_itself_says_that_nothing_ran(self) -> None:
+    def test_only_a_marked_or_misdirected_answer_means_not_run(self) -> None:
         marked = AnswerHead(503, [(b"yewloom-not-executed", b"1")])
         self.assertTrue(self.codec.decode_answer(marked).is_not_run)
         self.assertTrue(self.codec.decode_answer(AnswerHead(421, [])).is_not_run)
         self.assertFalse(self.codec.decode_answer(AnswerHead(503, [])).is_not_run)
 
-    def test_an_answer_names_a_limit_or_none(self) -> None:
+    def test_the_limit_of_an_answer_is_decoded(self) -> None:
         for text, per_s in ((b"1", 1.0), (b"0.25", 0.25), (b"0", 0.0), (b"120.50", 120.5)):
             head = AnswerHead(200, [(b"server-limit", text)])
             self.assertEqual(self.codec.decode_answer(head).limit, NamedLimit(per_s))
         self.assertEqual(self.codec.decode_answer(AnswerHead(200, [])).limit, NamedLimit())
 
-    def test_a_text_that_is_no_limit_tells_nothing(self) -> None:
-        """Guards against limits of nothing, of all, or below nothing that a text stands for."""
+    def test_an_invalid_limit_is_ignored(self) -> None:
+        """An invalid text must not be taken for a limit of zero, no limit, or a negative one."""
         texts = (
             b"",
             b"-1",
@@ -230,11 +234,11 @@
             self.assertTrue(limit.unreadable)
             self.assertLess(len(limit.unreadable), 60)
 
-    def test_another_process_at_the_address_tells_nothing_of_a_limit(self) -> None:
+    def test_a_limit_of_another_process_at_the_address_is_ignored(self) -> None:
         head = AnswerHead(421, [(b"server-limit", b"1")])
         self.assertEqual(self.codec.decode_answer(head).limit, NamedLimit(is_told=False))
 
-    def test_framing_stays_with_the_connection(self) -> None:
+    def test_framing_headers_are_not_forwarded(self) -> None:
         head = AnswerHead(
             200,
             [(b"yewloom-server-stamp", b"s"), (b"transfer-encoding", b"chunked")],
@@ -243,12 +247,12 @@
 
 
 class _FakeCaller(HttpCaller):
-    """Answers calls from a list and keeps what was asked."""
+    """Answers calls from a list and records them."""
 
     def __init__(self, *answers: HttpAnswer | HttpFailure) -> None:
         super().__init__(1.0)
         self.answers = list(answers)
-        self.asked: list[tuple[str, str, Any]] = []
+        self.calls: list[tuple[str, str, Any]] = []
         self.pause_s = 0.0
 
     async def call(
@@ -260,7 +264,7 @@
         headers: Mapping[str, str] | None = None,
         fresh: bool = False,
     ) -> HttpAnswer:
-        self.asked.append((method, url, json.loads(body) if body else None))
+        self.calls.append((method, url, json.loads(body) if body else None))
         await trio.sleep(self.pause_s)
         answer = self.answers.pop(0)
         if isinstance(answer, HttpFailure):
@@ -277,9 +281,9 @@
 
 
 class TestObjectStore(unittest.TestCase):
-    """The store's calls and answers."""
+    """Calls to the store and the decoding of its answers."""
 
-    def test_a_listing_follows_its_pages_and_watches_from_the_first(self) -> None:
+    def test_a_listing_reads_all_pages_and_keeps_the_position_of_the_first(self) -> None:
         caller = _FakeCaller(
             _json(200, {"items": [_object("a", 1)], "morePages": True, "storeRevision": 5}),
             _json(200, {"items": [_object("b", 2)], "morePages": False, "storeRevision": 9}),
@@ -287,9 +291,9 @@
         listing = run_on_mock_clock(lambda: ObjectStore(caller, "s:1", 1.0, RNG).list("k")).unwrap()
         self.assertEqual([stored.key for stored in listing.objects], ["k/a", "k/b"])
         self.assertEqual(listing.position, 5)
-        self.assertIn("sinceRev=a", caller.asked[1][1])
+        self.assertIn("sinceRev=a", caller.calls[1][1])
 
-    def test_the_last_of_several_changes_stands(self) -> None:
+    def test_the_last_of_several_changes_counts(self) -> None:
         events = [
             {"object": _object("a", 6, 1), "tombstone": False},
             {"object": _object("b", 7), "tombstone": True},
@@ -304,7 +308,7 @@
         self.assertEqual([(s.key, s.version, s.value) for s in listing.objects], [("k/a", 8, "2")])
         self.assertEqual(sorted(listing.removed), ["k/b", "k/c"])
 
-    def test_a_watch_proves_its_end_only_if_it_lasted_its_time(self) -> None:
+    def test_a_watch_proves_its_full_time_only_if_it_did_not_end_early(self) -> None:
         async def watch(pause_s: float) -> float:
             caller = _FakeCaller(_json(200, {"events": [], "storeRevision": 10}))
             caller.pause_s = pause_s
@@ -314,8 +318,8 @@
         self.assertGreaterEqual(run_on_mock_clock(lambda: watch(1.0)), 0.75)
         self.assertEqual(run_on_mock_clock(lambda: watch(0.5)), 0.0)
 
-    def test_a_watch_whose_answer_was_read_late_proves_its_beginning(self) -> None:
-        """Guards against old words that a host which stood still takes for new ones."""
+    def test_a_watch_whose_answer_was_read_late_may_prove_only_its_start(self) -> None:
+        """A host that was suspended must not take an answer that arrived earlier for current."""
 
         async def watch(late_s: float) -> float:
             caller = _FakeCaller(_json(200, {"events": [], "storeRevision": 10}))
@@ -326,15 +330,15 @@
         self.assertGreaterEqual(run_on_mock_clock(lambda: watch(1.5)), 0.75)
         self.assertEqual(run_on_mock_clock(lambda: watch(2.5)), 0.0)
 
-    def test_the_first_write_creates_and_later_ones_name_the_revision(self) -> None:
+    def test_the_first_write_creates_and_later_ones_state_the_revision(self) -> None:
         caller = _FakeCaller(_json(201, _object("a", 4)), _json(200, _object("a", 6)))
         store = ObjectStore(caller, "s:1", 1.0, RNG)
         self.assertEqual(run_on_mock_clock(lambda: store.update("k/a", "{}", 0)).unwrap(), 4)
         self.assertEqual(run_on_mock_clock(lambda: store.update("k/a", "{}", 4)).unwrap(), 6)
-        self.assertEqual([call[0] for call in caller.asked], ["POST", "PUT"])
-        self.assertEqual(caller.asked[1][2]["metadata"]["revision"], 4)
+        self.assertEqual([call[0] for call in caller.calls], ["POST", "PUT"])
+        self.assertEqual(caller.calls[1][2]["metadata"]["revision"], 4)
 
-    def test_each_call_is_counted_by_what_it_asks_and_how_it_ends(self) -> None:
+    def test_on_call_gets_the_kind_and_status_of_each_call(self) -> None:
         answers: list[HttpAnswer | HttpFailure] = [
             _json(200, {"items": [], "storeRevision": 5}),
             HttpFailure.NOT_SENT,
@@ -358,7 +362,7 @@
         self.assertEqual([f"{call} {answer}" for call, _, answer in calls], answered)
         self.assertEqual({kind for _, kind, _ in calls}, {"k"})
 
-    def test_each_failure_says_what_is_known(self) -> None:
+    def test_each_status_is_mapped_to_a_failure(self) -> None:
         cases = {
             409: PlatformFailure.CONFLICT,
             410: PlatformFailure.EXPIRED,
@@ -371,7 +375,7 @@
             with self.subTest(status=status):
                 self.assertIs(self._failure(_json(status, {})), failure)
 
-    def test_a_lost_answer_leaves_the_write_open(self) -> None:
+    def test_a_write_without_an_answer_is_ambiguous_unless_it_was_not_sent(self) -> None:
         self.assertIs(self._failure(HttpFailure.NOT_SENT), PlatformFailure.NOT_APPLIED)
         self.assertIs(self._failure(HttpFailure.MAYBE_SENT), PlatformFailure.AMBIGUOUS)
         self.assertIs(self._failure(HttpFailure.TIMED_OUT), PlatformFailure.AMBIGUOUS)
@@ -381,23 +385,23 @@
         match run_on_mock_clock(lambda: store.update("k/a", "{}", 3)):
             case Err(error):
                 return error.failure
-        raise AssertionError("the write was taken")
+        raise AssertionError("the write succeeded")
 
 
 KEY = GroupKey(GroupId("g"), 4)
 
 
 class TestEngineOrders(unittest.TestCase):
-    """Orders and what their answers mean."""
+    """Encoding of orders and decoding of their answers."""
 
-    def test_orders_name_what_they_affect(self) -> None:
+    def test_orders_are_encoded(self) -> None:
         join = order_fields(JoinGroup(KEY, ModelName("m"), [HostId("a"), HostId("b")]))
         self.assertEqual(join["members"], ["a", "b"])
         self.assertEqual((join["op"], join["group"], join["epoch"]), ("join", "g", 4))
         self.assertEqual(order_fields(CloseGroup(KEY))["mode"], "wait")
         self.assertEqual(order_fields(StageModel(ModelName("m"))), {"op": "phase", "model": "m"})
 
-    def test_answers(self) -> None:
+    def test_answers_are_decoded(self) -> None:
         pairs: list[tuple[HttpAnswer | HttpFailure, OrderAnswer]] = [
             (_json(202, {}), OrderAnswer.BEGUN),
             (_json(200, {}), OrderAnswer.HOLDS),
@@ -414,9 +418,9 @@
             send = partial(orders.send, HostId("i"), "i:1", StageModel(ModelName("m")), 6)
             found = run_on_mock_clock(send)
             self.assertIs(found, expected)
-            self.assertEqual(caller.asked[0][2]["expectedRev"], 6)
+            self.assertEqual(caller.calls[0][2]["expectedRev"], 6)
 
-    def test_a_silent_engine_tells_nothing(self) -> None:
+    def test_a_missing_or_invalid_report_is_none(self) -> None:
         answers: list[HttpAnswer | HttpFailure] = [
             HttpFailure.TIMED_OUT,
             _json(200, {"sequence": 5}),
@@ -429,11 +433,11 @@
         known = EngineReport(6, 1_790_000_000_000)
         self.assertEqual(found, [None, EngineReport(5), known, None, None])
 
-    def test_the_start_of_an_endpoints_process_is_decoded(self) -> None:
+    def test_the_start_time_of_an_endpoint_is_decoded(self) -> None:
         records = StoreRecords()
         for born, expected in ((None, 0), (1_790_000_000_000, 1_790_000_000_000)):
-            stored = _stored("servers", "i1", ENDPOINT | {"born": born})
+            stored = _stored_object("servers", "i1", ENDPOINT | {"born": born})
             self.assertEqual(records.decode_endpoint(stored).started_unix_ms, expected)
         for wrong in (True, 1.5, "1", -1, 2**60):
             with self.assertRaises(RecordError):
-                records.decode_endpoint(_stored("servers", "i1", ENDPOINT | {"born": wrong}))
+                records.decode_endpoint(_stored_object("servers", "i1", ENDPOINT | {"born": wrong}))
