--- a/yewloom/cli.py
+++ b/yewloom/cli.py
@@ -65,7 +65,7 @@
             with path.open(encoding="utf-8", errors="replace") as lines:
                 history.read(lines)
         except OSError as error:
-            exit_with_error(f"cannot read {path} ({error}); pass a readable log file.", EXIT_USAGE)
+            exit_with_error(f"Cannot read {path} ({error}); pass a readable log file.", EXIT_USAGE)
     typer.echo("\n".join(history.lines()))
     if not history.is_known:
         exit_with_error(f"No log line in these files mentions request {request_id!r}.", EXIT_FAILED)
--- a/yewloom/cli_calls.py
+++ b/yewloom/cli_calls.py
@@ -18,8 +18,8 @@
 from yewloom.ids import RowName
 from yewloom.operations import (
     OperationError,
-    cells_text,
     flat_cells,
+    format_cells,
     get_row,
     read_entry_host,
 )
@@ -147,9 +147,9 @@
     return {"name": row.name, "version": row.version, "cells": flat_cells(row)}
 
 
-def row_text(row: VersionedRow) -> str:
+def format_row(row: VersionedRow) -> str:
     """Format a row as one line of text."""
-    return f"{row.name} version {row.version}: {cells_text(row)}"
+    return f"{row.name} version {row.version}: {format_cells(row)}"
 
 
 def print_result(as_json: bool, fields: Any, lines: list[str]) -> None:
--- a/yewloom/cli_table.py
+++ b/yewloom/cli_table.py
@@ -15,16 +15,16 @@
     RowArgument,
     TokenOption,
     exit_with_error,
+    format_row,
     print_result,
     read_row_or_exit,
     read_status_or_exit,
     row_fields,
     row_name_or_exit,
-    row_text,
     run_on_platform,
 )
 from yewloom.node import unix_ms
-from yewloom.operations import Edit, apply_edit, cells_text, flat_cells, list_rows
+from yewloom.operations import Edit, apply_edit, flat_cells, format_cells, list_rows
 
 table_app = typer.Typer(no_args_is_help=True, help="Read and edit the table of weights and limits.")
 
@@ -33,7 +33,7 @@
 def table_list(platform: PlatformOption, as_json: JsonOption = False) -> None:
     """Print all rows.  Example: yewloom table list"""
     rows = run_on_platform(platform, list_rows)
-    print_result(as_json, [row_fields(row) for row in rows], [row_text(row) for row in rows])
+    print_result(as_json, [row_fields(row) for row in rows], [format_row(row) for row in rows])
 
 
 @table_app.command("get")
@@ -119,5 +119,5 @@
         row_name_or_exit(row), getpass.getuser(), unix_ms(), cells, expect_version, is_deletion
     )
     written = run_on_platform(platform, lambda api: apply_edit(api, edit), token)
-    text = f"{written.name} accepted as version {written.version}: {cells_text(written)}"
+    text = f"{written.name} accepted as version {written.version}: {format_cells(written)}"
     print_result(as_json, row_fields(written), [text])
--- a/yewloom/experiments.py
+++ b/yewloom/experiments.py
@@ -18,7 +18,7 @@
 from yewloom.states import Outcome
 from yewloom.values import value_class
 
-MAX_SESSIONS = 1000
+MAX_SAMPLED_SESSIONS = 1000
 """Maximum number of sessions of an experiment whose observations an entry host keeps."""
 
 
@@ -69,7 +69,7 @@
         if session_hash > self.threshold:
             return
         self.sample[session_hash].append(observation)
-        if len(self.sample) > MAX_SESSIONS:
+        if len(self.sample) > MAX_SAMPLED_SESSIONS:
             self._lower_threshold(max(self.sample) - 1)
 
     def merge(self, other: "ExperimentRecord") -> None:
--- a/yewloom/operations.py
+++ b/yewloom/operations.py
@@ -144,7 +144,7 @@
     if current is None:
         return OperationError(f"{name} no longer exists; read the table again.", True)
     last = current.row.history[-1] if current.row.history else RowChange()
-    cells = cells_text(current)
+    cells = format_cells(current)
     return OperationError(
         f"{name} was changed by {last.editor or 'someone'}, to version {current.version} "
         f"({cells}); check it and edit again.",
@@ -152,7 +152,7 @@
     )
 
 
-def cells_text(row: VersionedRow) -> str:
+def format_cells(row: VersionedRow) -> str:
     """Format the cells of a row as ``cell=value`` pairs."""
     if row.row.deleted:
         return "deleted"
--- a/yewloom/platform/standin_engine.py
+++ b/yewloom/platform/standin_engine.py
@@ -16,7 +16,7 @@
 
 from yewloom.platform.standin_store import StandinStore
 
-JOIN_S = 0.1
+JOIN_DURATION_S = 0.1
 """Time to join a group; the users' engines take some seconds."""
 
 EVENT_S = 0.02
@@ -141,7 +141,7 @@
         self.group = {"name": order["group"], "epoch": order["epoch"], "rank": rank}
         self.group["state"] = "joining"
         self.publish()
-        await trio.sleep(JOIN_S)
+        await trio.sleep(JOIN_DURATION_S)
         self.models = self.staged = [order["model"]]
         self.group = {**self.group, "state": "ready"}
         self.was_ready.add((order["group"], order["epoch"], tuple(order["members"])))
--- a/yewloom/standins/engine.py
+++ b/yewloom/standins/engine.py
@@ -32,7 +32,7 @@
 
 MAX_STREAMS = 256
 MAX_EVENTS = 64
-CACHED_BLOCKS = 2048
+MAX_CACHED_BLOCKS = 2048
 PING_INTERVAL_S = 0.25
 TOKENS = ("room ", "plate ", "night ", "star ", "guest ", "survey ", "rate ", "field ")
 
@@ -244,7 +244,7 @@
         for block in block_hashes(prompt):
             self._blocks.pop(block, None)
             self._blocks[block] = None
-        removed = list(self._blocks)[: max(0, len(self._blocks) - CACHED_BLOCKS)]
+        removed = list(self._blocks)[: max(0, len(self._blocks) - MAX_CACHED_BLOCKS)]
         for block in removed:
             del self._blocks[block]
         if missing:
--- a/yewloom/standins/platform.py
+++ b/yewloom/standins/platform.py
@@ -2,8 +2,8 @@
 
 Switches (``POST /control`` with JSON fields): ``outage``, ``delay_ms``, ``lose_answers`` (number of
 writes that take effect but whose answers are lost), ``host_lag_ms``, ``cut_ports`` (calls to these
-ports are refused, as from a data centre that is cut off), and the rate limits ``writes_a_s`` and
-``reads_a_s``, per second.
+ports are refused, as from a data centre that is cut off), and the rate limits per second,
+``writes_a_s`` and ``reads_a_s``.
 """
 
 import configparser
@@ -73,7 +73,7 @@
         self.switches = Switches()
         self.counts: Counter[str] = Counter()
         self._hosts = {host["id"]: host for host in hosts}
-        self._call_counts: Counter[tuple[str, int]] = Counter()
+        self._calls_per_second: Counter[tuple[str, int]] = Counter()
         self.operator_token = ""
 
     def application(self) -> Starlette:
@@ -97,18 +97,18 @@
         is_operator = hmac.compare_digest(token, self.operator_token)
         return bool(self.operator_token) and key.startswith("table/") and not is_operator
 
-    def _is_cut(self, request: Request) -> bool:
+    def _is_cut_off(self, request: Request) -> bool:
         return request.scope["server"][1] in self.switches.cut_ports
 
     async def _refusal(self, request: Request, kind: str, is_write: bool) -> Response | None:
         """Count a call; return a refusal during an outage or above the rate limit, else None."""
         self.counts[kind] += 1
-        if self.switches.outage or self._is_cut(request):
+        if self.switches.outage or self._is_cut_off(request):
             return JSONResponse({"detail": "outage"}, 503)
         bucket = ("write" if is_write else "read", int(trio.current_time()))
-        self._call_counts[bucket] += 1
+        self._calls_per_second[bucket] += 1
         limit = self.switches.writes_a_s if is_write else self.switches.reads_a_s
-        if self._call_counts[bucket] > limit:
+        if self._calls_per_second[bucket] > limit:
             self.counts["limited"] += 1
             return JSONResponse({"detail": "rate limit"}, 429, {"retry-after": "1"})
         if self.switches.delay_ms:
@@ -158,7 +158,7 @@
         with trio.move_on_after(int(request.query_params["timeout_ms"]) / 1000):
             while not self.store.changes(prefix, after):
                 await self.store.changed.wait()
-                if self.switches.outage or self._is_cut(request):
+                if self.switches.outage or self._is_cut_off(request):
                     return JSONResponse({"detail": "outage"}, 503)
         return self._changes(prefix, after)
 
--- a/yewloom/tests/free_ports.py
+++ b/yewloom/tests/free_ports.py
@@ -33,7 +33,10 @@
 
 
 def _reserve(port: int) -> bool:
-    """Reserve a port by binding an abstract socket name; return False if another process has it."""
+    """Reserve a port by binding an abstract socket name; return False if another process holds it.
+
+    The system releases the name when this process ends.
+    """
     reservation = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     try:
         reservation.bind(f"\0yewloom-test-port-{port}")
--- a/yewloom/tests/support.py
+++ b/yewloom/tests/support.py
@@ -172,7 +172,7 @@
         self.cancelled: list[str] = []
         self.orders: list[Order] = []
         self.reports: dict[str, HostReport] = {}
-        self.token_s = 0.01
+        self.token_interval_s = 0.01
 
     async def probe(self, address: str) -> Result[HostReport, EndpointError]:
         await trio.sleep(0.001)
@@ -234,7 +234,7 @@
         for sent, offset in enumerate(range(call.offset, len(self.answer))):
             if sent == break_after:
                 break
-            await trio.sleep(self.token_s)
+            await trio.sleep(self.token_interval_s)
             yield self._piece(call, offset)
             yield self._piece(call, max(0, offset - 1))
         if fault is CallFault.STALL:
--- a/yewloom/tests/test_comparison.py
+++ b/yewloom/tests/test_comparison.py
@@ -9,7 +9,7 @@
 
 from yewloom.comparison import ERROR_RATE, compare
 from yewloom.experiments import (
-    MAX_SESSIONS,
+    MAX_SAMPLED_SESSIONS,
     ExperimentRecord,
     Observation,
     Side,
@@ -54,12 +54,12 @@
 
     def test_the_sample_is_bounded_and_merges_to_complete_sessions(self) -> None:
         hosts = [ExperimentRecord() for _ in range(3)]
-        total = 4 * MAX_SESSIONS
+        total = 4 * MAX_SAMPLED_SESSIONS
         for number in range(total):
             for host in hosts:
                 host.add(str(number), Observation(Side.A, Outcome.ANSWERED, 1.0, None))
         merged = merge_records(hosts)
-        self.assertLessEqual(len(merged.sample), MAX_SESSIONS)
+        self.assertLessEqual(len(merged.sample), MAX_SAMPLED_SESSIONS)
         self.assertTrue(all(len(found) == 3 for found in merged.sample.values()))
         self.assertEqual(merged.counts[(Side.A, Outcome.ANSWERED)], 3 * total)
 
