--- a/yewloom/platform/__main__.py
+++ b/yewloom/platform/__main__.py
@@ -16,7 +16,7 @@
 
 
 def run() -> int:
-    """Install signal handlers, open the socket, then import and run the program."""
+    """Install signal handlers, open the socket and run the program; return the exit code."""
     signals = EarlySignals()
     signals.listen()
     gc.disable()  # Objects created by the imports live as long as the process.
