--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -167,7 +167,7 @@
     Mutation(
         "soak: a host that is taken from a group which serves is found",
         "tests/soak/endpoints",
-        'if is_same and head.group["state"] in _SERVING:',
+        'if is_same_group and leader.group["state"] in _SERVING_STATES:',
         "if False:",
         "test_soak.TestEngineWatch",
     ),
--- a/yewloom/tests/soak/__init__.py
+++ b/yewloom/tests/soak/__init__.py
@@ -1,4 +1,5 @@
-"""A randomized soak: entry hosts as processes, faults from outside, promises checked meanwhile.
+"""Randomized soak test: runs entry hosts as processes, injects faults and checks guarantees.
 
-``python -m yewloom.tests.soak --help`` runs it by hand; ``test_soak.py`` plays short seeds.
+Run it by hand with ``python -m yewloom.tests.soak``; ``test_soak.py`` runs short soaks with fixed
+seeds.
 """
--- a/yewloom/tests/soak/balancer.py
+++ b/yewloom/tests/soak/balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer, which lets callers open connections to the entry hosts that it uses."""
+"""Model of the platform's load balancer, which sends new connections to ready entry hosts only."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,43 +6,46 @@
 import trio
 
 from yewloom.tests.soak.fleet import EntryProcess
-from yewloom.tests.soak.noted_streams import NotedStream
+from yewloom.tests.soak.noted_streams import RecordedStream
 
 CHECK_PERIOD_S = 1.0
-"""Time between two questions whether a host is ready, and the longest wait for an answer; from the
-platform's pages."""
+"""Interval between readiness checks of a host, and time-out of each check; specified by the
+platform's documentation."""
 
-MISSES = 2
-"""Questions in a row without the answer 200 that take a host out; from the platform's pages."""
+UNREADY_THRESHOLD = 2
+"""Consecutive checks without status 200 after which a host gets no new connections; specified by
+the platform's documentation."""
 
 
 class Balancer:
-    """Asks the entry hosts whether they are ready, and uses those that are."""
+    """Checks the readiness of entry hosts, and routes new connections to those that are ready."""
 
     def __init__(self, entries: Sequence[EntryProcess]) -> None:
         self._entries = entries
-        self._misses = {entry.name: 0 for entry in entries}
+        self._failed_checks = {entry.name: 0 for entry in entries}
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Check all hosts periodically until cancelled."""
         async with trio.open_nursery() as nursery:
             for entry in self._entries:
                 nursery.start_soon(self._watch, entry)
 
-    def uses(self, entry: EntryProcess) -> bool:
-        """Tell whether a host gets new connections: all do once under half of them are ready."""
-        ready = [name for name, misses in self._misses.items() if misses < MISSES]
+    def routes_to(self, entry: EntryProcess) -> bool:
+        """Tell whether a host gets new connections; all hosts do if under half are ready."""
+        ready = [
+            name for name, failures in self._failed_checks.items() if failures < UNREADY_THRESHOLD
+        ]
         return entry.name in ready or 2 * len(ready) < len(self._entries)
 
-    def note_answer(self, name: str, is_ready: bool) -> None:
-        """Take in an answer of a host, or that there was none."""
-        self._misses[name] = 0 if is_ready else self._misses[name] + 1
+    def record_check(self, name: str, is_ready: bool) -> None:
+        """Record the result of one readiness check; no answer counts as not ready."""
+        self._failed_checks[name] = 0 if is_ready else self._failed_checks[name] + 1
 
     async def _watch(self, entry: EntryProcess) -> None:
         while True:
-            asked_s = trio.current_time()
-            self.note_answer(entry.name, await _is_ready(entry.readiness_address))
-            await trio.sleep_until(asked_s + CHECK_PERIOD_S)
+            checked_s = trio.current_time()
+            self.record_check(entry.name, await _is_ready(entry.readiness_address))
+            await trio.sleep_until(checked_s + CHECK_PERIOD_S)
 
 
 async def _is_ready(address: str) -> bool:
@@ -57,7 +60,7 @@
 
 
 class BalancedBackend(httpcore.AsyncNetworkBackend):
-    """Opens connections to one entry host while the balancer uses it."""
+    """Opens connections to one entry host while the balancer routes to it."""
 
     def __init__(self, balancer: Balancer, entry: EntryProcess) -> None:
         self._balancer = balancer
@@ -72,13 +75,13 @@
         local_address: str | None = None,
         socket_options: Iterable[httpcore.SOCKET_OPTION] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Open a connection."""
-        if not self._balancer.uses(self._entry):
-            raise httpcore.ConnectError(f"the balancer does not use {self._entry.name}")
+        """Open a connection, or fail if the balancer does not route to the host."""
+        if not self._balancer.routes_to(self._entry):
+            raise httpcore.ConnectError(f"balancer does not route to {self._entry.name}")
         network = self._network
         stream = await network.connect_tcp(host, port, timeout, local_address, socket_options)
-        return NotedStream(stream, self._entry.life)
+        return RecordedStream(stream, self._entry.life)
 
     async def sleep(self, seconds: float) -> None:
-        """Wait before a connection is tried again."""
+        """Wait before the next connection attempt."""
         await self._network.sleep(seconds)
--- a/yewloom/tests/soak/callers.py
+++ b/yewloom/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers under soak: each keeps its connections open and uses them until the process is gone."""
+"""Soak callers, which send requests over keep-alive connections until the host closes them."""
 
 import itertools
 import random
@@ -11,40 +11,42 @@
 from yewloom.tests.soak.endpoints import EVENTS_HEADER
 from yewloom.tests.soak.fleet import HOST, MODEL, EntryProcess, Fleet, key_of
 from yewloom.tests.soak.ledger import STREAM_EVENTS, Kind, Ledger, Sent
-from yewloom.tests.soak.noted_streams import sending
+from yewloom.tests.soak.noted_streams import current_request
 
-PAUSE_S = 0.12
-"""Mean pause of a caller between two requests."""
+MEAN_PAUSE_S = 0.12
+"""Mean pause between two requests on one connection."""
 
 DEADLINE_S = 4.0
-"""Time that a caller of a plain service waits for an answer."""
+"""Deadline of a request to a plain service."""
 
 STREAM_DEADLINE_S = 6.0
-"""Time that a caller waits for a whole stream; some last for seconds."""
+"""Deadline of a stream, until its last event; some streams last for seconds."""
 
 PATIENCES_S = (0.0, 1.0)
-"""Times that a caller waits beyond its deadline: those of the second kind see that the host answers
-at it, the others leave."""
+"""Times that a caller may wait beyond its deadline, drawn for each request. With 0 the caller
+disconnects at the deadline; with 1 s it sees that the host itself answers by then."""
 
 CONNECTIONS = 2
-"""Connections that a caller keeps open at most, each for one request at a time."""
+"""Maximum number of connections of a caller, each with one request at a time."""
 
 LONG_SHARE = 0.5
-"""Part of the streams that last for seconds, so that they may span the notice of a stop."""
+"""Share of streams that last for seconds, so that they may outlast a stopping host's notice
+period."""
 
 LONG_EVENTS = 40
-"""Events of a long stream: some 4 s."""
+"""Number of events of a long stream, which lasts for some 4 s."""
 
-_KEY_LAGS = (0, 0, 0, 1, 2)
-"""How many versions back the key of a request is; now and then one that may just be taken away."""
+_KEY_VERSION_LAGS = (0, 0, 0, 1, 2)
+"""How many versions older than the current one a request's key is, drawn for each request; a key
+that is 2 versions old may just have been revoked."""
 
 _PATHS = {Kind.STREAM: "/stream/", Kind.SAFE: "/idempotent/", Kind.UNSAFE: "/non_idempotent/"}
 
 
 class Caller:
-    """Sends requests to one entry host over kept connections.
+    """Sends requests to one entry host over keep-alive connections.
 
-    New ones are opened only while the balancer uses the host.
+    New connections are opened only while the balancer routes to the host.
     """
 
     def __init__(
@@ -58,14 +60,14 @@
         self._numbers = (f"{entry.name}-{seed}-{n}" for n in itertools.count())
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send requests on all connections until cancelled."""
         async with self.open_pool() as pool, trio.open_nursery() as nursery:
             for _ in range(CONNECTIONS):
-                nursery.start_soon(self._send_on, pool)
+                nursery.start_soon(self._send_requests, pool)
 
-    async def _send_on(self, pool: httpcore.AsyncConnectionPool) -> None:
+    async def _send_requests(self, pool: httpcore.AsyncConnectionPool) -> None:
         while True:
-            await trio.sleep(self._rng.expovariate(1 / PAUSE_S))
+            await trio.sleep(self._rng.expovariate(1 / MEAN_PAUSE_S))
             is_long = self._rng.random() < LONG_SHARE
             events = LONG_EVENTS if is_long else STREAM_EVENTS
             await self.send(pool, self._rng.choice(list(Kind)), events)
@@ -79,9 +81,9 @@
     async def send(
         self, pool: httpcore.AsyncConnectionPool, kind: Kind, events: int = STREAM_EVENTS
     ) -> Sent:
-        """Send one request, and note it and its answer; a stream has so many events."""
+        """Send one request, and record it and its answer; ``events`` is the length of a stream."""
         request_id = next(self._numbers)
-        version = max(1, self._fleet.version - self._rng.choice(_KEY_LAGS))
+        version = max(1, self._fleet.version - self._rng.choice(_KEY_VERSION_LAGS))
         sent = Sent(
             request_id=request_id,
             kind=kind,
@@ -94,26 +96,26 @@
             deadline_s=deadline_s(kind),
         )
         self._ledger.sent[request_id] = sent
-        sending.set(sent)
-        patience_s = self._rng.choice(PATIENCES_S)
+        current_request.set(sent)
+        extra_wait_s = self._rng.choice(PATIENCES_S)
         try:
-            with trio.fail_after(deadline_s(kind) + patience_s) as limit:
-                await self._exchange(pool, sent, limit)
+            with trio.fail_after(deadline_s(kind) + extra_wait_s) as cancel_scope:
+                await self._exchange(pool, sent, cancel_scope)
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
             sent.failure = repr(error)
         except trio.TooSlowError:
-            sent.has_left = patience_s == 0
-            sent.failure = "out of time"
+            sent.has_given_up = extra_wait_s == 0
+            sent.failure = "timed out"
         sent.ended_s = trio.current_time()
         return sent
 
     async def _exchange(
-        self, pool: httpcore.AsyncConnectionPool, sent: Sent, limit: trio.CancelScope
+        self, pool: httpcore.AsyncConnectionPool, sent: Sent, cancel_scope: trio.CancelScope
     ) -> None:
         headers = _headers(sent)
         method = "GET" if sent.kind is Kind.SAFE else "POST"
         url = f"http://{self._entry.caller_address}{sent.path}"
-        trace = _note_progress(sent, limit)
+        trace = _note_progress(sent, cancel_scope)
         async with pool.stream(
             method, url, headers=headers, content=sent.body or None, extensions={"trace": trace}
         ) as answer:
@@ -126,26 +128,29 @@
 
 
 def deadline_s(kind: Kind) -> float:
-    """Return the time that a caller waits for an answer."""
+    """Return the deadline for an answer to this kind of request."""
     return STREAM_DEADLINE_S if kind is Kind.STREAM else DEADLINE_S
 
 
-def _note_progress(sent: Sent, limit: trio.CancelScope) -> Callable[[str, object], Awaitable[None]]:
-    """Return a trace that notes a new connection, and when the request was sent whole.
+def _note_progress(
+    sent: Sent, cancel_scope: trio.CancelScope
+) -> Callable[[str, object], Awaitable[None]]:
+    """Return an ``httpcore`` trace function that records how the request is sent.
 
-    A host is told of the caller's time with the headers, so it begins anew when they go out: this
-    process may be held up between.
+    It records whether a new connection was opened, and when the headers and the whole request were
+    sent. The time-out starts again when the headers are sent, as the host learns of the deadline
+    from them, and this process may be delayed before.
     """
-    time_s = limit.deadline - trio.current_time()
+    timeout_s = cancel_scope.deadline - trio.current_time()
 
     async def trace(event: str, info: object) -> None:
         if event == "connection.connect_tcp.started":
-            sent.is_on_kept = False
+            sent.is_connection_reused = False
         elif event == "http11.send_request_headers.started":
-            sent.head_sent_s = trio.current_time()
-            limit.deadline = sent.head_sent_s + time_s
+            sent.headers_sent_s = trio.current_time()
+            cancel_scope.deadline = sent.headers_sent_s + timeout_s
         elif event == "http11.send_request_body.complete":
-            sent.sent_whole_s = trio.current_time()
+            sent.fully_sent_s = trio.current_time()
 
     return trace
 
--- a/yewloom/tests/soak/endpoints.py
+++ b/yewloom/tests/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoints that keep a ledger of what they run, and check their groups."""
+"""Simulated endpoints, which record what they run, and checks of engine groups."""
 
 import random
 from collections.abc import Sequence
@@ -12,29 +12,29 @@
 
 from yewloom.platform.standin_engine import StandinEngine
 from yewloom.platform.standin_store import StandinStore
-from yewloom.tests.soak.ledger import Ledger, Ran
+from yewloom.tests.soak.ledger import EndpointRun, Ledger
 
 PLAIN_WORK_S = 0.03
-"""Time that a plain endpoint works on a request."""
+"""Time that a plain endpoint takes for a request without ``WORK_HEADER``."""
 
 REJECTED_SHARE = 0.05
-"""Part of the requests that a plain endpoint says it did not run."""
+"""Share of requests that a plain endpoint rejects as not executed."""
 
 FAILED_SHARE = 0.03
-"""Part of the requests that a plain endpoint runs and answers with 500."""
+"""Share of requests that a plain endpoint runs and answers with status 500."""
 
 EVENTS_HEADER = "soak-events"
-"""Header by which a caller says how many events its stream is to have."""
+"""Request header with the number of events that the stream should have."""
 
 WORK_HEADER = "soak-work-s"
-"""Header by which a caller says for how long a plain endpoint is to work on its request."""
+"""Request header with the time that a plain endpoint should take for the request."""
 
-_SERVING = ("open", "closing")
+_SERVING_STATES = ("open", "closing")
 
 
-def ran(request: Request, endpoint: str, body: bytes) -> Ran:
-    """Return what an endpoint notes of a request."""
-    return Ran(
+def endpoint_run(request: Request, endpoint: str, body: bytes) -> EndpointRun:
+    """Return the record of a request that an endpoint begins to run."""
+    return EndpointRun(
         request_id=request.headers["yewloom-request-id"],
         endpoint=endpoint,
         path=request.url.path,
@@ -44,22 +44,25 @@
     )
 
 
-def events_wanted(request: Request) -> int:
-    """Return how many events an engine is to send."""
+def requested_events(request: Request) -> int:
+    """Return the number of events that the caller asks an engine to send."""
     return int(request.headers[EVENTS_HEADER])
 
 
 class EngineWatch:
-    """Checks, at each run and each join, that groups are whole and that no host is in two."""
+    """Checks at each run that the group is complete, and at each join that no host is in two."""
 
     def __init__(self, ledger: Ledger, engines: Sequence[StandinEngine]) -> None:
         self._ledger = ledger
         self._engines = engines
 
     def on_run(self, engine: StandinEngine, request: Request, body: bytes) -> None:
-        """Note a run; every member must have been ready in this very group."""
-        noted = ran(request, engine.name, body)
-        self._ledger.note_run(noted)
+        """Record a run, and check that every member has been ready in this group.
+
+        The same members in an earlier generation of the group do not count.
+        """
+        run = endpoint_run(request, engine.name, body)
+        self._ledger.record_run(run)
         assert engine.group is not None
         key = (*_group_key(engine.group), tuple(engine.members))
         by_name = {other.name: other for other in self._engines}
@@ -67,39 +70,42 @@
             member = by_name.get(name)
             if member is not None and not member.is_lost and key not in member.was_ready:
                 detail = f"{name} was never ready in {key}"
-                self._ledger.note_broken("partial", noted.request_id, detail)
+                self._ledger.record_violation("partial", run.request_id, detail)
 
     def on_whole(self, request: Request) -> None:
-        """Note that an engine ends an answer."""
-        self._ledger.note_whole(request.headers["yewloom-request-id"], trio.current_time())
+        """Record that an engine has made a whole answer."""
+        self._ledger.record_complete_answer(
+            request.headers["yewloom-request-id"], trio.current_time()
+        )
 
     def on_join(self, engine: StandinEngine, order: dict[str, object]) -> None:
-        """Check that an engine joins nothing twice, and takes no place in a group that serves.
+        """Check that an engine may join a group.
 
-        That is, the head of the group which it leaves by a join serves no more.
+        An earlier process of the engine must not have been in the group, and the leader of the
+        group that the engine leaves by joining must no longer serve.
         """
         if (order["group"], order["epoch"]) in engine.left_behind:
-            detail = f"{engine.name} joins {order['group']}, in which an earlier process was"
-            self._ledger.note_broken("joined again", "", detail)
+            detail = f"{engine.name} joins {order['group']}, which an earlier process was in"
+            self._ledger.record_violation("joined again", "", detail)
         old = engine.group
         if old is None or _group_key(old) == (order["group"], order["epoch"]):
             return
-        head = next((e for e in self._engines if engine.members[:1] == [e.name]), None)
-        if head is None or head.is_lost or head.group is None:
+        leader = next((e for e in self._engines if engine.members[:1] == [e.name]), None)
+        if leader is None or leader.is_lost or leader.group is None:
             return
-        is_same = _group_key(head.group) == _group_key(old)
-        if is_same and head.group["state"] in _SERVING:
+        is_same_group = _group_key(leader.group) == _group_key(old)
+        if is_same_group and leader.group["state"] in _SERVING_STATES:
             detail = f"{engine.name} joins {order['group']} while {old['name']} serves"
-            self._ledger.note_broken("two groups", "", detail)
+            self._ledger.record_violation("two groups", "", detail)
 
 
 def _group_key(group: dict[str, Any]) -> tuple[str, int]:
-    """Return the name and the generation of a group, which tell it from all others."""
+    """Return the name and the generation of a group, which identify it."""
     return group["name"], group["epoch"]
 
 
 class PlainEndpoint:
-    """An endpoint of a plain service: works, rejects or fails, and notes what it ran."""
+    """An endpoint of a plain service: answers, rejects or fails requests, and records runs."""
 
     def __init__(
         self, name: str, service: str, store: StandinStore, ledger: Ledger, rng: random.Random
@@ -115,7 +121,7 @@
         return Starlette(routes=[Route("/{path:path}", self._answer, methods=["GET", "POST"])])
 
     def publish(self, address: str) -> None:
-        """Write the endpoint's entry into the store."""
+        """Write the endpoint's record to the store."""
         spec = {
             "service": self._service,
             "address": address,
@@ -133,13 +139,11 @@
             return Response(status_code=421, headers=headers)
         if self._rng.random() < REJECTED_SHARE:
             return Response(status_code=503, headers={**headers, "yewloom-not-executed": "1"})
-        noted = ran(request, self.name, body)
-        self._ledger.note_run(noted)
+        run = endpoint_run(request, self.name, body)
+        self._ledger.record_run(run)
         await trio.sleep(float(request.headers.get(WORK_HEADER, PLAIN_WORK_S)))
-        self._ledger.note_whole(noted.request_id, trio.current_time())
+        self._ledger.record_complete_answer(run.request_id, trio.current_time())
         headers["yewloom-server-stamp"] = self.name
         if self._rng.random() < FAILED_SHARE:
             return Response(b"failed", status_code=500, headers=headers)
-        return Response(
-            b"%s for %s" % (self.name.encode(), noted.request_id.encode()), 200, headers
-        )
+        return Response(b"%s for %s" % (self.name.encode(), run.request_id.encode()), 200, headers)
--- a/yewloom/tests/soak/fault_play.py
+++ b/yewloom/tests/soak/fault_play.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, carried out on the fleet and undone."""
+"""Inject the faults of a soak into the fleet, and undo them."""
 
 import signal
 from collections.abc import Sequence
@@ -8,73 +8,73 @@
 import trio
 
 from yewloom.tests.soak.faults import (
+    AddInvalidEntries,
     ChangeConfiguration,
-    CutWays,
     DisturbEndpoint,
+    DisturbEngineLinks,
     DisturbPeers,
     DisturbStore,
+    ExpireEntries,
     FailStore,
     Fault,
-    HideEngines,
     KillEntry,
-    LapseEntries,
     LoseEngine,
     PauseEntry,
     PauseStartingEntry,
     ReloadEntry,
     SilenceStore,
-    SpoilEntries,
     StopEntry,
     StopStartingEntry,
     StoreFault,
+    UnlistEngines,
 )
 from yewloom.tests.soak.fleet import EntryProcess, Fleet, SoakEngine
 from yewloom.tests.soak.ledger import GRACE_S, Disturbance, Ledger
 from yewloom.tests.soak.proxy import DatagramFault, LinkFault
 
-QUIET_AFTER_S = 4.0
-"""Time after a fault for which its effects may last."""
+FAULT_EFFECT_S = 4.0
+"""Time after the end of a fault for which its effects may last."""
 
 
 PAUSE_SLACK_S = 0.5
-"""Time until a process that stood still is at work again."""
+"""Time after SIGCONT until a paused process works again."""
 
-SPOILT_ENTRIES: dict[str, Any] = {
+INVALID_ENTRIES: dict[str, Any] = {
     "spoilt-empty": {},
     "spoilt-text": "no entry",
     "spoilt-types": {"service": 7, "address": None, "zone": [], "state": {"a": 1}, "group": 3},
     "spoilt-unknown": {"service": "nobody's", "address": "x", "zone": "y", "state": "asleep"},
 }
-"""Entries that name no endpoint."""
+"""Invalid endpoint records, by name."""
 
-PLANNED = (StopEntry, StopStartingEntry, ReloadEntry, ChangeConfiguration)
-"""Faults that are planned work and disturb nothing."""
+PLANNED_WORK = (StopEntry, StopStartingEntry, ReloadEntry, ChangeConfiguration)
+"""Faults that are planned work, and so do not count as disturbances."""
 
 
-async def play(faults: Sequence[Fault], fleet: Fleet, ledger: Ledger) -> None:
-    """Let all faults happen, and return when the last one is undone."""
+async def run_faults(faults: Sequence[Fault], fleet: Fleet, ledger: Ledger) -> None:
+    """Inject all faults at their times, and return when the last one is undone."""
     began_s = trio.current_time()
     async with trio.open_nursery() as nursery:
         for fault in faults:
-            nursery.start_soon(_play_one, fault, fleet, ledger, began_s)
+            nursery.start_soon(_run_fault, fault, fleet, ledger, began_s)
 
 
-async def _play_one(fault: Fault, fleet: Fleet, ledger: Ledger, began_s: float) -> None:
+async def _run_fault(fault: Fault, fleet: Fleet, ledger: Ledger, began_s: float) -> None:
     await trio.sleep_until(began_s + fault.at_s)
-    if not isinstance(fault, PLANNED):
+    if not isinstance(fault, PLANNED_WORK):
         now_s = trio.current_time()
-        ends_s = now_s + fault.for_s + QUIET_AFTER_S
+        ends_s = now_s + fault.for_s + FAULT_EFFECT_S
         ledger.disturbances.append(Disturbance(now_s, ends_s))
-    await happen(fault, fleet, ledger)
+    await apply_fault(fault, fleet, ledger)
 
 
 @singledispatch
-async def happen(fault: Fault, fleet: Fleet, ledger: Ledger) -> None:
-    """Let a fault happen and undo it."""
-    raise TypeError(f"no such fault: {fault}")
+async def apply_fault(fault: Fault, fleet: Fleet, ledger: Ledger) -> None:
+    """Inject a fault, and undo it after its duration."""
+    raise TypeError(f"unknown fault: {fault}")
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: KillEntry, fleet: Fleet, ledger: Ledger) -> None:
     entry = fleet.entries[fault.entry]
     entry.signal(signal.SIGKILL)
@@ -82,14 +82,14 @@
         await _start_again(entry, fault.for_s)
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: StopEntry, fleet: Fleet, ledger: Ledger) -> None:
     entry = fleet.entries[fault.entry]
     await _stop(entry, ledger)
     await _start_again(entry, fault.for_s)
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: StopStartingEntry, fleet: Fleet, ledger: Ledger) -> None:
     entry = fleet.entries[fault.entry]
     await _stop(entry, ledger)
@@ -100,7 +100,10 @@
 
 
 async def _stop(entry: EntryProcess, ledger: Ledger) -> None:
-    """Ask a process to stop, perhaps once more, and kill it at the end of its grace."""
+    """Send SIGTERM to a process, and SIGKILL at the end of its grace period.
+
+    The grace period counts from the first SIGTERM if there was one before.
+    """
     if not entry.is_running:
         return
     life, now_s = entry.life, trio.current_time()
@@ -109,12 +112,12 @@
     with trio.move_on_at(stopped_s + GRACE_S):
         await entry.wait_ended()
     if entry.life == life and entry.is_running:
-        ledger.note_overdue(life)
+        ledger.record_overdue_stop(life)
         entry.signal(signal.SIGKILL)
 
 
 async def _start_again(entry: EntryProcess, after_s: float) -> None:
-    """Start an ended process, unless another fault has done so."""
+    """Start a process again ``after_s`` after its end, unless another fault has started it."""
     life = entry.life
     await entry.wait_ended()
     await trio.sleep(after_s)
@@ -122,12 +125,12 @@
         entry.start()
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: PauseEntry, fleet: Fleet, ledger: Ledger) -> None:
     await _pause(fleet.entries[fault.entry], fault.for_s, ledger)
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: PauseStartingEntry, fleet: Fleet, ledger: Ledger) -> None:
     entry = fleet.entries[fault.entry]
     entry.signal(signal.SIGKILL)
@@ -138,7 +141,7 @@
 
 
 async def _pause(entry: EntryProcess, for_s: float, ledger: Ledger) -> None:
-    """Let a process stand still for a time."""
+    """Pause a process with SIGSTOP, and resume it after ``for_s``."""
     life, begin_s = entry.life, trio.current_time()
     entry.signal(signal.SIGSTOP)
     ledger.pauses[life].append(Disturbance(begin_s, begin_s + for_s + PAUSE_SLACK_S))
@@ -147,27 +150,27 @@
         entry.signal(signal.SIGCONT)
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: ReloadEntry, fleet: Fleet, ledger: Ledger) -> None:
     entry = fleet.entries[fault.entry]
-    # In the interpreter's own start, some 60 ms, the default action would end the process; the
-    # program cannot do anything about that.
+    # For some 60 ms, while the interpreter itself starts, SIGHUP would end the process by its
+    # default action; the program cannot prevent that.
     await entry.wait_until_taken(signal.SIGHUP)
     entry.signal(signal.SIGHUP)
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: DisturbStore, fleet: Fleet, ledger: Ledger) -> None:
     entries = [fleet.entries[number] for number in fault.entries]
     for entry in entries:
-        entry.store_link.fault = fault.how
+        entry.store_link.fault = fault.kind
     with ledger.disturbing([entry.name for entry in entries]):
         await trio.sleep(fault.for_s)
     for entry in entries:
         entry.store_link.fault = LinkFault.NONE
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: SilenceStore, fleet: Fleet, ledger: Ledger) -> None:
     entries = [fleet.entries[number] for number in fault.entries]
     with ledger.disturbing([entry.name for entry in entries]):
@@ -175,102 +178,105 @@
             entry.store_link.silence_open()
 
 
-@happen.register
-async def _(fault: SpoilEntries, fleet: Fleet, ledger: Ledger) -> None:
-    for name, spec in SPOILT_ENTRIES.items():
+@apply_fault.register
+async def _(fault: AddInvalidEntries, fleet: Fleet, ledger: Ledger) -> None:
+    for name, spec in INVALID_ENTRIES.items():
         fleet.store.put("servers", name, spec)
     await trio.sleep(fault.for_s)
-    for name in SPOILT_ENTRIES:
+    for name in INVALID_ENTRIES:
         fleet.store.remove("servers", name)
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: DisturbPeers, fleet: Fleet, ledger: Ledger) -> None:
-    # That excuses no host: one that hears nothing recent asks the store itself.
+    # This does not count as a disturbance of the hosts: a host without recent messages from its
+    # peers asks the store itself.
     links = [fleet.entries[number].peer_link for number in fault.entries]
     for link in links:
-        link.fault, link.delay_s = fault.how, fault.delay_s
+        link.fault, link.delay_s = fault.kind, fault.delay_s
     await trio.sleep(fault.for_s)
     for link in links:
         link.fault = DatagramFault.NONE
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: DisturbEndpoint, fleet: Fleet, ledger: Ledger) -> None:
     links = [*(engine.link for engine in fleet.engines), *fleet.plain_links]
     link = links[fault.number % len(links)]
-    link.fault = fault.how
+    link.fault = fault.kind
     await trio.sleep(fault.for_s)
     link.fault = LinkFault.NONE
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: FailStore, fleet: Fleet, ledger: Ledger) -> None:
     store = fleet.store
-    if fault.how is StoreFault.FORGET:
+    if fault.kind is StoreFault.FORGET:
         with ledger.disturbing([entry.name for entry in fleet.entries]):
             store.forget_history()
         return
-    store.faults.status = 503 if fault.how is StoreFault.REFUSE else 0
-    store.faults.loses_answers = fault.how is StoreFault.LOSE_ANSWERS
+    store.faults.status = 503 if fault.kind is StoreFault.REFUSE else 0
+    store.faults.loses_answers = fault.kind is StoreFault.LOSE_ANSWERS
     with ledger.disturbing([entry.name for entry in fleet.entries]):
         await trio.sleep(fault.for_s)
     store.faults.status, store.faults.loses_answers = 0, False
 
 
-@happen.register
-async def _(fault: CutWays, fleet: Fleet, ledger: Ledger) -> None:
-    ways = [e.ways[entry] for e in _engines(fleet, fault.engines) for entry in fault.entries]
-    for way in ways:
-        way.fault = fault.how
+@apply_fault.register
+async def _(fault: DisturbEngineLinks, fleet: Fleet, ledger: Ledger) -> None:
+    links = [
+        e.entry_links[entry] for e in _engines(fleet, fault.engines) for entry in fault.entries
+    ]
+    for link in links:
+        link.fault = fault.kind
     await trio.sleep(fault.for_s)
-    for way in ways:
-        way.fault = LinkFault.NONE
+    for link in links:
+        link.fault = LinkFault.NONE
 
 
-@happen.register
-async def _(fault: HideEngines, fleet: Fleet, ledger: Ledger) -> None:
+@apply_fault.register
+async def _(fault: UnlistEngines, fleet: Fleet, ledger: Ledger) -> None:
     engines = _engines(fleet, fault.engines)
-    _hide(engines, fleet)
+    _unlist(engines, fleet)
     await trio.sleep(fault.for_s)
-    _show(engines)
+    _relist(engines)
 
 
-@happen.register
-async def _(fault: LapseEntries, fleet: Fleet, ledger: Ledger) -> None:
+@apply_fault.register
+async def _(fault: ExpireEntries, fleet: Fleet, ledger: Ledger) -> None:
     engines = list(fleet.engines)
     fleet.store.faults.status = 503
     with ledger.disturbing([entry.name for entry in fleet.entries]):
         await trio.sleep(fault.for_s / 2)
-        _hide(engines, fleet)
+        _unlist(engines, fleet)
         await trio.sleep(fault.for_s / 2)
         fleet.store.faults.status = 0
-        await trio.sleep(fault.back_s)
-        _show(engines)
+        await trio.sleep(fault.relist_delay_s)
+        _relist(engines)
 
 
 def _engines(fleet: Fleet, numbers: Sequence[int]) -> list[SoakEngine]:
-    """Return engines by number; fewer are left while lost ones have not been replaced."""
+    """Return engines by number, modulo how many are left: lost ones may not be replaced yet."""
     chosen = {number % len(fleet.engines) for number in numbers} if fleet.engines else set()
     return [fleet.engines[number] for number in sorted(chosen)]
 
 
-def _hide(engines: Sequence[SoakEngine], fleet: Fleet) -> None:
-    for engine in (soaked.engine for soaked in engines):
+def _unlist(engines: Sequence[SoakEngine], fleet: Fleet) -> None:
+    for engine in (soak_engine.engine for soak_engine in engines):
         engine.is_unlisted = True
         fleet.store.remove("servers", engine.name)
 
 
-def _show(engines: Sequence[SoakEngine]) -> None:
-    for engine in (soaked.engine for soaked in engines):
+def _relist(engines: Sequence[SoakEngine]) -> None:
+    for engine in (soak_engine.engine for soak_engine in engines):
         engine.is_unlisted = False
         engine.publish()
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: LoseEngine, fleet: Fleet, ledger: Ledger) -> None:
     if not fleet.engines:
-        return  # All are lost already; others come.
+        return  # All engines are lost already; new ones will be added.
     lost = fleet.engines.pop(fault.number % len(fleet.engines))
     lost.engine.is_lost = True
     lost.link.fault = LinkFault.SILENT
@@ -282,12 +288,12 @@
 
 
 def _stop_group_of(lost: SoakEngine, fleet: Fleet) -> None:
-    """Let the group stand still that a lost engine was a member of."""
+    """Stall the group that a lost engine was a member of."""
     for engine in (other.engine for other in fleet.engines):
         if lost.engine.name in engine.members and engine.members[0] == engine.name:
             engine.moves = trio.Event()
 
 
-@happen.register
+@apply_fault.register
 async def _(fault: ChangeConfiguration, fleet: Fleet, ledger: Ledger) -> None:
     fleet.change_configuration()
--- a/yewloom/tests/soak/faults.py
+++ b/yewloom/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn from a seed: they overlap, and each is undone after its time."""
+"""Faults of a soak, drawn from a seed; they may overlap, and each is undone after its duration."""
 
 import random
 from dataclasses import dataclass
@@ -8,10 +8,12 @@
 
 
 class FaultMix(Enum):
-    """What a soak plays: signals alone leave times calm, in which most is promised.
+    """Kinds of faults that a soak injects.
 
-    ``WAYS`` cuts engines off from some entry hosts, from the store, or from both. ``PAUSES`` lets
-    hosts stand still for longer than requests have, also while they start.
+    ``SIGNALS`` only sends signals for planned stops and reloads, which do not count as
+    disturbances, so that the strictest guarantees apply. ``WAYS`` cuts engines off from some entry
+    hosts, from the store, or from both. ``PAUSES`` pauses hosts for longer than the deadlines of
+    requests, also while they start.
     """
 
     FAULTS = "faults"
@@ -22,7 +24,11 @@
 
 
 class StoreFault(Enum):
-    """What befalls the store; while it refuses, it answers every call with an error."""
+    """Fault of the store.
+
+    ``REFUSE`` answers every call with an error, ``LOSE_ANSWERS`` carries out writes but
+    answers them with an error, and ``FORGET`` discards the history of changes.
+    """
 
     REFUSE = "refuse"
     LOSE_ANSWERS = "lose_answers"
@@ -34,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Something that happens at ``at_s`` of the soak and is undone ``for_s`` later."""
+    """A fault that is injected ``at_s`` after the start of the soak and undone ``for_s`` later."""
 
     at_s: float
     for_s: float
@@ -42,21 +48,21 @@
 
 @dataclass(frozen=True)
 class KillEntry(Fault):
-    """An entry host is killed and started again."""
+    """Kill an entry host and start it again."""
 
     entry: int
 
 
 @dataclass(frozen=True)
 class StopEntry(Fault):
-    """An entry host is stopped as planned and started again."""
+    """Stop an entry host as planned (SIGTERM) and start it again."""
 
     entry: int
 
 
 @dataclass(frozen=True)
 class StopStartingEntry(Fault):
-    """An entry host is stopped, started again, and stopped ``start_s`` after that once more."""
+    """Stop an entry host, start it again, and stop it once more ``start_s`` after that start."""
 
     entry: int
     start_s: float
@@ -64,14 +70,14 @@
 
 @dataclass(frozen=True)
 class PauseEntry(Fault):
-    """An entry host stands still."""
+    """Pause an entry host (SIGSTOP)."""
 
     entry: int
 
 
 @dataclass(frozen=True)
 class PauseStartingEntry(Fault):
-    """An entry host is killed and started again, and stands still from ``start_s`` after that."""
+    """Kill an entry host, start it again, and pause it ``start_s`` after that start."""
 
     entry: int
     start_s: float
@@ -79,92 +85,95 @@
 
 @dataclass(frozen=True)
 class ReloadEntry(Fault):
-    """An entry host is told that its settings changed."""
+    """Tell an entry host to reload its settings (SIGHUP)."""
 
     entry: int
 
 
 @dataclass(frozen=True)
 class DisturbStore(Fault):
-    """The links of some entry hosts to the store are disturbed."""
+    """Disturb the links of some entry hosts to the store."""
 
     entries: tuple[int, ...]
-    how: LinkFault
+    kind: LinkFault
 
 
 @dataclass(frozen=True)
 class SilenceStore(Fault):
-    """Open connections of some entry hosts to the store fall silent for good; new ones work."""
+    """Silence the open connections of some entry hosts to the store for good; new ones work."""
 
     entries: tuple[int, ...]
 
 
 @dataclass(frozen=True)
-class SpoilEntries(Fault):
-    """Another writer puts entries beside those of the endpoints that name none."""
+class AddInvalidEntries(Fault):
+    """Add invalid records, written by another writer, beside those of the endpoints."""
 
 
 @dataclass(frozen=True)
 class DisturbPeers(Fault):
-    """Datagrams to some entry hosts are lost or late; those from them are not."""
+    """Lose or delay datagrams to some entry hosts, but not those that they send."""
 
     entries: tuple[int, ...]
-    how: DatagramFault
+    kind: DatagramFault
     delay_s: float
 
 
 @dataclass(frozen=True)
 class DisturbEndpoint(Fault):
-    """The link to an endpoint is disturbed."""
+    """Disturb the link to an endpoint."""
 
     number: int
-    how: LinkFault
+    kind: LinkFault
 
 
 @dataclass(frozen=True)
-class CutWays(Fault):
-    """The ways from some entry hosts to some engines are disturbed; others reach the engines."""
+class DisturbEngineLinks(Fault):
+    """Disturb the links from some entry hosts to some engines; other hosts reach the engines."""
 
     entries: tuple[int, ...]
     engines: tuple[int, ...]
-    how: LinkFault
+    kind: LinkFault
 
 
 @dataclass(frozen=True)
-class HideEngines(Fault):
-    """The entries of some engines lapse, though they live and serve."""
+class UnlistEngines(Fault):
+    """Remove the store records of some engines, as if they had expired; the engines still serve."""
 
     engines: tuple[int, ...]
 
 
 @dataclass(frozen=True)
-class LapseEntries(Fault):
-    """The store refuses all calls, and entries lapse meanwhile; they are back ``back_s`` after."""
+class ExpireEntries(Fault):
+    """Let the store refuse all calls while the records of all engines expire.
 
-    back_s: float
+    The engines write their records again ``relist_delay_s`` after the store recovers.
+    """
+
+    relist_delay_s: float
 
 
 @dataclass(frozen=True)
 class FailStore(Fault):
-    """The store refuses all calls, loses answers or forgets its history."""
+    """Let the store refuse all calls, lose its answers or forget its history."""
 
-    how: StoreFault
+    kind: StoreFault
 
 
 @dataclass(frozen=True)
 class LoseEngine(Fault):
-    """An engine is lost for good, and another one comes."""
+    """Lose an engine for good, and add a new one."""
 
     number: int
 
 
 @dataclass(frozen=True)
 class ChangeConfiguration(Fault):
-    """The operator writes the next configuration."""
+    """Write the next configuration version."""
 
 
 def draw_faults(rng: random.Random, duration_s: float, entries: int) -> list[Fault]:
-    """Return the faults of a soak; they come in series and overlap."""
+    """Return faults of all kinds, at varying intervals; they may overlap."""
     faults: list[Fault] = []
     at_s = 1.0
     while at_s < duration_s:
@@ -177,7 +186,7 @@
     for_s = rng.uniform(0.3, 4.0)
     entry, number = rng.randrange(entries), rng.randrange(1000)
     link_fault = rng.choice(_LINK_FAULTS)
-    some = tuple(rng.sample(range(entries), rng.randint(1, entries)))
+    chosen_entries = tuple(rng.sample(range(entries), rng.randint(1, entries)))
     store_fault = rng.choice(list(StoreFault))
     return rng.choice(
         [
@@ -185,7 +194,7 @@
             StopEntry(at_s, for_s, entry),
             PauseEntry(at_s, for_s, entry),
             ReloadEntry(at_s, 0.0, entry),
-            DisturbStore(at_s, for_s, some, link_fault),
+            DisturbStore(at_s, for_s, chosen_entries, link_fault),
             DisturbEndpoint(at_s, for_s, number, link_fault),
             FailStore(at_s, for_s, store_fault),
             LoseEngine(at_s, for_s, number),
@@ -196,7 +205,7 @@
 
 
 def draw_signals(rng: random.Random, duration_s: float, entries: int) -> list[Fault]:
-    """Return series of signals around planned stops, which overlap too."""
+    """Return sequences of signals around planned stops; sequences may overlap."""
     faults: list[Fault] = []
     at_s = 1.0
     while at_s < duration_s:
@@ -220,12 +229,12 @@
 
 
 def _rolling_stops(rng: random.Random, at_s: float, entries: int) -> list[Fault]:
-    """Stop most hosts one after the other, before those that were stopped first are back."""
-    some = rng.sample(range(entries), rng.randint(max(1, entries - 2), entries))
+    """Stop most hosts one after the other, perhaps before the first ones have started again."""
+    chosen_entries = rng.sample(range(entries), rng.randint(max(1, entries - 2), entries))
     pause_s = rng.uniform(0.3, 2.5)
     return [
         StopEntry(at_s + number * pause_s, rng.uniform(0.3, 2.0), entry)
-        for number, entry in enumerate(some)
+        for number, entry in enumerate(chosen_entries)
     ]
 
 
@@ -235,7 +244,10 @@
 
 
 def draw_store_faults(rng: random.Random, duration_s: float, entries: int) -> list[Fault]:
-    """Return faults of the ways from the store to the entry hosts, often several hosts at once."""
+    """Return faults of the store, of its links to entry hosts, and of entry hosts.
+
+    They often affect several hosts at once.
+    """
     faults: list[Fault] = []
     at_s = 2.0
     while at_s < duration_s:
@@ -246,69 +258,74 @@
 
 def _draw_store_faults(rng: random.Random, at_s: float, entries: int) -> list[Fault]:
     for_s = rng.uniform(0.5, 5.0)
-    some = tuple(rng.sample(range(entries), rng.randint(1, entries)))
-    few = some[:3]
+    chosen_entries = tuple(rng.sample(range(entries), rng.randint(1, entries)))
+    few_entries = chosen_entries[:3]
     store_fault = rng.choice([StoreFault.REFUSE, StoreFault.FORGET])
     link_fault = rng.choice(_LINK_FAULTS)
     return rng.choice(
         [
-            [KillEntry(at_s, for_s, entry) for entry in few],
-            [PauseEntry(at_s, for_s, entry) for entry in few],
-            [DisturbStore(at_s, for_s, some, link_fault)],
-            [SilenceStore(at_s, 0.0, some)],
+            [KillEntry(at_s, for_s, entry) for entry in few_entries],
+            [PauseEntry(at_s, for_s, entry) for entry in few_entries],
+            [DisturbStore(at_s, for_s, chosen_entries, link_fault)],
+            [SilenceStore(at_s, 0.0, chosen_entries)],
             [SilenceStore(at_s, 0.0, tuple(range(entries)))],
             [FailStore(at_s, for_s, store_fault)],
-            [SpoilEntries(at_s, for_s)],
+            [AddInvalidEntries(at_s, for_s)],
         ]
     )
 
 
 def draw_peer_faults(rng: random.Random, duration_s: float, entries: int) -> list[Fault]:
-    """Return faults of the datagrams among the entry hosts."""
+    """Return faults of the datagrams between entry hosts."""
     faults: list[Fault] = []
     at_s = 2.0
     while at_s < duration_s:
         for_s, delay_s = rng.uniform(0.5, 5.0), rng.uniform(0.1, 2.0)
-        some = tuple(rng.sample(range(entries), rng.randint(1, entries)))
-        how = rng.choice([DatagramFault.LOSE, DatagramFault.DELAY])
-        faults.append(DisturbPeers(at_s, for_s, some, how, delay_s))
+        chosen_entries = tuple(rng.sample(range(entries), rng.randint(1, entries)))
+        kind = rng.choice([DatagramFault.LOSE, DatagramFault.DELAY])
+        faults.append(DisturbPeers(at_s, for_s, chosen_entries, kind, delay_s))
         at_s += rng.uniform(0.5, 6.0)
     return faults
 
 
-def draw_way_faults(
+def draw_engine_link_faults(
     rng: random.Random, duration_s: float, entries: int, engines: int
 ) -> list[Fault]:
-    """Return cuts of the ways to engines, most of them one-sided, amid the loss of coordinators."""
+    """Return faults of links to engines, most of them for some entry hosts only.
+
+    Entry hosts are killed or paused too, so that coordinators are lost in between.
+    """
     faults: list[Fault] = []
     at_s = 1.0
     while at_s < duration_s:
-        faults += _draw_way_faults(rng, at_s, entries, engines)
+        faults += _draw_engine_link_faults(rng, at_s, entries, engines)
         at_s += rng.choice([0.2, 1.0, 3.0]) * rng.uniform(0.5, 1.5)
     return faults
 
 
-def _draw_way_faults(rng: random.Random, at_s: float, entries: int, engines: int) -> list[Fault]:
-    for_s, behind_s = rng.uniform(2.0, 8.0), rng.uniform(0.0, 4.0)
-    some = tuple(rng.sample(range(entries), rng.randint(1, entries)))
-    few = tuple(rng.sample(range(engines), rng.randint(1, max(1, engines // 2))))
-    how = rng.choice([LinkFault.SILENT, LinkFault.CUT_BACK, LinkFault.RESET])
-    cut = CutWays(at_s, for_s, some, few, how)
+def _draw_engine_link_faults(
+    rng: random.Random, at_s: float, entries: int, engines: int
+) -> list[Fault]:
+    for_s, unlist_delay_s = rng.uniform(2.0, 8.0), rng.uniform(0.0, 4.0)
+    chosen_entries = tuple(rng.sample(range(entries), rng.randint(1, entries)))
+    chosen_engines = tuple(rng.sample(range(engines), rng.randint(1, max(1, engines // 2))))
+    kind = rng.choice([LinkFault.SILENT, LinkFault.CUT_BACK, LinkFault.RESET])
+    cut = DisturbEngineLinks(at_s, for_s, chosen_entries, chosen_engines, kind)
     return rng.choice(
         [
             [cut],
-            [cut, HideEngines(at_s + behind_s, for_s, few)],
-            [cut, LapseEntries(at_s + behind_s, for_s / 2, rng.uniform(0.0, 2.0))],
-            [HideEngines(at_s, for_s, few)],
-            [KillEntry(at_s, for_s / 2, some[0])],
-            [PauseEntry(at_s, for_s / 2, some[0])],
-            [LoseEngine(at_s, for_s, few[0])],
+            [cut, UnlistEngines(at_s + unlist_delay_s, for_s, chosen_engines)],
+            [cut, ExpireEntries(at_s + unlist_delay_s, for_s / 2, rng.uniform(0.0, 2.0))],
+            [UnlistEngines(at_s, for_s, chosen_engines)],
+            [KillEntry(at_s, for_s / 2, chosen_entries[0])],
+            [PauseEntry(at_s, for_s / 2, chosen_entries[0])],
+            [LoseEngine(at_s, for_s, chosen_engines[0])],
         ]
     )
 
 
 def draw_pauses(rng: random.Random, duration_s: float, entries: int) -> list[Fault]:
-    """Return pauses of entry hosts, most of them longer than requests have, which overlap."""
+    """Return pauses of entry hosts, many longer than requests' deadlines; they may overlap."""
     faults: list[Fault] = []
     at_s = 1.0
     while at_s < duration_s:
--- a/yewloom/tests/soak/fleet.py
+++ b/yewloom/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet under soak: store, endpoints and links in this process, entry hosts beside it."""
+"""Fleet of a soak: entry hosts as processes; store, endpoints and links in this process."""
 
 import os
 import random
@@ -22,30 +22,31 @@
 from yewloom.platform.standin_store import StandinStore
 from yewloom.tests.engine_rules import STALL_S
 from yewloom.tests.free_ports import free_address, free_port
-from yewloom.tests.soak.endpoints import EngineWatch, PlainEndpoint, events_wanted
+from yewloom.tests.soak.endpoints import EngineWatch, PlainEndpoint, requested_events
 from yewloom.tests.soak.ledger import Ledger
-from yewloom.tests.soak.proxy import FirstBytes, Link, PeerLink
+from yewloom.tests.soak.proxy import FirstBytesCallback, Link, PeerLink
 
 ENGINES, PLAIN, OTHER, MODEL = "engines", "plain", "other", "plates"
 HOST = "soak.example"
 
 EVENT_S = 0.1
-"""Time between two events of a stream: about an iteration, and far from a stall."""
+"""Time between two events of a stream: about one iteration of an engine, and much less than a
+stall."""
 
 PROCESS_CHECK_S = 0.05
-"""Pause between two looks whether a process has ended."""
+"""Interval between two checks whether a process has ended."""
 
 SIGNAL_CHECK_S = 0.001
-"""Pause between two looks whether a process takes a signal."""
+"""Interval between two checks whether a process handles a signal."""
 
-SIGNAL_SETS = ("SigIgn:", "SigCgt:")
-"""Lines of a process's status that hold the signals which it passes over and catches."""
+SIGNAL_MASK_LINES = ("SigIgn:", "SigCgt:")
+"""Prefixes of the lines of ``/proc/PID/status`` with the masks of ignored and caught signals."""
 
 ADDRESS_CHECK_S = 0.05
-"""Pause between two looks whether an entry host has written its own address."""
+"""Interval between two checks whether entry hosts have written their own addresses."""
 
 SERVER_CHECK_S = 0.02
-"""Pause before a server that does not listen yet is connected to again."""
+"""Pause before another connection attempt to a server that does not listen yet."""
 
 ENTRY_SETTINGS = """
 [host]
@@ -65,12 +66,12 @@
 
 
 def key_of(version: int) -> str:
-    """Return the API key that a version of the configuration brings."""
+    """Return the API key that a configuration version introduces."""
     return f"key-{version}"
 
 
 def configuration(version: int, extra_routes: Sequence[dict[str, Any]] = ()) -> dict[str, Any]:
-    """Return a version; it keeps the key of the one before, and drops older ones."""
+    """Return a configuration version; it accepts its own key and that of the version before."""
     kinds = {"stream": ENGINES, "idempotent": PLAIN, "non_idempotent": PLAIN}
     routes = [
         {
@@ -99,7 +100,7 @@
 
 @dataclass
 class EntryProcess:
-    """One entry host and its link to the store; ``lives`` counts its starts."""
+    """One entry host and its links; ``start_count`` is how often its process was started."""
 
     name: str
     caller_address: str
@@ -108,27 +109,27 @@
     store_link: Link
     peer_link: PeerLink
     log: Path
-    lives: int = 0
+    start_count: int = 0
     process: subprocess.Popen[bytes] | None = None
 
     @property
     def life(self) -> str:
-        """Name of the process that runs now."""
-        return f"{self.name}/{self.lives}"
+        """Name of the current process, unique over restarts."""
+        return f"{self.name}/{self.start_count}"
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Tell whether the process has been started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """Return how the process ended, minus the signal that ended it; None while it runs."""
+        """Return the exit code, negative if a signal ended the process; None while it runs."""
         return self.process.poll() if self.process is not None else None
 
     def start(self) -> None:
-        """Start the process anew."""
-        self.lives += 1
+        """Start a new process."""
+        self.start_count += 1
         with self.log.open("ab") as output:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "yewloom.platform"],
@@ -139,7 +140,7 @@
 
     @property
     def pid(self) -> int | None:
-        """Return the number of the process, if it runs."""
+        """Return the process id, or None if the process does not run."""
         return self.process.pid if self.process is not None and self.is_running else None
 
     async def wait_ended(self) -> None:
@@ -148,42 +149,47 @@
             await trio.sleep(PROCESS_CHECK_S)
 
     async def wait_until_taken(self, number: signal.Signals) -> None:
-        """Wait until a signal no longer has its default action in the process, or it has ended."""
-        while self.is_running and not self._takes(number):  # noqa: ASYNC110 - a process
+        """Wait until the process handles a signal instead of its default action, or has ended."""
+        while self.is_running and not self._handles(number):  # noqa: ASYNC110 - a process
             await trio.sleep(SIGNAL_CHECK_S)
 
-    def _takes(self, number: signal.Signals) -> bool:
-        """Tell whether the process catches or passes over a signal."""
+    def _handles(self, number: signal.Signals) -> bool:
+        """Tell whether the process catches or ignores a signal."""
         assert self.process is not None
         status = Path(f"/proc/{self.process.pid}/status").read_text(encoding="utf-8")
-        sets = [line.split()[1] for line in status.splitlines() if line.startswith(SIGNAL_SETS)]
+        sets = [
+            line.split()[1] for line in status.splitlines() if line.startswith(SIGNAL_MASK_LINES)
+        ]
         return any(int(signals, 16) & (1 << (number - 1)) for signals in sets)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone, if it runs."""
+        """Send a signal to this process only, if it runs."""
         if self.process is not None and self.is_running:
             self.process.send_signal(number)
 
 
 @dataclass
 class SoakEngine:
-    """An engine with its link, and the ways by which each entry host reaches that."""
+    """An engine and its link; ``entry_links`` has one more link for each entry host.
+
+    An entry host reaches the engine through its own link and then ``link``.
+    """
 
     engine: StandinEngine
     link: Link
-    ways: list[Link]
+    entry_links: list[Link]
 
 
-async def _break_after_stall(head: StandinEngine, group: dict[str, Any] | None) -> None:
-    """Let a group break unless its leader belongs to another one by then."""
+async def _break_after_stall(leader: StandinEngine, group: dict[str, Any] | None) -> None:
+    """Break a group after the stall time, unless its leader is in another group by then."""
     await trio.sleep(STALL_S)
-    if group is not None and head.group is not None and head.group["name"] == group["name"]:
-        head.break_group()
+    if group is not None and leader.group is not None and leader.group["name"] == group["name"]:
+        leader.break_group()
 
 
 @dataclass
 class Fleet:
-    """Everything under soak."""
+    """All components of a soak."""
 
     folder: Path
     ledger: Ledger
@@ -196,13 +202,13 @@
     version: int = 1
     data_centres: tuple[str, ...] = ("hall-a",)
     _known_engines: list[StandinEngine] = field(default_factory=list)
-    _ways: dict[str, list[Link]] = field(default_factory=dict)
+    _entry_links: dict[str, list[Link]] = field(default_factory=dict)
     _entry_count: int = 0
 
     async def start(self, entries: int, engines: int, plain: int, other: int = 0) -> None:
-        """Start everything; entry hosts need some seconds until they serve.
+        """Start all components; entry hosts need some seconds until they serve.
 
-        ``plain`` and ``other`` are the endpoints of the two plain services.
+        ``plain`` and ``other`` are the numbers of endpoints of the two plain services.
         """
         self.store.put("config", "main", configuration(self.version))
         self._entry_count = entries
@@ -213,26 +219,27 @@
         for number in range(other):
             await self._add_plain(f"{OTHER}-{number}", OTHER)
         for number in range(entries):
-            store = self.store.application(partial(self._view, number))
+            store = self.store.application(partial(self._spec_for_host, number))
             link = await self._open_link(await self._serve(store))
             data_centre = self.data_centres[number % len(self.data_centres)]
             self.entries.append(self._entry(f"entry-{number}", data_centre, link))
         for entry in self.entries:
             entry.start()
 
-    def _view(self, entry: int, kind: str, spec: Any) -> Any:
-        """Return an entry as one entry host reads it: with its own way to an engine.
+    def _spec_for_host(self, entry: int, kind: str, spec: Any) -> Any:
+        """Return a store record as one entry host reads it, with its own link to an engine.
 
-        A coordinator records the addresses that it reads. One that follows it asks by those only a
-        leader that is unlisted, by the way of the one before it.
+        A coordinator writes the addresses that it reads to the store. Its successor uses them only
+        for a group leader that is unlisted, which it then reaches through its predecessor's link.
         """
-        ways = self._ways.get(str(spec.get("address"))) if isinstance(spec, dict) else None
-        return {**spec, "address": ways[entry].address} if ways else spec
+        links = self._entry_links.get(str(spec.get("address"))) if isinstance(spec, dict) else None
+        return {**spec, "address": links[entry].address} if links else spec
 
-    async def interpose_peers(self) -> None:
-        """Let all peers reach each entry host by its link, until cancelled.
+    async def proxy_peers(self) -> None:
+        """Route the traffic of peers to each entry host through its link, until cancelled.
 
-        Each host writes its own address once; the link's address is put in its place.
+        Each host writes its own address to the store once, and this replaces it by the address of
+        the link.
         """
         for entry in self.entries:
             await entry.peer_link.open(self.nursery)
@@ -245,43 +252,45 @@
             await trio.sleep(ADDRESS_CHECK_S)
 
     async def add_engine(self) -> None:
-        """Start a new engine without weights."""
+        """Start a new engine, which has loaded no weights."""
         name = f"engine-{len(self._known_engines)}"
         domain = f"rack-{len(self._known_engines) % 2}"
         engine = StandinEngine(name, "", ENGINES, domain, "hall-a", self.store)
         watch = EngineWatch(self.ledger, self._known_engines)
         engine.on_run, engine.on_join = watch.on_run, watch.on_join
         engine.on_whole, engine.on_left = watch.on_whole, self._on_left
-        engine.events, engine.event_s = events_wanted, EVENT_S
+        engine.events, engine.event_s = requested_events, EVENT_S
         self._known_engines.append(engine)
         link = await self._open_link(await self._serve(engine.application()))
         engine.address = link.address
-        noted = self.ledger.note_handed
-        ways = [await self._open_link(link.address, noted) for _ in range(self._entry_count)]
-        self._ways[link.address] = ways
-        self.engines.append(SoakEngine(engine, link, ways))
+        on_first_bytes = self.ledger.record_forwarded
+        links = [
+            await self._open_link(link.address, on_first_bytes) for _ in range(self._entry_count)
+        ]
+        self._entry_links[link.address] = links
+        self.engines.append(SoakEngine(engine, link, links))
         engine.publish()
 
     def _on_left(self, left: StandinEngine) -> None:
-        """Let the group of an engine that left stand still, and break after the stall time."""
-        head = next((e for e in self._known_engines if left.members[:1] == [e.name]), None)
-        if head is not None and head is not left and head.members == left.members:
-            head.moves = trio.Event()
-            self.nursery.start_soon(_break_after_stall, head, head.group)
+        """Stall the group of an engine that left, and break it after the stall time."""
+        leader = next((e for e in self._known_engines if left.members[:1] == [e.name]), None)
+        if leader is not None and leader is not left and leader.members == left.members:
+            leader.moves = trio.Event()
+            self.nursery.start_soon(_break_after_stall, leader, leader.group)
 
     def change_configuration(self) -> None:
-        """Write the next version, which takes the key of the last but one away."""
+        """Write the next version, which revokes the key of the version before the current one."""
         self.version += 1
         self.store.put("config", "main", configuration(self.version))
-        self.ledger.removed_s[self.version - 2] = trio.current_time()
+        self.ledger.revoked_s[self.version - 2] = trio.current_time()
 
     def pids(self) -> dict[str, int]:
-        """Return the numbers of the entry hosts' processes that run, by life."""
-        found = {entry.life: entry.pid for entry in self.entries}
-        return {life: pid for life, pid in found.items() if pid is not None}
+        """Return the ids of the running entry host processes, by process name."""
+        running = {entry.life: entry.pid for entry in self.entries}
+        return {life: pid for life, pid in running.items() if pid is not None}
 
     def stop(self) -> None:
-        """End the processes that this soak started, and no others."""
+        """Kill the processes that this soak started, and no others."""
         for entry in self.entries:
             entry.signal(signal.SIGCONT)
             entry.signal(signal.SIGKILL)
@@ -292,17 +301,19 @@
     async def _add_plain(self, name: str, service: str) -> None:
         endpoint = PlainEndpoint(name, service, self.store, self.ledger, self.rng)
         target = await self._serve(endpoint.application())
-        link = await self._open_link(target, self.ledger.note_handed)
+        link = await self._open_link(target, self.ledger.record_forwarded)
         self.plain_links.append(link)
         endpoint.publish(link.address)
 
-    async def _open_link(self, target: str, on_first: FirstBytes | None = None) -> Link:
-        link = Link(target, on_first=on_first)
+    async def _open_link(
+        self, target: str, on_first_bytes: FirstBytesCallback | None = None
+    ) -> Link:
+        link = Link(target, on_first_bytes=on_first_bytes)
         await link.open(self.nursery)
         return link
 
     async def _serve(self, application: Starlette) -> str:
-        """Serve an application on a free port; return its address once it answers."""
+        """Serve an application on a free port; return its address once it accepts connections."""
         address = free_address()
         config = Config()
         config.bind = [address]
--- a/yewloom/tests/soak/fragile.py
+++ b/yewloom/tests/soak/fragile.py
@@ -1,4 +1,4 @@
-"""Plain endpoints that one request ends, or that name a limit of the requests that they take."""
+"""Plain endpoints that crash on a certain request, or that announce a limit in their answers."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -11,25 +11,27 @@
 from yewloom.tests.free_ports import free_address
 
 READ_BYTES = 65536
-"""Longest piece of a request that is read at once."""
+"""Maximum number of bytes of a request that are read at a time."""
 
 DOWN_S = 3.0
-"""Time until an endpoint that ended is started again."""
+"""Time from the crash of an endpoint until it is started again."""
 
 LISTED_S = 2.0
-"""Time for which the store still lists an endpoint that ended."""
+"""Time from the crash of an endpoint until its record is removed from the store."""
 
 WORK_S = 0.03
-"""Time that an endpoint works on a request, the one that ends it included."""
+"""Time that an endpoint takes for a request, also for the one that crashes it."""
 
 CRASHING_BODY = b"ends whoever runs it"
 
 
 @dataclass
 class EndpointLedger:
-    """When the crashing request came to endpoints, when it ended one, and all that came to each.
+    """Times at which requests arrived at endpoints, and at which endpoints crashed.
 
-    ``limited_since_s`` is when an endpoint first named its limit.
+    ``arrived_s`` and ``ended_s`` are when the crashing request arrived at any endpoint and when it
+    crashed one. ``all_arrived_s`` has the times of all requests, and ``limited_since_s`` when the
+    limit was first announced, by endpoint id.
     """
 
     arrived_s: list[float] = field(default_factory=list)
@@ -39,9 +41,9 @@
 
 
 class FragileEndpoint:
-    """One address of a plain service; each process at it has an id of its own.
+    """An endpoint of a plain service at a fixed address; each restart gives it a new endpoint id.
 
-    ``limit`` is the text by which it names a limit in all of its answers, if it is not empty.
+    ``limit`` is the value of the ``server-limit`` header of its answers; if empty, there is none.
     """
 
     def __init__(
@@ -58,23 +60,23 @@
         self._store = store
         self._ledger = ledger
         self._address = free_address()
-        self._starts = 0
+        self._start_count = 0
 
     @property
     def _id(self) -> str:
-        return f"{self._name}-{self._starts}"
+        return f"{self._name}-{self._start_count}"
 
     async def run(self) -> None:
-        """Serve, end and start again until cancelled."""
+        """Serve until a crash, then restart, until cancelled."""
         while True:
-            self._starts += 1
-            await self._serve_until_it_ends()
+            self._start_count += 1
+            await self._serve_until_crash()
             await trio.sleep(LISTED_S)
             self._store.remove("servers", self._id)
             await trio.sleep(DOWN_S - LISTED_S)
 
-    async def _serve_until_it_ends(self) -> None:
-        """Run one process: its end closes its port and all of its connections."""
+    async def _serve_until_crash(self) -> None:
+        """Run one simulated process; its crash closes its port and all of its connections."""
         host, port = split_address(self._address)
         listeners = await trio.open_tcp_listeners(port, host=host)
         async with trio.open_nursery() as nursery:
@@ -83,7 +85,7 @@
             self._publish()
 
     def _publish(self) -> None:
-        """Write the entry of the process that runs now into the store."""
+        """Write the record of the current process to the store."""
         spec = {
             "service": self._service,
             "address": self._address,
@@ -96,7 +98,7 @@
 
 
 class _Process:
-    """One process of an endpoint."""
+    """One simulated process of an endpoint, from a start to a crash."""
 
     def __init__(
         self,
@@ -118,10 +120,10 @@
                 while await self._serve_one(stream, connection):
                     connection.start_next_cycle()
             except (trio.BrokenResourceError, h11.RemoteProtocolError):
-                return  # The entry host closed: its caller left, or its time was over.
+                return  # The entry host closed it: its caller disconnected, or the deadline passed.
 
     async def _serve_one(self, stream: trio.SocketStream, connection: h11.Connection) -> bool:
-        """Answer one request; tell whether another may follow."""
+        """Answer one request, and tell whether the connection can be used for another."""
         request, body = None, b""
         while True:
             event = connection.next_event()
@@ -140,7 +142,7 @@
         return connection.our_state is h11.DONE
 
     async def _answer(self, headers: dict[bytes, bytes], body: bytes) -> list[h11.Event]:
-        """Return the answer to a request; one that was meant for another process has not run."""
+        """Run a request and return the answer; reject one that is meant for another process."""
         echoed = [(b"yewloom-request-id", headers.get(b"yewloom-request-id", b""))]
         no_body = (b"content-length", b"0")
         if headers.get(b"yewloom-expect-instance") != self._name.encode():
@@ -154,11 +156,11 @@
             self._scope.cancel()
             await trio.lowlevel.checkpoint()
         stamp = (b"yewloom-server-stamp", self._name.encode())
-        head = [*echoed, *self._named_limit(), stamp, no_body]
-        return [h11.Response(status_code=200, headers=head), h11.EndOfMessage()]
+        response_headers = [*echoed, *self._limit_headers(), stamp, no_body]
+        return [h11.Response(status_code=200, headers=response_headers), h11.EndOfMessage()]
 
-    def _named_limit(self) -> list[tuple[bytes, bytes]]:
-        """Return the header that names the endpoint's limit, if it has one."""
+    def _limit_headers(self) -> list[tuple[bytes, bytes]]:
+        """Return the header that announces the endpoint's limit, if it has one."""
         if not self._endpoint.limit:
             return []
         self._ledger.limited_since_s.setdefault(self._name, trio.current_time())
--- a/yewloom/tests/soak/fragile_play.py
+++ b/yewloom/tests/soak/fragile_play.py
@@ -1,4 +1,4 @@
-"""Callers before entry hosts as processes, whose plain endpoints are fragile."""
+"""Run callers against entry host processes whose plain endpoints crash or announce limits."""
 
 import signal
 import tempfile
@@ -17,50 +17,50 @@
 ENTRIES, ENDPOINTS = 3, 12
 
 CRASH_PAUSE_S = 0.3
-"""Pause between two tries of the request that ends endpoints, at any of the hosts."""
+"""Pause between two crashing requests, which go to the hosts in turn."""
 
-START_LIMIT_S = 60.0
-"""Longest time until all hosts serve."""
+START_TIMEOUT_S = 60.0
+"""Time-out until all hosts serve."""
 
-START_PAUSE_S = 0.05
-"""Pause between two looks whether a host serves."""
+POLL_S = 0.05
+"""Pause before another request is sent to a host that does not serve yet."""
 
 DEADLINE_MS = 2000
 
 
 @dataclass
 class FragilePlay:
-    """Callers of a fleet; ``statuses`` are of all but the crashing request.
+    """Callers of a fleet; ``statuses`` has the statuses of all requests but the crashing ones.
 
-    ``limits`` are the texts by which endpoints name their limits; those behind them name none.
+    ``limits`` are the limits that the first endpoints announce; the other endpoints announce none.
     """
 
     fleet: Fleet
     limits: Sequence[str] = ()
     seen: EndpointLedger = field(default_factory=EndpointLedger)
     statuses: list[int] = field(default_factory=list)
-    _asked: int = 0
+    _request_count: int = 0
 
     async def serve_endpoints(self, nursery: trio.Nursery) -> None:
-        """Begin to run the endpoints."""
-        texts = [*self.limits, *[""] * (ENDPOINTS - len(self.limits))]
-        for number, limit in enumerate(texts):
+        """Start the endpoints."""
+        limits = [*self.limits, *[""] * (ENDPOINTS - len(self.limits))]
+        for number, limit in enumerate(limits):
             endpoint = FragileEndpoint(f"p{number}", PLAIN, self.fleet.store, self.seen, limit)
             nursery.start_soon(endpoint.run)
 
     async def wait_until_served(self) -> None:
-        """Wait until every host answers."""
-        with trio.fail_after(START_LIMIT_S):
+        """Wait until every host answers with status 200."""
+        with trio.fail_after(START_TIMEOUT_S):
             for entry in self.fleet.entries:
-                while await self.ask(entry, b"first") != 200:  # noqa: ASYNC110 - a process
-                    await trio.sleep(START_PAUSE_S)
+                while await self.send(entry, b"first") != 200:  # noqa: ASYNC110 - a process
+                    await trio.sleep(POLL_S)
 
-    async def ask(self, entry: EntryProcess, body: bytes) -> int:
-        """Send a request on a connection of its own; return its status, 0 for no answer."""
-        self._asked += 1
+    async def send(self, entry: EntryProcess, body: bytes) -> int:
+        """Send a request on a new connection; return its status, 0 without an answer."""
+        self._request_count += 1
         headers: dict[bytes | str, bytes | str] = {
             "host": HOST,
-            "yewloom-request-id": f"r{self._asked}",
+            "yewloom-request-id": f"r{self._request_count}",
             "yewloom-deadline-ms": str(DEADLINE_MS),
             "authorization": f"Token {key_of(1)}",
         }
@@ -73,7 +73,7 @@
             return 0
 
     async def run(self, for_s: float, other_pause_s: float, is_crashing: bool) -> None:
-        """Send requests for a time."""
+        """Send requests for ``for_s`` seconds."""
         with trio.move_on_after(for_s):
             async with trio.open_nursery() as callers:
                 if is_crashing:
@@ -90,12 +90,12 @@
         await self.wait_until_served()
 
     async def send_crashing(self) -> None:
-        """Send the request that ends endpoints to the hosts in turn, until cancelled."""
+        """Send the crashing request to the hosts in turn, until cancelled."""
         number = 0
         async with trio.open_nursery() as nursery:
             while True:
                 entry = self.fleet.entries[number % ENTRIES]
-                nursery.start_soon(self.ask, entry, CRASHING_BODY)
+                nursery.start_soon(self.send, entry, CRASHING_BODY)
                 number += 1
                 await trio.sleep(CRASH_PAUSE_S)
 
@@ -104,13 +104,13 @@
         number = 0
         async with trio.open_nursery() as nursery:
             while True:
-                nursery.start_soon(self._ask_other, number)
+                nursery.start_soon(self._send_other, number)
                 number += 1
                 await trio.sleep(pause_s)
 
-    async def _ask_other(self, number: int) -> None:
+    async def _send_other(self, number: int) -> None:
         entry = self.fleet.entries[number % ENTRIES]
-        self.statuses.append(await self.ask(entry, b"other %d" % number))
+        self.statuses.append(await self.send(entry, b"other %d" % number))
 
 
 async def play_fragile(
@@ -120,20 +120,20 @@
     is_crashing: bool = False,
     restarts: int = 0,
 ) -> FragilePlay:
-    """Return what was seen in a time of requests, and in as long a time behind each restart."""
+    """Send requests for ``for_s``, and as long again after each of ``restarts`` restarts."""
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(Path(folder), Ledger(), Random(1), nursery)
-            play = FragilePlay(fleet, limits)
+            session = FragilePlay(fleet, limits)
             try:
                 await fleet.start(ENTRIES, 0, 0)
-                await play.serve_endpoints(nursery)
-                await play.wait_until_served()
-                await play.run(for_s, other_pause_s, is_crashing)
+                await session.serve_endpoints(nursery)
+                await session.wait_until_served()
+                await session.run(for_s, other_pause_s, is_crashing)
                 for _ in range(restarts):
-                    await play.restart_all()
-                    await play.run(for_s, other_pause_s, is_crashing)
+                    await session.restart_all()
+                    await session.run(for_s, other_pause_s, is_crashing)
             finally:
                 fleet.stop()
             nursery.cancel_scope.cancel()
-    return play
+    return session
--- a/yewloom/tests/soak/ledger.py
+++ b/yewloom/tests/soak/ledger.py
@@ -1,6 +1,7 @@
-"""What callers sent and got and what endpoints ran, and the promises that both must bear out.
+"""Record what callers sent and received and what endpoints ran, and check the guarantees.
 
-A request is one attempt of a caller, under its own id. Times are seconds of the soak's clock.
+A request is one attempt of a caller, with an id of its own. Times are in seconds of the soak's
+clock.
 """
 
 import math
@@ -14,45 +15,48 @@
 import trio
 
 REVOCATION_S = 5.0
-"""Time after which a key that was taken away must not be accepted."""
+"""Time after its revocation from which a key must not be accepted."""
 
 REGRESSION_S = 0.25
-"""Time after which a host that showed a version must not act on an older one."""
+"""Time after an answer that shows a configuration version from which that host must not act on an
+older one."""
 
 NOTICE_S = 2.6
-"""Time after SIGTERM for which a host still takes requests: the balancer asks it once a second and
-takes it out after two answers; from the platform's pages, as in ``entry_host``."""
+"""Notice period: time after SIGTERM for which a host still accepts requests. The balancer checks it
+once a second and stops routing to it after two answers; specified by the platform's documentation,
+as in ``entry_host``."""
 
 NOTICE_SLACK_S = 0.4
-"""Time beyond the notice until a request counts as late, which gives the 3 s after SIGTERM of the
-platform's pages."""
+"""Time after the notice period from which a request counts as late. The sum is the 3 s after
+SIGTERM that the platform's documentation specifies."""
 
-CROSSING_S = 0.3
-"""Time after a request was sent whole until which a close may have crossed it: 0.2 s by the
-platform's pages, and 0.1 s for this busy process to see it."""
+CLOSE_RACE_S = 0.3
+"""Time after a request was fully sent during which a connection close may have crossed it: 0.2 s by
+the platform's documentation, and 0.1 s until this busy process sees the close."""
 
 GRACE_S = 8.0
-"""Time from the request to stop until a process is killed; from the platform's pages."""
+"""Grace period: time from SIGTERM until a process is killed; specified by the platform's
+documentation."""
 
-LAST_WORK_S = GRACE_S * 5 / 6
-"""Time after SIGTERM from which work that an endpoint has not ended may be cut off; from the
-platform's pages: the last sixth of the grace."""
+WORK_CUT_OFF_S = GRACE_S * 5 / 6
+"""Time after SIGTERM from which requests that endpoints still work on may be cut off: the last
+sixth of the grace period, specified by the platform's documentation."""
 
 ANSWER_MARGIN_S = 0.05
-"""Time before a deadline from which an end counts as the deadline's: a host gives requests up some
-40 ms before it, so that the caller still hears it."""
+"""Time before a deadline from which the end of a request counts as caused by the deadline: a host
+aborts requests some 40 ms earlier, so that its answer still reaches the caller in time."""
 
 OVERDUE_S = 0.5
-"""Time behind a request's deadline from which a host must hand it to no endpoint; from the
-platform's pages."""
+"""Time after a request's deadline from which a host must not forward it to an endpoint; specified
+by the platform's documentation."""
 
 _REQUEST_ID = re.compile(rb"\r\nyewloom-request-id: *(\S+)", re.IGNORECASE)
 
 STREAM_EVENTS = 5
-"""Events of a whole stream of the shorter kind."""
+"""Number of events of a short stream."""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Answers that promise that the request has not run and never will."""
+"""Statuses that guarantee that the request has not run and never will."""
 
 
 class Kind(Enum):
@@ -64,24 +68,26 @@
 
 
 @dataclass(frozen=True)
-class Broken:
-    """A promise that was broken."""
+class Violation:
+    """A violated guarantee; ``check`` is the name of the check that found it."""
 
-    promise: str
+    check: str
     request_id: str
     detail: str
 
 
 @dataclass
 class Sent:
-    """A request as its caller sent it; ``key_version`` is the configuration that brought its key.
+    """A request as its caller sent it, and the answer.
 
-    ``deadline_s`` is the time that the host was given for an answer.
+    ``key_version`` is the configuration version that introduced its key. ``deadline_s`` is the time
+    that the host was given for an answer.
 
-    ``host_life`` names the process that was asked: the one that ran once the connection was open,
-    or, if none came to be, when the request was made. ``is_on_kept`` tells whether on a connection
-    that was open before, and ``has_left`` that the caller left when its deadline passed.
-    ``failure`` is what ended an exchange without a whole answer.
+    ``host_life`` names the process that the request was sent to: the one that ran when the
+    connection was open or, without a connection, when the request was created.
+    ``is_connection_reused`` tells whether the connection was open before, and ``has_given_up``
+    whether the caller disconnected at its deadline. ``failure`` is the error that ended an exchange
+    without a complete answer.
     """
 
     request_id: str
@@ -91,14 +97,14 @@
     key_version: int
     host_life: str
     sent_s: float
-    head_sent_s: float | None = None
-    sent_whole_s: float | None = None
+    headers_sent_s: float | None = None
+    fully_sent_s: float | None = None
     ended_s: float | None = None
     caller_port: int | None = None
     failure: str = ""
     events: int = STREAM_EVENTS
-    is_on_kept: bool = True
-    has_left: bool = False
+    is_connection_reused: bool = True
+    has_given_up: bool = False
     deadline_s: float = math.inf
     status: int | None = None
     stamp: str = ""
@@ -106,14 +112,16 @@
     is_whole: bool = False
 
     @property
-    def time_ends_s(self) -> float:
-        """When the caller's time is over, which is stated with the headers and counts from them."""
-        return (self.sent_s if self.head_sent_s is None else self.head_sent_s) + self.deadline_s
+    def expires_s(self) -> float:
+        """Time at which the deadline passes; it counts from the headers, which announce it."""
+        return (
+            self.sent_s if self.headers_sent_s is None else self.headers_sent_s
+        ) + self.deadline_s
 
 
 @dataclass(frozen=True)
-class Ran:
-    """A request as an endpoint began to run it."""
+class EndpointRun:
+    """A request that an endpoint began to run."""
 
     request_id: str
     endpoint: str
@@ -125,7 +133,7 @@
 
 @dataclass(frozen=True)
 class Disturbance:
-    """A time in which effects of a fault may show."""
+    """An interval in which effects of a fault may be seen."""
 
     begin_s: float
     end_s: float
@@ -133,101 +141,116 @@
 
 @dataclass
 class Ledger:
-    """Everything that happened, in order."""
+    """Records all requests, runs, stops and faults of a soak, and finds violations.
+
+    ``completed_s`` is when an endpoint had made its whole answer, by request id. ``revoked_s`` is
+    when a version's key was revoked, by version. ``planned_stops`` is when SIGTERM was sent, and
+    ``pauses`` when SIGSTOP was in effect, by process. ``disturbances`` may affect any host, those
+    in ``disturbances_by_host`` the named one.
+    """
 
     sent: dict[str, Sent] = field(default_factory=dict)
-    runs: dict[str, list[Ran]] = field(default_factory=lambda: defaultdict(list))
-    whole_s: dict[str, float] = field(default_factory=dict)
-    removed_s: dict[int, float] = field(default_factory=dict)
-    broken: list[Broken] = field(default_factory=list)
+    runs: dict[str, list[EndpointRun]] = field(default_factory=lambda: defaultdict(list))
+    completed_s: dict[str, float] = field(default_factory=dict)
+    revoked_s: dict[int, float] = field(default_factory=dict)
+    violations: list[Violation] = field(default_factory=list)
     planned_stops: dict[str, float] = field(default_factory=dict)
     disturbances: list[Disturbance] = field(default_factory=list)
     pauses: defaultdict[str, list[Disturbance]] = field(default_factory=lambda: defaultdict(list))
-    by_host: defaultdict[str, list[Disturbance]] = field(default_factory=lambda: defaultdict(list))
-    handed_s: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """When each request was handed to endpoints, by its id."""
+    disturbances_by_host: defaultdict[str, list[Disturbance]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    forwarded_s: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    """When each request was forwarded to endpoints, by request id."""
 
     @contextmanager
     def disturbing(self, hosts: Iterable[str]) -> Iterator[None]:
-        """Take in that these entry hosts are disturbed from now on until the end of the block."""
+        """Record that these entry hosts are disturbed until the end of the ``with`` block."""
         begin_s = trio.current_time()
         begun = {host: Disturbance(begin_s, math.inf) for host in hosts}
         for host, span in begun.items():
-            self.by_host[host].append(span)
+            self.disturbances_by_host[host].append(span)
         try:
             yield
         finally:
             ended = Disturbance(begin_s, trio.current_time())
             for host, span in begun.items():
-                self.by_host[host][self.by_host[host].index(span)] = ended
+                self.disturbances_by_host[host][self.disturbances_by_host[host].index(span)] = ended
 
-    def note_broken(self, promise: str, request_id: str, detail: str) -> None:
-        """Take in that a promise was broken; ``request_id`` is empty if by no one request."""
-        self.broken.append(Broken(promise, request_id, detail))
+    def record_violation(self, check: str, request_id: str, detail: str) -> None:
+        """Record a violation; ``request_id`` is empty if it concerns no single request."""
+        self.violations.append(Violation(check, request_id, detail))
 
-    def note_overdue(self, life: str) -> None:
-        """Take in that a process did not end within its grace; one that stood still may not."""
+    def record_overdue_stop(self, life: str) -> None:
+        """Record that a process did not end within its grace period, unless it was paused in it."""
         stopped_s = self.planned_stops[life]
         if not any(_overlaps(span, stopped_s, stopped_s + GRACE_S) for span in self.pauses[life]):
-            self.note_broken("stop took too long", "", f"{life} runs {GRACE_S} s after SIGTERM")
-
-    def note_run(self, ran: Ran) -> None:
-        """Take in that an endpoint runs a request, and check what must hold at once."""
-        self.runs[ran.request_id].append(ran)
-        sent = self.sent.get(ran.request_id)
+            self.record_violation(
+                "stop took too long", "", f"{life} runs {GRACE_S} s after SIGTERM"
+            )
+
+    def record_run(self, run: EndpointRun) -> None:
+        """Record that an endpoint runs a request, and check what must hold at that time."""
+        self.runs[run.request_id].append(run)
+        sent = self.sent.get(run.request_id)
         if sent is None:
-            self.note_broken("unasked", ran.request_id, "no caller sent it")
+            self.record_violation("unasked", run.request_id, "no caller sent it")
             return
-        if (sent.path, sent.body) != (ran.path, ran.body):
-            self.note_broken("unasked", ran.request_id, "path or body was changed")
-        if ran.customer != "customer":
-            self.note_broken("unasked", ran.request_id, f"customer {ran.customer!r}")
-        removed_s = self.removed_s.get(sent.key_version)
-        if removed_s is not None and sent.sent_s > removed_s + REVOCATION_S:
-            age_s = sent.sent_s - removed_s
-            self.note_broken("revoked", ran.request_id, f"key gone for {age_s:.2f} s")
-
-    def note_handed(self, data: bytes, at_s: float) -> None:
-        """Take in that the first bytes of a connection to an endpoint came at some time."""
+        if (sent.path, sent.body) != (run.path, run.body):
+            self.record_violation("unasked", run.request_id, "path or body was changed")
+        if run.customer != "customer":
+            self.record_violation("unasked", run.request_id, f"customer {run.customer!r}")
+        revoked_s = self.revoked_s.get(sent.key_version)
+        if revoked_s is not None and sent.sent_s > revoked_s + REVOCATION_S:
+            age_s = sent.sent_s - revoked_s
+            self.record_violation("revoked", run.request_id, f"key revoked {age_s:.2f} s earlier")
+
+    def record_forwarded(self, data: bytes, at_s: float) -> None:
+        """Record when the request in the first bytes of an endpoint connection was forwarded."""
         found = _REQUEST_ID.search(data)
         if found is not None:
-            self.handed_s[found[1].decode()].append(at_s)
+            self.forwarded_s[found[1].decode()].append(at_s)
 
-    def note_whole(self, request_id: str, now_s: float) -> None:
-        """Take in that an endpoint has made the whole answer to a request."""
-        self.whole_s[request_id] = now_s
+    def record_complete_answer(self, request_id: str, now_s: float) -> None:
+        """Record when an endpoint had made the whole answer to a request."""
+        self.completed_s[request_id] = now_s
 
-    def check(self) -> list[Broken]:
-        """Return all promises that were broken so far."""
-        found = list(self.broken)
+    def check(self) -> list[Violation]:
+        """Return all violations so far."""
+        found = list(self.violations)
         for sent in self.sent.values():
             found += self._check_request(sent)
             if self._is_unanswered(sent):
-                found.append(Broken("unanswered", sent.request_id, f"by {sent.host_life}"))
+                found.append(Violation("unanswered", sent.request_id, f"by {sent.host_life}"))
         return found + list(self._check_regressions()) + list(self._check_planned_stops())
 
-    def _check_request(self, sent: Sent) -> Iterable[Broken]:
+    def _check_request(self, sent: Sent) -> Iterable[Violation]:
         runs = self.runs.get(sent.request_id, [])
         if sent.kind is Kind.UNSAFE and len(runs) > 1:
-            yield Broken("twice", sent.request_id, f"ran at {[run.endpoint for run in runs]}")
+            yield Violation("twice", sent.request_id, f"ran at {[run.endpoint for run in runs]}")
         if sent.status in NOT_RUN_STATUSES and runs:
-            yield Broken("refused", sent.request_id, f"{sent.status}, ran at {runs[0].endpoint}")
+            yield Violation("refused", sent.request_id, f"{sent.status}, ran at {runs[0].endpoint}")
         if sent.status == 200 and sent.is_whole:
             yield from self._check_answer(sent, runs)
-        for handed_s in self.handed_s.get(sent.request_id, []):
-            late_s = handed_s - sent.time_ends_s
-            if late_s > OVERDUE_S:
-                detail = f"handed on by {sent.host_life} {late_s:.2f} s after its deadline"
-                yield Broken("overdue", sent.request_id, detail)
+        for forwarded_s in self.forwarded_s.get(sent.request_id, []):
+            overdue_s = forwarded_s - sent.expires_s
+            if overdue_s > OVERDUE_S:
+                detail = f"forwarded by {sent.host_life} {overdue_s:.2f} s after its deadline"
+                yield Violation("overdue", sent.request_id, detail)
 
-    def _check_answer(self, sent: Sent, runs: list[Ran]) -> Iterable[Broken]:
+    def _check_answer(self, sent: Sent, runs: list[EndpointRun]) -> Iterable[Violation]:
         if sent.stamp not in {run.endpoint for run in runs}:
-            yield Broken("mixed", sent.request_id, f"stamp {sent.stamp!r} of nobody who ran it")
+            yield Violation(
+                "mixed", sent.request_id, f"stamp {sent.stamp!r} of an endpoint that did not run it"
+            )
         if sent.answer != expected_answer(sent):
-            yield Broken("mixed", sent.request_id, f"answer {sent.answer[:80]!r}")
+            yield Violation("mixed", sent.request_id, f"answer {sent.answer[:80]!r}")
+
+    def _check_regressions(self) -> Iterable[Violation]:
+        """Check that no process refuses a version's key after accepting it, or accepts older ones.
 
-    def _check_regressions(self) -> Iterable[Broken]:
-        """No process that took a version's key may later refuse it, or take an older one."""
+        That would show that the process acts on an older configuration than before.
+        """
         by_life: defaultdict[str, list[Sent]] = defaultdict(list)
         for sent in self.sent.values():
             by_life[sent.host_life].append(sent)
@@ -235,33 +258,41 @@
             accepted = [sent for sent in requests if sent.status == 200]
             for sent in requests:
                 newest = _newest_version_before(sent, accepted)
-                # A version keeps the key of the one before it, so only two behind is older.
+                # A version keeps the key of the one before it, so only a key that is two versions
+                # older shows an older configuration.
                 takes_older = sent.status == 200 and sent.key_version < newest - 1
                 refuses = sent.status == 401 and sent.key_version == newest
-                if takes_older or (refuses and not self._is_removed(sent)):
+                if takes_older or (refuses and not self._is_revoked(sent)):
                     detail = f"{sent.status} for key of version {sent.key_version} after {newest}"
-                    yield Broken("regressed", sent.request_id, detail)
+                    yield Violation("regressed", sent.request_id, detail)
 
-    def _is_removed(self, sent: Sent) -> bool:
-        """Tell whether a request's key may have been taken away before its answer."""
-        removed_s = self.removed_s.get(sent.key_version)
-        return removed_s is not None and (sent.ended_s is None or sent.ended_s >= removed_s)
+    def _is_revoked(self, sent: Sent) -> bool:
+        """Tell whether a request's key may have been revoked before its answer."""
+        revoked_s = self.revoked_s.get(sent.key_version)
+        return revoked_s is not None and (sent.ended_s is None or sent.ended_s >= revoked_s)
 
-    def _check_planned_stops(self) -> Iterable[Broken]:
-        """A planned stop takes no request late and, in calm times, cuts none off."""
+    def _check_planned_stops(self) -> Iterable[Violation]:
+        """Check that a stopping process accepts no late requests, and cuts none off without cause.
+
+        Requests that are cut off while a fault disturbs the soak are not counted.
+        """
         for life, stopped_s in self.planned_stops.items():
             for sent in (sent for sent in self.sent.values() if sent.host_life == life):
-                how = "kept" if sent.is_on_kept else "new"
-                detail = f"{life}, {how} connection, {sent.sent_s - stopped_s:.2f} s after SIGTERM"
+                connection = "kept" if sent.is_connection_reused else "new"
+                detail = (
+                    f"{life}, {connection} connection, "
+                    f"{sent.sent_s - stopped_s:.2f} s after SIGTERM"
+                )
                 if self._is_lost(sent, stopped_s):
-                    yield Broken("lost", sent.request_id, detail)
+                    yield Violation("lost", sent.request_id, detail)
                 if sent.sent_s > self._notice_ends_s(life) and self.runs.get(sent.request_id):
-                    yield Broken("late", sent.request_id, detail)
+                    yield Violation("late", sent.request_id, detail)
 
     def _notice_ends_s(self, life: str) -> float:
-        """Return when a stopping process takes no more requests; it may begin anew behind a pause.
+        """Return the end of a stopping process's notice period, with its slack.
 
-        A process that stood still then sees signal, timer and requests together when it goes on.
+        A pause in that period starts it again: a paused process sees the signal, its timer and
+        pending requests at the same time when it resumes.
         """
         stopped_s = self.planned_stops[life]
         ends_s = stopped_s + NOTICE_S + NOTICE_SLACK_S
@@ -271,44 +302,48 @@
         return ends_s
 
     def _is_unanswered(self, sent: Sent) -> bool:
-        """Tell whether a request that was sent whole in calm times has no answer at all.
+        """Tell whether a request that was fully sent in undisturbed times has no answer at all.
 
-        Excused are a caller that left at its deadline, and a close by a planned stop that crossed
-        the request; one that ran before the stop cut it off counts as lost.
+        Two cases are excused: the caller gave up at its deadline, or the request crossed a
+        connection close of a planned stop. A request that ran before the stop cut it off counts as
+        lost instead.
         """
-        if sent.sent_whole_s is None or sent.ended_s is None:
+        if sent.fully_sent_s is None or sent.ended_s is None:
             return False
-        if sent.status is not None or sent.has_left:
+        if sent.status is not None or sent.has_given_up:
             return False
         if self._is_disturbed(sent.sent_s, sent.ended_s):
             return False
         stopped_s = self.planned_stops.get(sent.host_life)
         if stopped_s is None or sent.ended_s < stopped_s:
             return True
-        is_crossed = sent.ended_s - sent.sent_whole_s <= CROSSING_S
-        return not is_crossed and not self.runs.get(sent.request_id)
+        is_close_race = sent.ended_s - sent.fully_sent_s <= CLOSE_RACE_S
+        return not is_close_race and not self.runs.get(sent.request_id)
 
     def _is_lost(self, sent: Sent, stopped_s: float) -> bool:
-        """Tell whether a request that ran in calm times has no whole answer after a stop."""
+        """Tell whether a request that ran in undisturbed times has no complete answer after a stop.
+
+        Requests that ended at their deadline, or that may be cut off, are excused.
+        """
         if sent.ended_s is None or sent.ended_s < stopped_s:
             return False
         if self._is_disturbed(sent.sent_s, sent.ended_s) or not self.runs.get(sent.request_id):
             return False
-        if _has_reached_deadline(sent) or self._is_late_work(sent, stopped_s):
+        if _has_reached_deadline(sent) or self._is_unfinished_work(sent, stopped_s):
             return False
         return sent.status is None or (sent.status == 200 and not sent.is_whole)
 
-    def _is_late_work(self, sent: Sent, stopped_s: float) -> bool:
-        """Tell whether an endpoint was still at work in the last part of a stop's grace.
+    def _is_unfinished_work(self, sent: Sent, stopped_s: float) -> bool:
+        """Tell whether an endpoint still worked on a request in the last part of the grace period.
 
-        That excuses requests of the notice alone, and none whose answer the endpoint had made some
-        time before: an answer may cross the end.
+        That excuses only requests of the notice period, and only if the endpoint had not made the
+        answer ``CLOSE_RACE_S`` before the end: a later answer may have crossed it.
         """
         assert sent.ended_s is not None
         is_in_notice = sent.sent_s <= stopped_s + NOTICE_S + NOTICE_SLACK_S
-        is_in_last_part = sent.ended_s >= stopped_s + LAST_WORK_S
-        made_s = self.whole_s.get(sent.request_id, math.inf)
-        return is_in_notice and is_in_last_part and made_s > sent.ended_s - CROSSING_S
+        is_in_last_part = sent.ended_s >= stopped_s + WORK_CUT_OFF_S
+        completed_s = self.completed_s.get(sent.request_id, math.inf)
+        return is_in_notice and is_in_last_part and completed_s > sent.ended_s - CLOSE_RACE_S
 
     def _is_disturbed(self, from_s: float, to_s: float) -> bool:
         return any(_overlaps(span, from_s, to_s) for span in self.disturbances)
@@ -326,13 +361,16 @@
 
 
 def _has_reached_deadline(sent: Sent) -> bool:
-    """Tell whether a request ended when its time had run out."""
+    """Tell whether a request ended because of its deadline."""
     assert sent.ended_s is not None
-    return sent.ended_s >= sent.time_ends_s - ANSWER_MARGIN_S
+    return sent.ended_s >= sent.expires_s - ANSWER_MARGIN_S
 
 
 def _newest_version_before(sent: Sent, accepted: Iterable[Sent]) -> int:
-    """Return the newest version whose key was accepted some time before a request; 0 if none."""
+    """Return the newest version whose key was accepted before a request; 0 if there is none.
+
+    Answers within ``REGRESSION_S`` before the request do not count.
+    """
     return max(
         (
             other.key_version
@@ -344,7 +382,7 @@
 
 
 def expected_answer(sent: Sent) -> bytes:
-    """Return the body that a whole answer to a request has."""
+    """Return the body of a complete answer to a request."""
     if sent.kind is Kind.STREAM:
         numbers = range(1, sent.events + 1)
         return b"".join(b"id: %d\ndata: %d\n\n" % (number, number) for number in numbers)
--- a/yewloom/tests/soak/loop_lag.py
+++ b/yewloom/tests/soak/loop_lag.py
@@ -1,34 +1,35 @@
-"""How late the soak's own loop runs: it plays the store, so while it is held up the store is."""
+"""Measure delays of the soak's own event loop; the store runs in it and is slow meanwhile."""
 
 import trio
 
 from yewloom.tests.soak.ledger import Disturbance
 
-PERIOD_S = 0.05
-"""Pause between two looks."""
+SAMPLE_PERIOD_S = 0.05
+"""Interval between two measurements."""
 
-LAG_S = 0.1
-"""Lateness from which the store counts as slow. A call takes some eight passes of the loop here, so
-that it then lasts for 0.8 s and more, 200 times as long as usual."""
+MIN_STALL_S = 0.1
+"""Minimum delay of the event loop that counts as a stall, in which the store is slow. A call to the
+store takes some eight passes of the loop, so it then lasts 0.8 s or more, 200 times as long as
+usual."""
 
 
 class LoopLag:
-    """Measures the lateness of the loop, and keeps the times at which it was held up."""
+    """Measures delays of the event loop, and records its stalls."""
 
     def __init__(self) -> None:
-        self.greatest_s = 0.0
-        self.held_up: list[Disturbance] = []
+        self.max_lag_s = 0.0
+        self.stalls: list[Disturbance] = []
 
     async def run(self) -> None:
         """Measure until cancelled."""
         while True:
-            due_s = trio.current_time() + PERIOD_S
+            due_s = trio.current_time() + SAMPLE_PERIOD_S
             await trio.sleep_until(due_s)
-            self.note(due_s, trio.current_time())
+            self.record(due_s, trio.current_time())
 
-    def note(self, due_s: float, now_s: float) -> None:
-        """Take in when the loop was due, and when it ran."""
+    def record(self, due_s: float, now_s: float) -> None:
+        """Record when the loop should have run, and when it did."""
         lag_s = now_s - due_s
-        self.greatest_s = max(self.greatest_s, lag_s)
-        if lag_s > LAG_S:
-            self.held_up.append(Disturbance(due_s, now_s))
+        self.max_lag_s = max(self.max_lag_s, lag_s)
+        if lag_s > MIN_STALL_S:
+            self.stalls.append(Disturbance(due_s, now_s))
--- a/yewloom/tests/soak/noted_streams.py
+++ b/yewloom/tests/soak/noted_streams.py
@@ -1,4 +1,4 @@
-"""Connections of callers under soak, which note the process that each request reached."""
+"""Connections of soak callers, which record the process that each request was sent to."""
 
 import ssl
 from contextvars import ContextVar
@@ -8,24 +8,24 @@
 
 from yewloom.tests.soak.ledger import Sent
 
-sending: ContextVar[Sent] = ContextVar("sending")
-"""The request that a caller's task sends."""
+current_request: ContextVar[Sent] = ContextVar("current_request")
+"""Request that the current task is sending."""
 
 
-class NotedStream(httpcore.AsyncNetworkStream):
-    """A connection to one process of an entry host, named by ``life``."""
+class RecordedStream(httpcore.AsyncNetworkStream):
+    """A connection to one process of an entry host; ``life`` is the name of that process."""
 
     def __init__(self, stream: httpcore.AsyncNetworkStream, life: str) -> None:
         self._stream = stream
         self._life = life
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read some bytes."""
+        """Read up to ``max_bytes`` bytes."""
         return await self._stream.read(max_bytes, timeout)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write bytes, and note of their request whom they go to."""
-        sent = sending.get()
+        """Write bytes, and record the process and the port with the current request."""
+        sent = current_request.get()
         sent.host_life = self._life
         sent.caller_port = self._stream.get_extra_info("client_addr")[1]
         await self._stream.write(buffer, timeout)
@@ -40,9 +40,9 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Go on encrypted, which no caller under soak does."""
+        """Raise ``NotImplementedError``: soak callers do not use TLS."""
         raise NotImplementedError
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what the network tells of the connection."""
+        """Return transport information of the underlying connection."""
         return self._stream.get_extra_info(info)
--- a/yewloom/tests/soak/process_waits.py
+++ b/yewloom/tests/soak/process_waits.py
@@ -1,6 +1,6 @@
-"""What the machine gave each process under soak: how long it ran, and how long it was let wait.
+"""Sample how long each soak process ran, and how long it waited for a CPU.
 
-A run that is disturbed by other work on the machine shows here, and which process it disturbed.
+The samples show whether other work on the machine disturbed a soak, and which of its processes.
 """
 
 import os
@@ -10,19 +10,19 @@
 
 import trio
 
-LOOK_S = 0.5
-"""Pause between two looks."""
+SAMPLE_PERIOD_S = 0.5
+"""Interval between two samples of a process."""
 
-NANOSECONDS = 1e-9
-"""Seconds in one of the units in which the system counts."""
+SECONDS_PER_NS = 1e-9
+"""Converts the nanoseconds of ``/proc/PID/schedstat`` to seconds."""
 
-SOAK = "soak"
-"""Name of the process that plays the store, the endpoints and the callers."""
+SOAK_PROCESS = "soak"
+"""Name under which the soak's own process is listed; it runs store, endpoints and callers."""
 
 
 @dataclass(frozen=True)
-class ProcessWait:
-    """What one process got between two looks, in seconds of the soak's clock."""
+class CpuSample:
+    """CPU time and run-queue waiting time of one process between two times of the soak's clock."""
 
     life: str
     from_s: float
@@ -32,36 +32,36 @@
 
 
 @dataclass(frozen=True)
-class _Counted:
+class _CpuCounters:
     at_s: float
     ran_s: float
     waited_s: float
 
 
-class ProcessWaits:
-    """Looks at the processes again and again; ``pids`` returns those that run, by life."""
+class CpuSampler:
+    """Samples the running processes periodically; ``pids`` returns their ids by process name."""
 
     def __init__(self, pids: Callable[[], Mapping[str, int]]) -> None:
         self._pids = pids
-        self._last: dict[str, _Counted] = {}
-        self.seen: list[ProcessWait] = []
+        self._last: dict[str, _CpuCounters] = {}
+        self.samples: list[CpuSample] = []
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Take samples until cancelled."""
         while True:
-            for life, pid in {SOAK: os.getpid(), **self._pids()}.items():
-                self._look(life, pid)
-            await trio.sleep(LOOK_S)
+            for life, pid in {SOAK_PROCESS: os.getpid(), **self._pids()}.items():
+                self._sample(life, pid)
+            await trio.sleep(SAMPLE_PERIOD_S)
 
-    def _look(self, life: str, pid: int) -> None:
+    def _sample(self, life: str, pid: int) -> None:
         try:
             text = Path(f"/proc/{pid}/schedstat").read_text(encoding="ascii")
         except OSError:
-            return  # It has ended, or the system does not count.
+            return  # The process has ended, or the system has no scheduler statistics.
         ran_ns, waited_ns, _ = (int(number) for number in text.split())
-        now = _Counted(trio.current_time(), ran_ns * NANOSECONDS, waited_ns * NANOSECONDS)
+        now = _CpuCounters(trio.current_time(), ran_ns * SECONDS_PER_NS, waited_ns * SECONDS_PER_NS)
         last = self._last.get(life)
         self._last[life] = now
         if last is not None:
-            got = now.ran_s - last.ran_s, now.waited_s - last.waited_s
-            self.seen.append(ProcessWait(life, last.at_s, now.at_s, *got))
+            deltas = now.ran_s - last.ran_s, now.waited_s - last.waited_s
+            self.samples.append(CpuSample(life, last.at_s, now.at_s, *deltas))
--- a/yewloom/tests/soak/proxy.py
+++ b/yewloom/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Proxies on the loopback that delay, reset, silence or cut what goes through them."""
+"""Loopback proxies that can delay, reset or drop the traffic through them."""
 
 import socket
 from collections.abc import Callable
@@ -11,30 +11,30 @@
 from yewloom.socket_ages import received_ago_s
 
 READ_BYTES = 65536
-"""Longest piece of data that is carried at once."""
+"""Maximum number of bytes that are forwarded at a time."""
 
 CONNECT_TIMEOUT_S = 2.0
-"""Time until a link gives up to reach its target, which serves on the same machine."""
+"""Time-out of a link's connection to its target, which is on the same machine."""
 
 DELAY_S = 0.15
-"""Delay of each piece of data: about the objective of the shortest requests."""
+"""Delay of each chunk of data: about the latency objective of the shortest requests."""
 
 MAX_DATAGRAM_BYTES = 65507
-"""Longest datagram of UDP over IPv4."""
+"""Maximum size of a UDP datagram over IPv4."""
 
 RESET_CHECK_S = 0.02
-"""Pause between two looks whether open connections are reset."""
+"""Interval between two checks whether open connections are to be reset."""
 
 
-FirstBytes = Callable[[bytes, float], None]
-"""Is told of the first bytes of a connection, and when they came."""
+FirstBytesCallback = Callable[[bytes, float], None]
+"""Callback with the first bytes of a connection, and when they arrived."""
 
 
 class LinkFault(Enum):
-    """What befalls a link; ``CUT_BACK`` loses answers only, ``SILENT`` both ways.
+    """Fault of a link; ``CUT_BACK`` drops data to the client, ``SILENT`` data in both directions.
 
-    A connection on which bytes were lost says nothing more that way, as bytes that came behind them
-    would be taken for them.
+    Once a connection has dropped bytes in one direction, it forwards nothing more that way: later
+    bytes would be taken for the dropped ones.
     """
 
     NONE = "none"
@@ -46,31 +46,34 @@
 
 @dataclass
 class Link:
-    """One proxied address; ``fault`` may change at any time and holds for open connections too.
+    """A TCP proxy; ``fault`` may change at any time and applies to open connections too.
 
-    ``on_first`` is told of the first bytes of each connection, and when they came: by the system's
-    word, as this process may read them late.
+    ``on_first_bytes`` is called with the first bytes from the client of each connection, and when
+    they arrived. That time is the operating system's, as this process may read them late.
     """
 
     target: str
     address: str = ""
     fault: LinkFault = LinkFault.NONE
-    on_first: FirstBytes | None = None
-    _silenced: int = field(default=0, init=False)
+    on_first_bytes: FirstBytesCallback | None = None
+    _silence_count: int = field(default=0, init=False)
 
     def silence_open(self) -> None:
-        """Carry nothing more on the connections that are open now; new ones are carried."""
-        self._silenced += 1
+        """Forward nothing more on the connections that are open now; new ones are not affected."""
+        self._silence_count += 1
 
     async def open(self, nursery: trio.Nursery) -> None:
         """Listen on a free port, ``address``, and serve until the nursery is cancelled."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
-        nursery.start_soon(trio.serve_listeners, self._carry, listeners)
+        nursery.start_soon(trio.serve_listeners, self._relay, listeners)
 
-    async def _carry(self, caller: trio.SocketStream) -> None:
-        """Carry one connection; a fault or an end of either side ends both."""
-        opened = self._silenced
+    async def _relay(self, client: trio.SocketStream) -> None:
+        """Forward one connection in both directions.
+
+        Both sides are closed when the server ends it, on an error, and on the fault ``RESET``.
+        """
+        silence_count = self._silence_count
         try:
             if self.fault is LinkFault.RESET:
                 return
@@ -78,25 +81,29 @@
                 server = await trio.open_tcp_stream(*split_address(self.target))
             async with server, trio.open_nursery() as nursery:
                 nursery.start_soon(self._watch_for_reset, nursery.cancel_scope)
-                nursery.start_soon(self._pump, caller, server, LinkFault.SILENT, opened)
-                await self._pump(server, caller, LinkFault.CUT_BACK, opened)
+                nursery.start_soon(self._pump, client, server, LinkFault.SILENT, silence_count)
+                await self._pump(server, client, LinkFault.CUT_BACK, silence_count)
                 nursery.cancel_scope.cancel()
         except* (OSError, trio.BrokenResourceError, trio.TooSlowError):
-            pass  # A side that ends, ends the connection; callers and checks see it there.
+            pass  # An error at either side closes the connection; callers and checks notice it.
 
     async def _pump(
-        self, source: trio.SocketStream, sink: trio.SocketStream, cut: LinkFault, opened: int
+        self,
+        source: trio.SocketStream,
+        sink: trio.SocketStream,
+        drop_fault: LinkFault,
+        silence_count: int,
     ) -> None:
         has_lost = False
-        on_first = self.on_first if cut is LinkFault.SILENT else None
+        on_first_bytes = self.on_first_bytes if drop_fault is LinkFault.SILENT else None
         while data := await source.receive_some(READ_BYTES):
-            if on_first is not None:
-                on_first(bytes(data), trio.current_time() - received_ago_s(source.socket))
-                on_first = None
+            if on_first_bytes is not None:
+                on_first_bytes(bytes(data), trio.current_time() - received_ago_s(source.socket))
+                on_first_bytes = None
             if self.fault is LinkFault.DELAY:
                 await trio.sleep(DELAY_S)
-            is_silenced = opened != self._silenced
-            has_lost = has_lost or is_silenced or self.fault in (cut, LinkFault.SILENT)
+            is_silenced = silence_count != self._silence_count
+            has_lost = has_lost or is_silenced or self.fault in (drop_fault, LinkFault.SILENT)
             if not has_lost:
                 await sink.send_all(data)
         await sink.send_eof()
@@ -108,7 +115,7 @@
 
 
 class DatagramFault(Enum):
-    """What befalls datagrams on their way to one host; those from it are not touched."""
+    """Fault of the datagrams to one host; those that it sends are not affected."""
 
     NONE = "none"
     LOSE = "lose"
@@ -117,7 +124,7 @@
 
 @dataclass
 class PeerLink:
-    """The way of all peers to one entry host: datagrams, and connections at the same port."""
+    """Proxy of all peer traffic to one entry host: datagrams, and connections on the same port."""
 
     target: str
     fault: DatagramFault = DatagramFault.NONE
@@ -129,7 +136,7 @@
 
     @property
     def address(self) -> str:
-        """Return the address that peers are to use."""
+        """Return the address that peers use."""
         return self._connections.address
 
     async def open(self, nursery: trio.Nursery) -> None:
@@ -137,20 +144,20 @@
         await self._connections.open(nursery)
         datagrams = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         await datagrams.bind(split_address(self.address))
-        nursery.start_soon(self._carry, datagrams, nursery)
+        nursery.start_soon(self._relay, datagrams, nursery)
 
-    async def _carry(self, datagrams: trio.socket.SocketType, nursery: trio.Nursery) -> None:
+    async def _relay(self, datagrams: trio.socket.SocketType, nursery: trio.Nursery) -> None:
         while True:
             try:
                 data = await datagrams.recv(MAX_DATAGRAM_BYTES)
             except ConnectionRefusedError:
-                continue  # Tells of an earlier datagram: the host does not run.
+                continue  # An earlier datagram was refused: the host does not run.
             if self.fault is DatagramFault.DELAY:
-                nursery.start_soon(self._pass_on, datagrams, data, self.delay_s)
+                nursery.start_soon(self._forward, datagrams, data, self.delay_s)
             elif self.fault is DatagramFault.NONE:
-                await self._pass_on(datagrams, data, 0.0)
+                await self._forward(datagrams, data, 0.0)
 
-    async def _pass_on(
+    async def _forward(
         self, datagrams: trio.socket.SocketType, data: bytes, delay_s: float
     ) -> None:
         await trio.sleep(delay_s)
--- a/yewloom/tests/soak/report.py
+++ b/yewloom/tests/soak/report.py
@@ -1,35 +1,35 @@
-"""What a soak that broke a promise tells: each request's times beside what disturbed the soak."""
+"""Describe violations: the times of each request, and what delayed the soak around them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
-from yewloom.tests.soak.ledger import Broken, Disturbance, Sent
-from yewloom.tests.soak.process_waits import LOOK_S, SOAK, ProcessWait
+from yewloom.tests.soak.ledger import Disturbance, Sent, Violation
+from yewloom.tests.soak.process_waits import SAMPLE_PERIOD_S, SOAK_PROCESS, CpuSample
 
-AROUND_S = 1.0
-"""Time before and behind a request in which hold-ups may bear upon it."""
+CONTEXT_S = 1.0
+"""Time before and after a request from which delays of the soak are reported with it."""
 
 
 @dataclass(frozen=True)
 class SoakTimes:
-    """What tells how a soak itself ran; ``unix_offset_s`` leads from its clock to that of logs."""
+    """Delays of a soak's processes; ``unix_offset_s`` converts its clock to Unix time."""
 
-    held_up: list[Disturbance]
-    waits: list[ProcessWait]
+    stalls: list[Disturbance]
+    cpu_samples: list[CpuSample]
     unix_offset_s: float
 
-    def clock(self, time_s: float | None) -> str:
-        """Return a time as the hosts' logs write it."""
+    def log_time(self, time_s: float | None) -> str:
+        """Format a time as in the hosts' logs."""
         if time_s is None:
             return "never"
         at = datetime.fromtimestamp(time_s + self.unix_offset_s, UTC)
         return f"{at:%H:%M:%S}.{at.microsecond // 1000:03d}"
 
 
-def describe(broken: Broken, sent: Sent | None, times: SoakTimes) -> str:
-    """Return what is known of a broken promise, some lines."""
-    lines = [f"{broken.promise} {broken.request_id}: {broken.detail}"]
+def describe(violation: Violation, sent: Sent | None, times: SoakTimes) -> str:
+    """Return several lines of text on a violation and its request."""
+    lines = [f"{violation.check} {violation.request_id}: {violation.detail}"]
     if sent is not None:
         lines += [f"  {line}" for line in _request_lines(sent, times)]
     return "\n".join(lines)
@@ -37,18 +37,30 @@
 
 def _request_lines(sent: Sent, times: SoakTimes) -> Iterable[str]:
     yield (
-        f"{sent.kind.value} to {sent.host_life} from port {sent.caller_port}: noted "
-        f"{times.clock(sent.sent_s)}, head out {times.clock(sent.head_sent_s)}, whole "
-        f"{times.clock(sent.sent_whole_s)}, ended {times.clock(sent.ended_s)}; status "
-        f"{sent.status}, whole {sent.is_whole}, {len(sent.answer)} bytes, {sent.failure}"
+        f"{sent.kind.value} to {sent.host_life} from port {sent.caller_port}: created "
+        f"{times.log_time(sent.sent_s)}, headers sent {times.log_time(sent.headers_sent_s)}, "
+        f"fully sent {times.log_time(sent.fully_sent_s)}, ended {times.log_time(sent.ended_s)}; "
+        f"status {sent.status}, complete {sent.is_whole}, {len(sent.answer)} bytes, {sent.failure}"
     )
-    from_s = sent.sent_s - AROUND_S
-    to_s = (sent.ended_s if sent.ended_s is not None else sent.sent_s) + AROUND_S
-    spans = [span for span in times.held_up if span.begin_s < to_s and span.end_s > from_s]
-    texts = [f"{times.clock(s.begin_s)} for {s.end_s - s.begin_s:.2f} s" for s in spans]
-    yield f"soak held up: {', '.join(texts) or 'no'}"
-    for life in (SOAK, sent.host_life):
-        waits = [w for w in times.waits if w.life == life and w.from_s < to_s and w.to_s > from_s]
-        texts = [f"{w.ran_s * 1000:.0f}/{w.waited_s * 1000:.0f}" for w in waits]
-        since = times.clock(waits[0].from_s) if waits else "never"
-        yield f"{life}: ran/let wait since {since}, each {LOOK_S} s, in ms: {' '.join(texts)}"
+    from_s = sent.sent_s - CONTEXT_S
+    to_s = (sent.ended_s if sent.ended_s is not None else sent.sent_s) + CONTEXT_S
+    stalls = [span for span in times.stalls if span.begin_s < to_s and span.end_s > from_s]
+    texts = [
+        f"{times.log_time(stall.begin_s)} for {stall.end_s - stall.begin_s:.2f} s"
+        for stall in stalls
+    ]
+    yield f"event loop delayed: {', '.join(texts) or 'no'}"
+    for life in (SOAK_PROCESS, sent.host_life):
+        cpu_samples = [
+            sample
+            for sample in times.cpu_samples
+            if sample.life == life and sample.from_s < to_s and sample.to_s > from_s
+        ]
+        texts = [
+            f"{sample.ran_s * 1000:.0f}/{sample.waited_s * 1000:.0f}" for sample in cpu_samples
+        ]
+        since = times.log_time(cpu_samples[0].from_s) if cpu_samples else "never"
+        yield (
+            f"{life}: ran/waited for a CPU since {since}, per {SAMPLE_PERIOD_S} s, in ms: "
+            f"{' '.join(texts)}"
+        )
--- a/yewloom/tests/soak/route_checks.py
+++ b/yewloom/tests/soak/route_checks.py
@@ -1,58 +1,62 @@
-"""Whether the answers on added routes fit the versions of the configuration that may be in force.
+"""Check that answers on added routes match configuration versions that may be in force.
 
-An answer shows which versions allow it: those that send its route to the service that answered, or
-that lack the route if it was refused as unknown. Other answers show nothing.
+A version allows an answer if it sends the route to the service that answered, or if it lacks the
+route and the answer is 404. Other answers say nothing about the version.
 """
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from yewloom.tests.soak.ledger import REGRESSION_S, Broken, Disturbance
-from yewloom.tests.soak.operator import UNKNOWN_ROUTE, Written
+from yewloom.tests.soak.ledger import REGRESSION_S, Disturbance, Violation
+from yewloom.tests.soak.operator import UNKNOWN_ROUTE, WrittenVersion
 
 APPLY_S = 2.0
-"""Time after the store's answer within which a version is in force; from the platform's pages."""
+"""Time after the store's answer within which a version must be in force; specified by the
+platform's documentation."""
 
-CONTACT_S = 3.0
-"""Time after a host's own disturbance from which it must keep that; from the platform's pages."""
+SETTLE_S = 3.0
+"""Time after a disturbance of a host from which ``APPLY_S`` applies to it again; specified by the
+platform's documentation."""
 
-LEAST_ASKED = 20
-"""Requests in calm times from which it is judged whether added routes are served as the first
-ones are; from the platform's pages."""
+MIN_REQUESTS = 20
+"""Minimum number of requests in undisturbed times for checking whether added routes are served and
+whether hosts know that their configuration is current; specified by the platform's
+documentation."""
 
-LEAST_SERVED_SHARE = 0.25
-"""Least part of the share served on the first routes that added ones must reach; from the
-platform's pages."""
+MIN_SERVED_SHARE = 0.25
+"""Minimum share of the requests on added routes that must be served; the platform's documentation
+specifies it relative to the share that is served on the initial routes."""
 
 
-MOST_UNSURE_SHARE = 0.25
-"""Greatest part of the requests for a route that never was which a calm host may refuse for now: it
-then does not know its configuration to be current, which hides that it is late."""
+MAX_UNSURE_SHARE = 0.25
+"""Maximum share of the requests for an unknown route that an undisturbed host may answer with 503.
+With 503 it says that it does not know whether its configuration is current, which would hide that
+it applies versions late."""
 
-LEAST_SPLIT = 60
-"""Answers on split routes from which it is judged how they are divided."""
+MIN_SPLIT_ANSWERS = 60
+"""Minimum number of answers on split routes for checking how requests are split."""
 
-LEAST_SPLIT_SHARE = 0.2
-"""Least part of them that each of two services must have: at equal weights 60 answers miss it by
-chance once in a million soaks."""
+MIN_SPLIT_SHARE = 0.2
+"""Minimum share of the answers on split routes that each of two services must have. With equal
+weights, 60 answers violate it by chance once in a million soaks."""
 
-LEAST_SLOW = 8
-"""Requests that outlast their route's time-out from which it is judged whether that is kept; from
-the platform's pages, as the two below."""
+MIN_SLOW_REQUESTS = 8
+"""Minimum number of requests that exceed their route's time-out for checking that it is enforced.
+This constant and the next two are specified by the platform's documentation."""
 
 TIMEOUT_SLACK_S = 0.5
-"""Time behind a route's time-out by which its final answer must have come."""
+"""Time after a route's time-out by which the final answer must have come."""
 
-MOST_OVERDUE_SHARE = 0.25
-"""Greatest part of those requests whose answer may come later."""
+MAX_OVERDUE_SHARE = 0.25
+"""Maximum share of the requests that exceed their time-out whose answer may come later."""
 
 
 @dataclass(frozen=True)
-class Asked:
-    """One request on an added route, and what came of it.
+class ProbeResult:
+    """One request on an added or unknown route, and its result.
 
-    ``service`` is the one that answered, ``work_s`` the time that its endpoint was asked to work.
+    ``service`` is the one that answered; ``work_s`` is how long its endpoint was asked to work.
     """
 
     host: str
@@ -66,153 +70,168 @@
 
     @property
     def shows_version(self) -> bool:
-        """Tell whether the answer depends on the version that was in force."""
+        """Tell whether the answer depends on the version in force."""
         return self.status == 404 or (self.status == 200 and bool(self.service))
 
 
 class RouteChecks:
-    """Judges answers by the versions written; ``written`` is in order."""
+    """Checks results against the versions in ``written``, which is sorted by time."""
 
     def __init__(
         self,
-        written: Sequence[Written],
-        asked: Sequence[Asked],
+        written: Sequence[WrittenVersion],
+        result: Sequence[ProbeResult],
         disturbances: dict[str, list[Disturbance]],
     ) -> None:
         self._written = written
-        self._asked = [one for one in asked if one.shows_version]
-        self._all = asked
+        self._versioned_results = [one for one in result if one.shows_version]
+        self._results = result
         self._disturbances = disturbances
 
-    def check(self) -> list[Broken]:
-        """Return all promises that were broken."""
+    def check(self) -> list[Violation]:
+        """Return all violations."""
         return [
             *self._check_in_force(),
             *self._check_regressions(),
             *self._check_served(),
-            *self._check_sure(),
+            *self._check_current(),
             *self._check_splits(),
             *self._check_timeouts(),
         ]
 
-    def _check_in_force(self) -> Iterable[Broken]:
-        """No host in calm times answers as only an outdated version, or none, allows."""
-        for asked in self._asked:
-            may_be = self._may_be_in_force(asked)
-            if any(_allows(self._written[number], asked) for number in may_be):
+    def _check_in_force(self) -> Iterable[Violation]:
+        """Check that undisturbed hosts answer as a version that may be in force allows.
+
+        Answers that no version written so far allows are violations of disturbed hosts too.
+        """
+        for result in self._versioned_results:
+            may_be = self._may_be_in_force(result)
+            if any(_allows(self._written[number], result) for number in may_be):
                 continue
-            if self._is_calm(asked.host, asked.sent_s) or not self._allowing(asked):
-                yield Broken("not in force", asked.route, self._describe(asked))
-
-    def _check_regressions(self) -> Iterable[Broken]:
-        """No process that showed a version later answers as only older ones allow."""
-        by_life: defaultdict[str, list[Asked]] = defaultdict(list)
-        for asked in self._asked:
-            by_life[asked.life].append(asked)
-        for asks in by_life.values():
-            shown = sorted((a.ended_s, min(self._allowing(a), default=0)) for a in asks)
-            for asked in asks:
-                before = (n for at_s, n in shown if at_s + REGRESSION_S < asked.sent_s)
-                if max(self._allowing(asked), default=0) < max(before, default=0):
-                    yield Broken("regressed", asked.route, self._describe(asked))
-
-    def _check_served(self) -> Iterable[Broken]:
-        """Added routes that exist all the time of a request are served about as often as any."""
+            if self._is_calm(result.host, result.sent_s) or not self._allowing_versions(result):
+                yield Violation("not in force", result.route, self._describe(result))
+
+    def _check_regressions(self) -> Iterable[Violation]:
+        """Check that no process answers as an older version than one that it acted on before."""
+        by_life: defaultdict[str, list[ProbeResult]] = defaultdict(list)
+        for result in self._versioned_results:
+            by_life[result.life].append(result)
+        for results in by_life.values():
+            shown = sorted((a.ended_s, min(self._allowing_versions(a), default=0)) for a in results)
+            for result in results:
+                before = (n for at_s, n in shown if at_s + REGRESSION_S < result.sent_s)
+                if max(self._allowing_versions(result), default=0) < max(before, default=0):
+                    yield Violation("regressed", result.route, self._describe(result))
+
+    def _check_served(self) -> Iterable[Violation]:
+        """Check that added routes are served if they exist throughout a request."""
         counts: Counter[int | None] = Counter(
-            asked.status
-            for asked in self._all
-            if self._is_calm(asked.host, asked.sent_s)
-            and not self._outlasts_its_route(asked)
-            and all(asked.route in self._written[n].services for n in self._may_be_in_force(asked))
+            result.status
+            for result in self._results
+            if self._is_calm(result.host, result.sent_s)
+            and not self._exceeds_timeout(result)
+            and all(
+                result.route in self._written[n].services for n in self._may_be_in_force(result)
+            )
         )
-        if counts.total() >= LEAST_ASKED and counts[200] < LEAST_SERVED_SHARE * counts.total():
-            yield Broken("not served", "", f"added routes: {dict(counts)}")
+        if counts.total() >= MIN_REQUESTS and counts[200] < MIN_SERVED_SHARE * counts.total():
+            yield Violation("not served", "", f"added routes: {dict(counts)}")
+
+    def _check_current(self) -> Iterable[Violation]:
+        """Check that undisturbed hosts know their configuration to be current.
 
-    def _check_sure(self) -> Iterable[Broken]:
-        """Calm hosts know that their configuration is current, and refuse an unknown route."""
+        They then answer 404 rather than 503 on an unknown route.
+        """
         statuses = Counter(
-            asked.status
-            for asked in self._all
-            if asked.route == UNKNOWN_ROUTE and self._is_calm(asked.host, asked.sent_s)
+            result.status
+            for result in self._results
+            if result.route == UNKNOWN_ROUTE and self._is_calm(result.host, result.sent_s)
         )
-        most = MOST_UNSURE_SHARE * statuses.total()
-        if statuses.total() >= LEAST_ASKED and statuses[503] > most:
-            yield Broken("not sure", UNKNOWN_ROUTE, f"{dict(statuses)}")
-
-    def _check_splits(self) -> Iterable[Broken]:
-        """Routes that are split by equal weights send each service about as many requests."""
-        counts = Counter(asked.service for asked in self._asked if self._is_split(asked))
-        least = LEAST_SPLIT_SHARE * counts.total()
-        if counts.total() >= LEAST_SPLIT and (len(counts) < 2 or min(counts.values()) < least):
-            yield Broken("not split", "", f"answers on split routes: {dict(counts)}")
-
-    def _is_split(self, asked: Asked) -> bool:
-        """Tell whether an answer is of a route that is split in all versions that may hold."""
-        if asked.status != 200:
+        most = MAX_UNSURE_SHARE * statuses.total()
+        if statuses.total() >= MIN_REQUESTS and statuses[503] > most:
+            yield Violation("not sure", UNKNOWN_ROUTE, f"{dict(statuses)}")
+
+    def _check_splits(self) -> Iterable[Violation]:
+        """Check that routes that are split by equal weights send each service its share."""
+        counts = Counter(
+            result.service for result in self._versioned_results if self._is_split(result)
+        )
+        least = MIN_SPLIT_SHARE * counts.total()
+        if counts.total() >= MIN_SPLIT_ANSWERS and (
+            len(counts) < 2 or min(counts.values()) < least
+        ):
+            yield Violation("not split", "", f"answers on split routes: {dict(counts)}")
+
+    def _is_split(self, result: ProbeResult) -> bool:
+        """Tell whether an answer is on a route that all versions that may be in force split."""
+        if result.status != 200:
             return False
-        may_be = (self._written[number] for number in self._may_be_in_force(asked))
-        return all(len(written.services.get(asked.route, ())) > 1 for written in may_be)
-
-    def _check_timeouts(self) -> Iterable[Broken]:
-        """Requests whose endpoint works for too long get their final answer at the time-out."""
-        slow = [asked for asked in self._all if self._outlasts_its_route(asked)]
-        overdue = [asked for asked in slow if self._is_overdue(asked)]
-        if len(slow) >= LEAST_SLOW and len(overdue) > MOST_OVERDUE_SHARE * len(slow):
+        may_be = (self._written[number] for number in self._may_be_in_force(result))
+        return all(len(written.services.get(result.route, ())) > 1 for written in may_be)
+
+    def _check_timeouts(self) -> Iterable[Violation]:
+        """Check that requests that exceed their route's time-out get their answer by then."""
+        slow = [result for result in self._results if self._exceeds_timeout(result)]
+        overdue = [result for result in slow if self._is_overdue(result)]
+        if len(slow) >= MIN_SLOW_REQUESTS and len(overdue) > MAX_OVERDUE_SHARE * len(slow):
             detail = f"{len(overdue)} of {len(slow)} answers came late"
-            yield Broken("time-out not kept", overdue[0].route, detail)
+            yield Violation("time-out not kept", overdue[0].route, detail)
 
-    def _outlasts_its_route(self, asked: Asked) -> bool:
-        timeout_s = self._timeout_s(asked)
-        is_calm = self._is_calm(asked.host, asked.sent_s) and self._is_calm(
-            asked.host, asked.ended_s
+    def _exceeds_timeout(self, result: ProbeResult) -> bool:
+        timeout_s = self._timeout_s(result)
+        is_calm = self._is_calm(result.host, result.sent_s) and self._is_calm(
+            result.host, result.ended_s
         )
-        return timeout_s is not None and asked.work_s > timeout_s and is_calm
+        return timeout_s is not None and result.work_s > timeout_s and is_calm
 
-    def _is_overdue(self, asked: Asked) -> bool:
-        timeout_s = self._timeout_s(asked)
+    def _is_overdue(self, result: ProbeResult) -> bool:
+        timeout_s = self._timeout_s(result)
         assert timeout_s is not None
-        return asked.ended_s - asked.sent_s > timeout_s + TIMEOUT_SLACK_S
+        return result.ended_s - result.sent_s > timeout_s + TIMEOUT_SLACK_S
+
+    def _timeout_s(self, result: ProbeResult) -> float | None:
+        """Return the longest time-out of a request's route in the versions that may be in force.
 
-    def _timeout_s(self, asked: Asked) -> float | None:
-        """Return the longest time-out of a request's route; None if a version lacks the route."""
-        may_be = (self._written[number] for number in self._may_be_in_force(asked))
-        timeouts_ms = [written.timeouts_ms.get(asked.route) for written in may_be]
+        Return None if one of these versions lacks the route or gives no time-out.
+        """
+        may_be = (self._written[number] for number in self._may_be_in_force(result))
+        timeouts_ms = [written.timeouts_ms.get(result.route) for written in may_be]
         known = [timeout_ms for timeout_ms in timeouts_ms if timeout_ms is not None]
         return max(known) / 1000 if len(known) == len(timeouts_ms) else None
 
-    def _may_be_in_force(self, asked: Asked) -> list[int]:
-        """Return the places of the versions that an undisturbed host may act on."""
-        old = [n for n, one in enumerate(self._written) if one.at_s + APPLY_S <= asked.sent_s]
-        new = [n for n, one in enumerate(self._written) if one.at_s <= asked.ended_s]
-        return list(range(max(old, default=0), max(new, default=0) + 1))
+    def _may_be_in_force(self, result: ProbeResult) -> list[int]:
+        """Return the indices of the versions that an undisturbed host may act on."""
+        applied = [n for n, one in enumerate(self._written) if one.at_s + APPLY_S <= result.sent_s]
+        written_before = [n for n, one in enumerate(self._written) if one.at_s <= result.ended_s]
+        return list(range(max(applied, default=0), max(written_before, default=0) + 1))
 
-    def _allowing(self, asked: Asked) -> list[int]:
-        """Return the places of the versions that allow an answer, of those written by its end."""
+    def _allowing_versions(self, result: ProbeResult) -> list[int]:
+        """Return the indices of the versions that allow an answer and were written by its end."""
         return [
             number
             for number, written in enumerate(self._written)
-            if written.at_s <= asked.ended_s and _allows(written, asked)
+            if written.at_s <= result.ended_s and _allows(written, result)
         ]
 
     def _is_calm(self, host: str, at_s: float) -> bool:
         return not any(
-            span.begin_s <= at_s < span.end_s + CONTACT_S
+            span.begin_s <= at_s < span.end_s + SETTLE_S
             for span in self._disturbances.get(host, [])
         )
 
-    def _describe(self, asked: Asked) -> str:
-        allowing = max(self._allowing(asked), default=0)
-        older = self._written[min(allowing + 1, len(self._written) - 1)]
+    def _describe(self, result: ProbeResult) -> str:
+        newest_allowing = max(self._allowing_versions(result), default=0)
+        next_version = self._written[min(newest_allowing + 1, len(self._written) - 1)]
         return (
-            f"{asked.life} answered {asked.status} {asked.service} at {asked.sent_s:.2f} s, which "
-            f"version {self._written[allowing].version} allows; version {older.version} is "
-            f"{asked.sent_s - older.at_s:.2f} s old"
+            f"{result.life} answered {result.status} {result.service} at {result.sent_s:.2f} s, "
+            f"which version {self._written[newest_allowing].version} allows; "
+            f"version {next_version.version} is {result.sent_s - next_version.at_s:.2f} s old"
         )
 
 
-def _allows(written: Written, asked: Asked) -> bool:
+def _allows(written: WrittenVersion, result: ProbeResult) -> bool:
     """Tell whether a version allows an answer."""
-    services = written.services.get(asked.route)
-    if asked.status == 404:
+    services = written.services.get(result.route)
+    if result.status == 404:
         return services is None
-    return services is not None and asked.service in services
+    return services is not None and result.service in services
--- a/yewloom/tests/soak/route_probes.py
+++ b/yewloom/tests/soak/route_probes.py
@@ -1,4 +1,4 @@
-"""Callers that ask each entry host for added, dropped and unknown routes, on new connections."""
+"""Probes: requests to each entry host on added, dropped and unknown routes, on new connections."""
 
 import itertools
 import random
@@ -10,62 +10,63 @@
 from yewloom.tests.soak.fleet import HOST, EntryProcess, Fleet, key_of
 from yewloom.tests.soak.ledger import Kind, Sent
 from yewloom.tests.soak.operator import UNKNOWN_ROUTE, Operator
-from yewloom.tests.soak.route_checks import Asked
+from yewloom.tests.soak.route_checks import ProbeResult
 
-PERIOD_S = 0.25
-"""Mean pause of a caller between an answer and its next question. At a third of it nine hosts are
-asked 270 times a second, and beside a busy machine's other work the soak's process, which plays the
-store too, then left calls without an answer for 10 s."""
+MEAN_PAUSE_S = 0.25
+"""Mean pause of a prober between an answer and its next request. With a third of it, nine hosts got
+270 requests a second, and on a busy machine the soak's process, which also runs the store, left
+calls unanswered for 10 s."""
 
 CALLERS_PER_ENTRY = 2
-"""Callers that ask one host, each one question at a time: a host that stands still is asked no more
-often than another."""
+"""Number of probers of each host. Each has one request at a time, so that a paused host gets no
+more requests than others."""
 
 TIMEOUT_S = 4.0
-"""Longest wait for an answer: beyond the work and the time-outs that are to be told apart."""
+"""Time-out of a probe; longer than the endpoints' work and than the route time-outs that are
+checked."""
 
 LONG_WORK_S = 2.5
-"""Work that outlasts some routes' time-outs."""
+"""Work time of an endpoint that exceeds the time-outs of some routes."""
 
 LONG_SHARE = 0.1
-"""Part of the requests that ask for it."""
+"""Share of requests that ask for ``LONG_WORK_S``."""
 
 LATEST_VERSIONS = 4
-"""Versions whose routes are asked for: routes that were dropped lately are among them."""
+"""Number of latest versions whose routes are probed; they include recently dropped routes."""
 
 
 class RouteProbes:
-    """Asks the entry hosts and keeps what they answer."""
+    """Sends probes to all entry hosts, and records their results."""
 
     def __init__(self, fleet: Fleet, operator: Operator, rng: random.Random) -> None:
         self._fleet = fleet
         self._operator = operator
         self._rng = rng
         self._numbers = itertools.count()
-        self.asked: list[Asked] = []
+        self.results: list[ProbeResult] = []
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send probes until cancelled."""
         async with trio.open_nursery() as nursery:
             for entry in self._fleet.entries:
                 for _ in range(CALLERS_PER_ENTRY):
-                    nursery.start_soon(self._ask_often, entry)
+                    nursery.start_soon(self._probe_repeatedly, entry)
 
-    async def _ask_often(self, entry: EntryProcess) -> None:
+    async def _probe_repeatedly(self, entry: EntryProcess) -> None:
         while True:
-            await trio.sleep(self._rng.expovariate(1 / PERIOD_S))
-            await self._ask(entry, self._rng.choice(self._routes()))
+            await trio.sleep(self._rng.expovariate(1 / MEAN_PAUSE_S))
+            await self._probe(entry, self._rng.choice(self._routes()))
 
     def _routes(self) -> list[str]:
         latest = self._operator.written[-LATEST_VERSIONS:]
         return sorted({name for written in latest for name in written.services} | {UNKNOWN_ROUTE})
 
-    async def _ask(self, entry: EntryProcess, route: str) -> None:
+    async def _probe(self, entry: EntryProcess, route: str) -> None:
         work_s = LONG_WORK_S if self._rng.random() < LONG_SHARE else PLAIN_WORK_S
         request_id = f"probe-{next(self._numbers)}"
         life, sent_s = entry.life, trio.current_time()
         path = f"/{route}/{request_id}"
-        # The endpoints look every request up here; one that no caller sent is a fault.
+        # The ledger reports a request that runs at an endpoint but was not recorded as sent.
         self._fleet.ledger.sent[request_id] = Sent(
             request_id, Kind.SAFE, path, b"", self._fleet.version, life, sent_s
         )
@@ -73,14 +74,16 @@
         with trio.move_on_after(TIMEOUT_S):
             status, stamp = await self._get(entry, path, request_id, work_s)
         service = stamp.rpartition("-")[0]
-        self.asked.append(
-            Asked(entry.name, life, route, sent_s, trio.current_time(), status, service, work_s)
+        self.results.append(
+            ProbeResult(
+                entry.name, life, route, sent_s, trio.current_time(), status, service, work_s
+            )
         )
 
     async def _get(
         self, entry: EntryProcess, path: str, request_id: str, work_s: float
     ) -> tuple[int | None, str]:
-        """Return the status of the answer, None without one, and the name of who answered."""
+        """Return the status, None without an answer, and the name of the endpoint that answered."""
         headers: dict[bytes | str, bytes | str] = {
             "host": HOST,
             "yewloom-request-id": request_id,
--- a/yewloom/tests/soak_support.py
+++ b/yewloom/tests/soak_support.py
@@ -1,17 +1,17 @@
-"""What tests ask of a soak."""
+"""Assertion shared by the soak tests."""
 
 import unittest
 
 from yewloom.tests.soak.run import SoakPlan, soak
 
-LEAST_STREAMS = 20
-"""Whole streams that a soak must have had, which shows that its callers were at work: the requests
-that ask whether all serve are some ten."""
+MIN_STREAMS = 20
+"""Number of complete streams that a soak must exceed, which shows that its callers were active. The
+checks whether all hosts serve send some ten requests themselves."""
 
 
 def assert_clean(test: unittest.TestCase, plan: SoakPlan) -> None:
-    """Run a soak; it must break no promise, and its callers must have been at work."""
+    """Run a soak, and assert that it has no violations and that its callers were active."""
     result = soak(plan)
-    test.assertEqual(result.broken, [], result.text())
-    # Those that ask whether all serve send a few at the start and at the end.
-    test.assertGreater(result.outcomes["stream 200"], LEAST_STREAMS, result.text())
+    test.assertEqual(result.violations, [], result.text())
+    # The checks whether all hosts serve, at the start and at the end, send a few streams too.
+    test.assertGreater(result.outcomes["stream 200"], MIN_STREAMS, result.text())
--- a/yewloom/tests/test_route_soak.py
+++ b/yewloom/tests/test_route_soak.py
@@ -1,51 +1,52 @@
-"""Tests of what the soak of the configuration checks, and short soaks with fixed seeds."""
+"""Tests of the checks of the configuration soak, and short soaks with fixed seeds."""
 
 import random
 import unittest
 from dataclasses import replace
 
-from yewloom.tests.soak.configuration_run import LEAST_ANSWERS, RoutePlan, soak_routes
+from yewloom.tests.soak.configuration_run import MIN_ANSWERS, RoutePlan, soak_routes
 from yewloom.tests.soak.faults import DisturbPeers, Fault, draw_store_faults
 from yewloom.tests.soak.ledger import REGRESSION_S, Disturbance
-from yewloom.tests.soak.loop_lag import LAG_S, LoopLag
-from yewloom.tests.soak.operator import UNKNOWN_ROUTE, Written
+from yewloom.tests.soak.loop_lag import MIN_STALL_S, LoopLag
+from yewloom.tests.soak.operator import UNKNOWN_ROUTE, WrittenVersion
 from yewloom.tests.soak.route_checks import (
     APPLY_S,
-    CONTACT_S,
-    LEAST_ASKED,
-    LEAST_SLOW,
-    LEAST_SPLIT,
-    Asked,
+    MIN_REQUESTS,
+    MIN_SLOW_REQUESTS,
+    MIN_SPLIT_ANSWERS,
+    SETTLE_S,
+    ProbeResult,
     RouteChecks,
 )
 
 SHORT_SEED = 1
-"""Seed that CI plays for a short time."""
+"""Seed of a short soak in CI."""
 
 FAILED_SEEDS = (6,)
-"""Seeds that failed once; their faults are played as they were, while the operator's draws depend
-on the pace of the endpoints, with whom it shares them.
+"""Seeds that failed once. A seed gives the same faults again, but not the same changes of routes:
+the operator shares its random generator with the endpoints, so its draws depend on their timing.
 
-6: a host that rests listed over an idle connection to the store that had fallen silent, and refused
-two routes that had been added 2.0 s and 2.3 s before (``test_silent_connections``).
+6: a host that did not watch the store listed the configuration over an idle connection that had
+fallen silent. It refused two routes that had been added 2.0 s and 2.3 s earlier; see
+``test_silent_connections``.
 """
 
 PLAIN, OTHER, BOTH = ("plain",), ("other",), ("plain", "other")
 
 WRITTEN = [
-    Written(1, 0.0, {}),
-    Written(5, 10.0, {"a": PLAIN}),
-    Written(6, 20.0, {"a": OTHER, "b": PLAIN}),
-    Written(9, 30.0, {"a": BOTH}),
+    WrittenVersion(1, 0.0, {}),
+    WrittenVersion(5, 10.0, {"a": PLAIN}),
+    WrittenVersion(6, 20.0, {"a": OTHER, "b": PLAIN}),
+    WrittenVersion(9, 30.0, {"a": BOTH}),
 ]
 
-ASKED = Asked("e", "e/1", "a", 0.0, 0.1, 200, "plain")
+PROBE_RESULT = ProbeResult("e", "e/1", "a", 0.0, 0.1, 200, "plain")
 
 
-def _asked(sent_s: float, route: str, service: str = "", life: str = "e/1") -> Asked:
-    """Return an answer of a service, or a refusal of a route as unknown."""
+def _result(sent_s: float, route: str, service: str = "", life: str = "e/1") -> ProbeResult:
+    """Return an answer of a service, or a 404 for an unknown route."""
     return replace(
-        ASKED,
+        PROBE_RESULT,
         life=life,
         route=route,
         sent_s=sent_s,
@@ -56,105 +57,105 @@
 
 
 class TestRouteChecks(unittest.TestCase):
-    """Every late, older or missing version is found, and nothing else."""
+    """The checks find every late, older or missing version, and report nothing else."""
 
-    def _promises(self, *asked: Asked, disturbed: Disturbance | None = None) -> list[str]:
+    def _violated(self, *result: ProbeResult, disturbed: Disturbance | None = None) -> list[str]:
         disturbances = {"e": [disturbed]} if disturbed is not None else {}
-        return [one.promise for one in RouteChecks(WRITTEN, asked, disturbances).check()]
+        return [violation.check for violation in RouteChecks(WRITTEN, result, disturbances).check()]
 
-    def test_a_version_may_come_into_force_until_its_time_is_over(self) -> None:
+    def test_a_version_must_be_in_force_after_the_apply_time(self) -> None:
         for sent_s in (10.0 + APPLY_S - 0.1, 5.0):
-            self.assertEqual(self._promises(_asked(sent_s, "a")), [])
-        self.assertEqual(self._promises(_asked(10.0 + APPLY_S + 0.1, "a")), ["not in force"])
+            self.assertEqual(self._violated(_result(sent_s, "a")), [])
+        self.assertEqual(self._violated(_result(10.0 + APPLY_S + 0.1, "a")), ["not in force"])
 
-    def test_a_route_that_moved_goes_to_its_new_service(self) -> None:
-        self.assertEqual(self._promises(_asked(20.1, "a", "plain")), [])
-        self.assertEqual(self._promises(_asked(20.1, "a", "other")), [])
-        late = _asked(20.0 + APPLY_S + 0.1, "a", "plain")
-        self.assertEqual(self._promises(late), ["not in force"])
+    def test_a_moved_route_must_go_to_its_new_service(self) -> None:
+        self.assertEqual(self._violated(_result(20.1, "a", "plain")), [])
+        self.assertEqual(self._violated(_result(20.1, "a", "other")), [])
+        late = _result(20.0 + APPLY_S + 0.1, "a", "plain")
+        self.assertEqual(self._violated(late), ["not in force"])
 
-    def test_a_route_that_was_dropped_is_served_no_more(self) -> None:
-        late = _asked(30.0 + APPLY_S + 0.1, "b", "plain")
-        self.assertEqual(self._promises(late), ["not in force"])
+    def test_a_dropped_route_must_not_be_served(self) -> None:
+        late = _result(30.0 + APPLY_S + 0.1, "b", "plain")
+        self.assertEqual(self._violated(late), ["not in force"])
 
-    def test_a_split_route_goes_to_any_of_its_services(self) -> None:
-        answers = (_asked(40.0, "a", "plain"), _asked(40.0, "a", "other"))
-        self.assertEqual(self._promises(*answers), [])
+    def test_a_split_route_may_go_to_any_of_its_services(self) -> None:
+        answers = (_result(40.0, "a", "plain"), _result(40.0, "a", "other"))
+        self.assertEqual(self._violated(*answers), [])
 
-    def test_a_version_is_never_in_force_before_it_is_written(self) -> None:
-        self.assertIn("not in force", self._promises(_asked(9.0, "a", "plain")))
+    def test_a_version_must_not_be_in_force_before_it_is_written(self) -> None:
+        self.assertIn("not in force", self._violated(_result(9.0, "a", "plain")))
 
     def test_a_disturbed_host_may_be_late(self) -> None:
         late_s = 10.0 + APPLY_S + 0.1
         during = Disturbance(late_s - 1.0, late_s + 1.0)
-        self.assertEqual(self._promises(_asked(late_s, "a"), disturbed=during), [])
-        just_over = Disturbance(0.0, late_s - CONTACT_S + 0.1)
-        self.assertEqual(self._promises(_asked(late_s, "a"), disturbed=just_over), [])
-        over = Disturbance(0.0, late_s - CONTACT_S - 0.1)
-        self.assertEqual(self._promises(_asked(late_s, "a"), disturbed=over), ["not in force"])
-
-    def test_a_process_that_showed_a_version_never_goes_back(self) -> None:
-        newer = _asked(10.1, "a", "plain")
-        back = _asked(10.2 + REGRESSION_S + 0.1, "a")
+        self.assertEqual(self._violated(_result(late_s, "a"), disturbed=during), [])
+        just_over = Disturbance(0.0, late_s - SETTLE_S + 0.1)
+        self.assertEqual(self._violated(_result(late_s, "a"), disturbed=just_over), [])
+        over = Disturbance(0.0, late_s - SETTLE_S - 0.1)
+        self.assertEqual(self._violated(_result(late_s, "a"), disturbed=over), ["not in force"])
+
+    def test_a_process_must_not_return_to_an_older_version(self) -> None:
+        newer = _result(10.1, "a", "plain")
+        back = _result(10.2 + REGRESSION_S + 0.1, "a")
         always = Disturbance(0.0, 100.0)
-        self.assertEqual(self._promises(newer, back, disturbed=always), ["regressed"])
-        self.assertEqual(self._promises(newer, replace(back, life="e/2"), disturbed=always), [])
-        at_once = _asked(10.2 + REGRESSION_S - 0.1, "a")
-        self.assertEqual(self._promises(newer, at_once, disturbed=always), [])
-
-    def test_added_routes_are_served(self) -> None:
-        busy = replace(_asked(15.0, "a"), status=503)
-        self.assertEqual(self._promises(*[busy] * LEAST_ASKED), ["not served"])
-        self.assertEqual(self._promises(*[busy] * (LEAST_ASKED - 1)), [])
-        served = [_asked(15.0, "a", "plain")] * LEAST_ASKED
-        self.assertEqual(self._promises(*[busy] * LEAST_ASKED, *served), [])
-
-    def test_a_calm_host_that_does_not_know_whether_it_is_late(self) -> None:
-        unsure = replace(_asked(15.0, UNKNOWN_ROUTE), status=503)
-        sure = _asked(15.0, UNKNOWN_ROUTE)
-        self.assertEqual(self._promises(*[unsure] * LEAST_ASKED), ["not sure"])
-        self.assertEqual(self._promises(*[unsure] * (LEAST_ASKED - 1)), [])
-        self.assertEqual(self._promises(*[unsure] * LEAST_ASKED, *[sure] * 4 * LEAST_ASKED), [])
+        self.assertEqual(self._violated(newer, back, disturbed=always), ["regressed"])
+        self.assertEqual(self._violated(newer, replace(back, life="e/2"), disturbed=always), [])
+        at_once = _result(10.2 + REGRESSION_S - 0.1, "a")
+        self.assertEqual(self._violated(newer, at_once, disturbed=always), [])
+
+    def test_added_routes_must_be_served(self) -> None:
+        busy = replace(_result(15.0, "a"), status=503)
+        self.assertEqual(self._violated(*[busy] * MIN_REQUESTS), ["not served"])
+        self.assertEqual(self._violated(*[busy] * (MIN_REQUESTS - 1)), [])
+        served = [_result(15.0, "a", "plain")] * MIN_REQUESTS
+        self.assertEqual(self._violated(*[busy] * MIN_REQUESTS, *served), [])
+
+    def test_an_undisturbed_host_must_know_that_its_configuration_is_current(self) -> None:
+        unsure = replace(_result(15.0, UNKNOWN_ROUTE), status=503)
+        sure = _result(15.0, UNKNOWN_ROUTE)
+        self.assertEqual(self._violated(*[unsure] * MIN_REQUESTS), ["not sure"])
+        self.assertEqual(self._violated(*[unsure] * (MIN_REQUESTS - 1)), [])
+        self.assertEqual(self._violated(*[unsure] * MIN_REQUESTS, *[sure] * 4 * MIN_REQUESTS), [])
         always = Disturbance(0.0, 100.0)
-        self.assertEqual(self._promises(*[unsure] * LEAST_ASKED, disturbed=always), [])
-
-    def test_a_split_route_sends_each_service_its_part(self) -> None:
-        plain = [_asked(40.0, "a", "plain")] * LEAST_SPLIT
-        other = [_asked(40.0, "a", "other")] * LEAST_SPLIT
-        self.assertEqual(self._promises(*plain), ["not split"])
-        self.assertEqual(self._promises(*plain[:-1]), [])
-        self.assertEqual(self._promises(*plain, *other), [])
-        self.assertEqual(self._promises(*plain, *other[: LEAST_SPLIT // 10]), ["not split"])
-
-    def test_a_time_out_that_is_not_kept(self) -> None:
-        written = [Written(1, 0.0, {"a": PLAIN}, {"a": 300})]
-        kept = replace(_asked(40.0, "a"), status=504, ended_s=40.3, work_s=1.5)
+        self.assertEqual(self._violated(*[unsure] * MIN_REQUESTS, disturbed=always), [])
+
+    def test_a_split_route_must_send_each_service_its_share(self) -> None:
+        plain = [_result(40.0, "a", "plain")] * MIN_SPLIT_ANSWERS
+        other = [_result(40.0, "a", "other")] * MIN_SPLIT_ANSWERS
+        self.assertEqual(self._violated(*plain), ["not split"])
+        self.assertEqual(self._violated(*plain[:-1]), [])
+        self.assertEqual(self._violated(*plain, *other), [])
+        self.assertEqual(self._violated(*plain, *other[: MIN_SPLIT_ANSWERS // 10]), ["not split"])
+
+    def test_a_time_out_that_is_not_enforced_is_reported(self) -> None:
+        written = [WrittenVersion(1, 0.0, {"a": PLAIN}, {"a": 300})]
+        kept = replace(_result(40.0, "a"), status=504, ended_s=40.3, work_s=1.5)
         overdue = replace(kept, ended_s=41.0)
-        for asked, expected in (
-            ([kept] * LEAST_SLOW, []),
-            ([overdue] * (LEAST_SLOW - 1), []),
-            ([overdue] * LEAST_SLOW, ["time-out not kept"]),
-            ([overdue, *[kept] * LEAST_SLOW], []),
-            ([replace(overdue, work_s=0.1)] * LEAST_SLOW, []),
+        for result, expected in (
+            ([kept] * MIN_SLOW_REQUESTS, []),
+            ([overdue] * (MIN_SLOW_REQUESTS - 1), []),
+            ([overdue] * MIN_SLOW_REQUESTS, ["time-out not kept"]),
+            ([overdue, *[kept] * MIN_SLOW_REQUESTS], []),
+            ([replace(overdue, work_s=0.1)] * MIN_SLOW_REQUESTS, []),
         ):
-            found = RouteChecks(written, asked, {}).check()
-            self.assertEqual([one.promise for one in found], expected)
+            found = RouteChecks(written, result, {}).check()
+            self.assertEqual([violation.check for violation in found], expected)
 
 
 class TestLoopLag(unittest.TestCase):
-    """Times at which the soak's own loop is held up."""
+    """Stalls of the soak's own event loop."""
 
-    def test_a_loop_that_runs_late_is_noted(self) -> None:
+    def test_a_stall_of_the_loop_is_recorded(self) -> None:
         lag = LoopLag()
-        lag.note(1.0, 1.0 + LAG_S - 0.1)
-        self.assertEqual(lag.held_up, [])
-        lag.note(2.0, 2.0 + LAG_S + 0.1)
-        self.assertEqual(lag.held_up, [Disturbance(2.0, 2.0 + LAG_S + 0.1)])
-        self.assertAlmostEqual(lag.greatest_s, LAG_S + 0.1)
+        lag.record(1.0, 1.0 + MIN_STALL_S - 0.1)
+        self.assertEqual(lag.stalls, [])
+        lag.record(2.0, 2.0 + MIN_STALL_S + 0.1)
+        self.assertEqual(lag.stalls, [Disturbance(2.0, 2.0 + MIN_STALL_S + 0.1)])
+        self.assertAlmostEqual(lag.max_lag_s, MIN_STALL_S + 0.1)
 
 
 class TestDraws(unittest.TestCase):
-    """The faults of a seed."""
+    """Faults are drawn from the seed."""
 
     def _draw(self, seed: int) -> list[Fault]:
         return draw_store_faults(random.Random(seed), 40.0, 9)
@@ -163,29 +164,29 @@
         self.assertEqual(self._draw(1), self._draw(1))
         self.assertNotEqual(self._draw(1), self._draw(2))
 
-    def test_faults_among_peers_leave_the_others_as_they_are(self) -> None:
+    def test_peer_faults_do_not_change_the_other_faults(self) -> None:
         alone, both = (RoutePlan(6, 40.0, with_peers=peers).draw() for peers in (False, True))
         self.assertEqual(alone, self._draw(6))
         self.assertEqual(both[: len(alone)], alone)
         self.assertEqual({type(fault) for fault in both[len(alone) :]}, {DisturbPeers})
 
-    def test_all_kinds_of_faults_come(self) -> None:
+    def test_all_kinds_of_faults_are_drawn(self) -> None:
         drawn = {type(fault).__name__ for seed in range(20) for fault in self._draw(seed)}
         kinds = {"KillEntry", "PauseEntry", "DisturbStore", "SilenceStore", "FailStore"}
-        self.assertEqual(drawn, kinds | {"SpoilEntries"})
+        self.assertEqual(drawn, kinds | {"AddInvalidEntries"})
 
 
 class TestRouteSoak(unittest.TestCase):
-    """Short soaks: entry hosts as processes, an operator, faults on the ways to the store."""
+    """Short soaks with entry hosts as processes, an operator, and faults of the store links."""
 
     def test_a_short_soak_breaks_no_promise(self) -> None:
         result = soak_routes(RoutePlan(SHORT_SEED, 12.0, with_peers=True))
-        self.assertEqual(result.broken, [])
-        self.assertGreaterEqual(result.statuses[200], LEAST_ANSWERS)
+        self.assertEqual(result.violations, [])
+        self.assertGreaterEqual(result.statuses[200], MIN_ANSWERS)
 
     def test_seeds_that_failed_once_break_no_promise(self) -> None:
         for seed in FAILED_SEEDS:
             with self.subTest(seed=seed):
                 result = soak_routes(RoutePlan(seed, 40.0))
-                self.assertEqual(result.broken, [])
-                self.assertGreaterEqual(result.statuses[200], LEAST_ANSWERS)
+                self.assertEqual(result.violations, [])
+                self.assertGreaterEqual(result.statuses[200], MIN_ANSWERS)
--- a/yewloom/tests/test_soak.py
+++ b/yewloom/tests/test_soak.py
@@ -13,7 +13,7 @@
 from yewloom.addresses import split_address
 from yewloom.platform.standin_engine import StandinEngine
 from yewloom.platform.standin_store import StandinStore
-from yewloom.tests.soak.balancer import MISSES, Balancer
+from yewloom.tests.soak.balancer import UNREADY_THRESHOLD, Balancer
 from yewloom.tests.soak.callers import LONG_EVENTS, Caller
 from yewloom.tests.soak.endpoints import EngineWatch
 from yewloom.tests.soak.faults import (
@@ -26,18 +26,18 @@
 )
 from yewloom.tests.soak.fleet import EntryProcess, Fleet
 from yewloom.tests.soak.ledger import (
-    CROSSING_S,
+    CLOSE_RACE_S,
     GRACE_S,
-    LAST_WORK_S,
     NOTICE_S,
     NOTICE_SLACK_S,
     OVERDUE_S,
     REGRESSION_S,
     REVOCATION_S,
+    WORK_CUT_OFF_S,
     Disturbance,
+    EndpointRun,
     Kind,
     Ledger,
-    Ran,
     Sent,
     expected_answer,
 )
@@ -46,85 +46,85 @@
 from yewloom.tests.soak_support import assert_clean
 
 SHORT_SEEDS = (1, 2)
-"""Seeds that CI plays for a short time."""
+"""Seeds of short soaks in CI."""
 
 SIGNAL_SEED = 201
-"""Seed whose series of signals CI plays for a short time, in otherwise calm times."""
+"""Seed of a short soak in CI with signals only, so without disturbances."""
 
 PIECE_S = 0.1
-"""Pause between two pieces of data, in which a link carries the first one."""
+"""Pause between two chunks of data, in which a link forwards the first one."""
 
-HEAD_S = 0.4
-"""Time in which the head of an answer is on its way."""
+HEADERS_S = 0.4
+"""Time in which the headers of an answer are received."""
 
-STOP_LIMIT_S = 30.0
-"""Longest time of a stream and the stop of its host; both end in some 8 s."""
+STOP_TIMEOUT_S = 30.0
+"""Time-out of a stream and the stop of its host; both usually end within some 8 s."""
 
 
 def _sent(name: str, kind: Kind = Kind.SAFE, sent_s: float = 1.0, key_version: int = 1) -> Sent:
-    """Return a request that was answered whole."""
+    """Return a request that got a complete answer."""
     sent = Sent(name, kind, f"/p/{name}", b"b", key_version, "e/1", sent_s)
     sent.status, sent.stamp, sent.is_whole, sent.ended_s = 200, "s1", True, sent_s + 0.1
     sent.answer = expected_answer(sent)
     return sent
 
 
-def _ran(sent: Sent, endpoint: str = "s1") -> Ran:
-    return Ran(sent.request_id, endpoint, sent.path, sent.body, "customer", sent.sent_s)
+def _endpoint_run(sent: Sent, endpoint: str = "s1") -> EndpointRun:
+    return EndpointRun(sent.request_id, endpoint, sent.path, sent.body, "customer", sent.sent_s)
 
 
 class TestLedger(unittest.TestCase):
-    """Every promise that is broken is found, and nothing else."""
+    """The ledger finds every violation, and reports nothing else."""
 
     def setUp(self) -> None:
         self.ledger = Ledger()
 
-    def _add(self, sent: Sent, *runs: Ran) -> None:
+    def _add(self, sent: Sent, *runs: EndpointRun) -> None:
         self.ledger.sent[sent.request_id] = sent
-        for run in runs or (_ran(sent),):
-            self.ledger.note_run(run)
+        for run in runs or (_endpoint_run(sent),):
+            self.ledger.record_run(run)
 
-    def _promises(self) -> list[str]:
-        return [broken.promise for broken in self.ledger.check()]
+    def _violated(self) -> list[str]:
+        return [violation.check for violation in self.ledger.check()]
 
-    def test_what_keeps_all_promises_is_clean(self) -> None:
+    def test_requests_that_keep_all_guarantees_are_not_reported(self) -> None:
         for kind in Kind:
             self._add(_sent(kind.value, kind))
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
 
-    def test_an_unsafe_request_that_ran_twice(self) -> None:
+    def test_an_unsafe_request_that_ran_twice_is_reported(self) -> None:
         sent = _sent("a", Kind.UNSAFE)
-        self._add(sent, _ran(sent), _ran(sent, "s2"))
-        self.assertEqual(self._promises(), ["twice"])
+        self._add(sent, _endpoint_run(sent), _endpoint_run(sent, "s2"))
+        self.assertEqual(self._violated(), ["twice"])
 
     def test_a_safe_request_may_run_twice(self) -> None:
         sent = _sent("a", Kind.SAFE)
-        self._add(sent, _ran(sent, "s2"), _ran(sent))
-        self.assertEqual(self._promises(), [])
+        self._add(sent, _endpoint_run(sent, "s2"), _endpoint_run(sent))
+        self.assertEqual(self._violated(), [])
 
-    def test_a_refused_request_that_ran(self) -> None:
+    def test_a_refused_request_that_ran_is_reported(self) -> None:
         sent = _sent("a")
         sent.status = 503
         self._add(sent)
-        self.assertEqual(self._promises(), ["refused"])
+        self.assertEqual(self._violated(), ["refused"])
 
-    def test_an_answer_of_another_request_or_endpoint(self) -> None:
+    def test_an_answer_of_another_request_or_endpoint_is_reported(self) -> None:
         for change in ({"answer": b"s1 for b"}, {"stamp": "s9"}, {"answer": b""}):
             self.setUp()
             sent = replace(_sent("a"), **change)
             self._add(sent)
-            self.assertIn("mixed", self._promises())
+            self.assertIn("mixed", self._violated())
 
-    def test_a_stream_that_lacks_or_repeats_an_event(self) -> None:
+    def test_a_stream_with_missing_or_repeated_events_is_reported(self) -> None:
         sent = _sent("a", Kind.STREAM)
         for answer in (sent.answer[:-5], sent.answer.replace(b"id: 3", b"id: 2"), b""):
             self.setUp()
             self._add(replace(sent, answer=answer))
-            self.assertEqual(self._promises(), ["mixed"])
+            self.assertEqual(self._violated(), ["mixed"])
 
-    def test_a_run_that_nobody_asked_for_or_that_was_changed(self) -> None:
+    def test_a_run_that_was_not_sent_or_was_changed_is_reported(self) -> None:
         sent = _sent("a")
-        run = _ran(sent)
+        run = _endpoint_run(sent)
         for changed in (
             replace(run, request_id="b"),
             replace(run, path="/p/x"),
@@ -133,158 +133,161 @@
         ):
             self.setUp()
             self._add(sent, run, changed)
-            self.assertEqual(self._promises(), ["unasked"])
+            self.assertEqual(self._violated(), ["unasked"])
 
-    def test_a_key_that_worked_too_long(self) -> None:
-        self.ledger.removed_s[1] = 1.0
+    def test_a_key_that_is_accepted_too_long_is_reported(self) -> None:
+        self.ledger.revoked_s[1] = 1.0
         self._add(_sent("a", sent_s=1.0 + REVOCATION_S - 0.1))
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
         self._add(_sent("b", sent_s=1.0 + REVOCATION_S + 0.1))
-        self.assertEqual(self._promises(), ["revoked"])
+        self.assertEqual(self._violated(), ["revoked"])
 
-    def test_a_process_that_goes_back_to_an_older_configuration(self) -> None:
+    def test_a_process_that_returns_to_an_older_configuration_is_reported(self) -> None:
         self._add(_sent("a", sent_s=1.0, key_version=5))
         self._add(_sent("b", sent_s=1.1 + REGRESSION_S + 0.1, key_version=4))
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
         self._add(_sent("c", sent_s=1.1 + REGRESSION_S + 0.1, key_version=3))
-        self.assertEqual(self._promises(), ["regressed"])
+        self.assertEqual(self._violated(), ["regressed"])
 
-    def test_a_process_that_later_refuses_a_key_that_it_took(self) -> None:
+    def test_a_process_that_refuses_a_key_after_accepting_it_is_reported(self) -> None:
         self._add(_sent("a", sent_s=1.0, key_version=5))
         refused = _sent("b", sent_s=1.1 + REGRESSION_S + 0.1, key_version=5)
         refused.status = 401
         self.ledger.sent["b"] = refused
-        self.assertEqual(self._promises(), ["regressed"])
-        self.ledger.removed_s[5] = 1.2
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), ["regressed"])
+        self.ledger.revoked_s[5] = 1.2
+        self.assertEqual(self._violated(), [])
 
-    def test_a_planned_stop_that_cuts_a_request_off_in_calm_times(self) -> None:
+    def test_a_planned_stop_that_cuts_off_an_undisturbed_request_is_reported(self) -> None:
         sent = _sent("a", sent_s=1.0)
         sent.is_whole = False
         self._add(sent)
         self.ledger.planned_stops["e/1"] = 1.05
-        self.assertEqual(self._promises(), ["lost"])
+        self.assertEqual(self._violated(), ["lost"])
         self.ledger.disturbances.append(Disturbance(0.0, 1.05))
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
 
     def _add_cut_off(self, after_stop_s: float, took_s: float) -> None:
-        """Add a stream that was cut off; its host was asked to stop at 1 s."""
+        """Add a stream that was cut off; its host got SIGTERM at 1 s."""
         self.setUp()
         sent = replace(_sent("a", Kind.STREAM, 1.0 + after_stop_s), is_whole=False, deadline_s=6.0)
         sent.ended_s = sent.sent_s + took_s
         self._add(sent)
         self.ledger.planned_stops["e/1"] = 1.0
 
-    def test_a_stop_that_cuts_a_request_off_at_its_deadline(self) -> None:
+    def test_a_stop_may_cut_off_a_request_at_its_deadline(self) -> None:
         self._add_cut_off(after_stop_s=0.32, took_s=5.9)
-        self.assertEqual(self._promises(), ["lost"])
+        self.assertEqual(self._violated(), ["lost"])
         self._add_cut_off(after_stop_s=0.32, took_s=5.96)
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
 
-    def test_a_stop_that_cuts_work_off_in_the_last_part_of_its_grace(self) -> None:
-        in_time_s = LAST_WORK_S - 2.1
+    def test_a_stop_may_cut_off_work_in_the_last_part_of_its_grace_period(self) -> None:
+        in_time_s = WORK_CUT_OFF_S - 2.1
         self._add_cut_off(after_stop_s=2.1, took_s=in_time_s - 0.1)
-        self.assertEqual(self._promises(), ["lost"])
+        self.assertEqual(self._violated(), ["lost"])
         self._add_cut_off(after_stop_s=2.1, took_s=in_time_s + 0.1)
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
         ended_s = self.ledger.sent["a"].ended_s
         assert ended_s is not None
-        self.ledger.note_whole("a", ended_s - CROSSING_S + 0.1)
-        self.assertEqual(self._promises(), [])
-        self.ledger.note_whole("a", ended_s - CROSSING_S - 0.1)
-        self.assertEqual(self._promises(), ["lost"])
+        self.ledger.record_complete_answer("a", ended_s - CLOSE_RACE_S + 0.1)
+        self.assertEqual(self._violated(), [])
+        self.ledger.record_complete_answer("a", ended_s - CLOSE_RACE_S - 0.1)
+        self.assertEqual(self._violated(), ["lost"])
         late_s = NOTICE_S + NOTICE_SLACK_S + 0.1
-        self._add_cut_off(after_stop_s=late_s, took_s=LAST_WORK_S - late_s + 0.1)
-        self.assertEqual(self._promises(), ["lost", "late"])
+        self._add_cut_off(after_stop_s=late_s, took_s=WORK_CUT_OFF_S - late_s + 0.1)
+        self.assertEqual(self._violated(), ["lost", "late"])
 
-    def test_a_stop_that_takes_a_request_after_its_notice(self) -> None:
+    def test_a_request_that_runs_after_the_notice_period_is_reported(self) -> None:
         self.ledger.planned_stops["e/1"] = 1.0
         late_s = 1.0 + NOTICE_S + NOTICE_SLACK_S
         self._add(_sent("a", sent_s=late_s - 0.1))
         self._add(replace(_sent("b", sent_s=late_s + 0.1), host_life="e/2"))
         self.ledger.sent["c"] = _sent("c", sent_s=late_s + 0.1)  # It never ran.
         self.ledger.sent["c"].status = None
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
         self._add(_sent("d", sent_s=late_s + 0.1))
         self.ledger.disturbances.append(Disturbance(0.0, late_s + 1.0))
-        self.assertEqual(self._promises(), ["late"])
+        self.assertEqual(self._violated(), ["late"])
 
-    def test_the_notice_of_a_stop_begins_anew_behind_a_pause_of_that_process_alone(self) -> None:
+    def test_a_pause_restarts_the_notice_period_of_that_process_only(self) -> None:
         self.ledger.planned_stops["e/1"] = 1.0
         late_s = 1.0 + NOTICE_S + NOTICE_SLACK_S
         self._add(_sent("a", sent_s=late_s + 0.5))
         self.ledger.pauses["e/2"].append(Disturbance(0.5, 2.0))
-        self.assertEqual(self._promises(), ["late"])
+        self.assertEqual(self._violated(), ["late"])
         self.ledger.pauses["e/1"].append(Disturbance(0.5, 2.0))
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
         self._add(_sent("b", sent_s=late_s + 1.1))
-        self.assertEqual(self._promises(), ["late"])
-
-    def test_a_request_that_gets_no_answer_in_calm_times(self) -> None:
-        silent = self._add_silent(waited_s=0.1)
-        self.assertEqual(self._promises(), ["unanswered"])
-        for change in ({"has_left": True}, {"sent_whole_s": None}, {"ended_s": None}):
-            self.ledger.sent["a"] = replace(silent, **change)
-            self.assertEqual(self._promises(), [])
-        self.ledger.sent["a"] = silent
+        self.assertEqual(self._violated(), ["late"])
+
+    def test_an_undisturbed_request_without_an_answer_is_reported(self) -> None:
+        unanswered = self._add_unanswered(waited_s=0.1)
+        self.assertEqual(self._violated(), ["unanswered"])
+        for change in ({"has_given_up": True}, {"fully_sent_s": None}, {"ended_s": None}):
+            self.ledger.sent["a"] = replace(unanswered, **change)
+            self.assertEqual(self._violated(), [])
+        self.ledger.sent["a"] = unanswered
         self.ledger.disturbances.append(Disturbance(0.0, 1.05))
-        self.assertEqual(self._promises(), [])
+        self.assertEqual(self._violated(), [])
 
-    def test_a_request_that_is_handed_on_after_its_deadline(self) -> None:
-        """Guards against late requests that run, behind a host that stood still."""
+    def test_a_request_that_is_forwarded_after_its_deadline_is_reported(self) -> None:
+        """Guards against requests that a paused host forwards after their deadline."""
         sent = replace(_sent("a", sent_s=1.0), deadline_s=4.0)
         first = b"POST /p/a HTTP/1.1\r\nYewloom-Request-Id: a\r\n\r\n"
-        for late_s, promises in ((OVERDUE_S - 0.1, []), (OVERDUE_S + 0.1, ["overdue"])):
+        for late_s, expected in ((OVERDUE_S - 0.1, []), (OVERDUE_S + 0.1, ["overdue"])):
             self.setUp()
             self._add(sent)
-            self.ledger.note_handed(first, 5.0 + late_s)
+            self.ledger.record_forwarded(first, 5.0 + late_s)
             self.ledger.disturbances.append(Disturbance(0.0, 9.0))
-            self.assertEqual(self._promises(), promises)
+            self.assertEqual(self._violated(), expected)
 
-    def test_a_callers_time_counts_from_when_it_is_stated(self) -> None:
-        """Guards against a stop that cuts off a request whose caller was held up before it sent."""
+    def test_a_deadline_counts_from_when_the_headers_are_sent(self) -> None:
+        """Guards against missing a stop that cuts off a request whose headers were sent late.
+
+        The deadline counts from the headers, not from the creation of the request.
+        """
         self._add_cut_off(after_stop_s=0.32, took_s=6.2)
-        self.assertEqual(self._promises(), [])
-        self.ledger.sent["a"].head_sent_s = self.ledger.sent["a"].sent_s + 1.0
-        self.assertEqual(self._promises(), ["lost"])
+        self.assertEqual(self._violated(), [])
+        self.ledger.sent["a"].headers_sent_s = self.ledger.sent["a"].sent_s + 1.0
+        self.assertEqual(self._violated(), ["lost"])
 
-    def test_a_request_whose_deadline_passed_while_its_process_started(self) -> None:
-        """Guards against callers held by a host that can't read them yet."""
-        self._add_silent(waited_s=5.0).deadline_s = 4.0
-        self.assertEqual(self._promises(), ["unanswered"])
+    def test_a_request_whose_deadline_passed_while_its_process_started_is_reported(self) -> None:
+        """Guards against requests that a starting host leaves unanswered until their deadline."""
+        self._add_unanswered(waited_s=5.0).deadline_s = 4.0
+        self.assertEqual(self._violated(), ["unanswered"])
 
-    def test_a_close_by_a_planned_stop_may_only_cross_a_request(self) -> None:
+    def test_a_close_by_a_planned_stop_excuses_only_requests_that_cross_it(self) -> None:
         self.ledger.planned_stops["e/1"] = 0.5
-        self._add_silent(waited_s=CROSSING_S - 0.1)
-        self.assertEqual(self._promises(), [])
-        silent = self._add_silent(waited_s=CROSSING_S + 0.1)
-        self.assertEqual(self._promises(), ["unanswered"])
-        self.ledger.note_run(_ran(silent))
-        self.assertEqual(self._promises(), ["lost"])
+        self._add_unanswered(waited_s=CLOSE_RACE_S - 0.1)
+        self.assertEqual(self._violated(), [])
+        unanswered = self._add_unanswered(waited_s=CLOSE_RACE_S + 0.1)
+        self.assertEqual(self._violated(), ["unanswered"])
+        self.ledger.record_run(_endpoint_run(unanswered))
+        self.assertEqual(self._violated(), ["lost"])
         self.ledger.planned_stops["e/1"] = 2.0
-        self.assertEqual(self._promises(), ["unanswered"])
+        self.assertEqual(self._violated(), ["unanswered"])
 
-    def _add_silent(self, waited_s: float) -> Sent:
-        """Add a request that was sent whole and got no answer."""
-        sent = replace(_sent("a"), status=None, is_whole=False, sent_whole_s=1.0)
+    def _add_unanswered(self, waited_s: float) -> Sent:
+        """Add a request that was fully sent and got no answer."""
+        sent = replace(_sent("a"), status=None, is_whole=False, fully_sent_s=1.0)
         sent.ended_s = 1.0 + waited_s
         self.ledger.sent["a"] = sent
         return sent
 
-    def test_a_stop_that_takes_too_long(self) -> None:
+    def test_a_stop_that_takes_too_long_is_reported(self) -> None:
         self.ledger.planned_stops["e/1"] = 1.0
         self.ledger.disturbances.append(Disturbance(0.0, 20.0))
         self.ledger.pauses["e/2"].append(Disturbance(0.0, 20.0))
         self.ledger.pauses["e/1"].append(Disturbance(1.5 + GRACE_S, 20.0))
-        self.ledger.note_overdue("e/1")
-        self.assertEqual(self._promises(), ["stop took too long"])
+        self.ledger.record_overdue_stop("e/1")
+        self.assertEqual(self._violated(), ["stop took too long"])
         self.ledger.pauses["e/1"].append(Disturbance(0.5, 1.5))
-        self.ledger.note_overdue("e/1")
-        self.assertEqual(self._promises(), ["stop took too long"])
+        self.ledger.record_overdue_stop("e/1")
+        self.assertEqual(self._violated(), ["stop took too long"])
 
 
 class TestEngineWatch(unittest.TestCase):
-    """A host that is taken from a group which serves is found, and one that has left it is not."""
+    """A host that joins another group is reported only while the group that it leaves serves."""
 
     def setUp(self) -> None:
         self.ledger, store = Ledger(), StandinStore()
@@ -296,55 +299,55 @@
         self.head, self.member = self.engines
 
     def _join(self, head_state: str) -> list[str]:
-        """Let the member join another group; return the promises that broke."""
+        """Let the member join another group, and return the checks that fail."""
         assert self.head.group is not None
         self.head.group["state"] = head_state
         order = {"group": "new", "epoch": 2}
         EngineWatch(self.ledger, self.engines).on_join(self.member, order)
-        return [broken.promise for broken in self.ledger.check()]
+        return [violation.check for violation in self.ledger.check()]
 
-    def test_a_host_that_joins_while_its_group_serves(self) -> None:
+    def test_a_host_that_joins_while_its_group_serves_is_reported(self) -> None:
         for state in ("open", "closing"):
             self.setUp()
             self.assertEqual(self._join(state), ["two groups"])
 
-    def test_a_host_that_joins_once_its_group_is_broken_or_left(self) -> None:
+    def test_a_host_may_join_once_its_group_is_broken_or_left(self) -> None:
         self.assertEqual(self._join("broken"), [])
         self.member.group = None
         self.assertEqual(self._join("open"), [])
 
 
 class TestBalancer(unittest.TestCase):
-    """A host is in use while it is ready, or while most are not."""
+    """The balancer routes to ready hosts, or to all hosts if under half are ready."""
 
     def setUp(self) -> None:
         self.entries = [_entry(name) for name in ("e0", "e1", "e2", "e3")]
         self.balancer = Balancer(self.entries)
 
-    def _miss(self, *names: str) -> list[bool]:
-        """Take hosts out; return which ones are used."""
-        for name in names * MISSES:
-            self.balancer.note_answer(name, is_ready=False)
-        return [self.balancer.uses(entry) for entry in self.entries]
+    def _fail_checks(self, *names: str) -> list[bool]:
+        """Let hosts fail enough checks to be unready; return which hosts are routed to."""
+        for name in names * UNREADY_THRESHOLD:
+            self.balancer.record_check(name, is_ready=False)
+        return [self.balancer.routes_to(entry) for entry in self.entries]
 
-    def test_two_misses_in_a_row_take_a_host_out_until_it_answers(self) -> None:
+    def test_a_host_is_unready_from_two_failed_checks_until_it_answers(self) -> None:
         for is_ready in (False, True, False):
-            self.balancer.note_answer("e0", is_ready)
-            self.assertTrue(self.balancer.uses(self.entries[0]))
-        self.assertEqual(self._miss("e0"), [False, True, True, True])
-        self.balancer.note_answer("e0", is_ready=True)
-        self.assertTrue(self.balancer.uses(self.entries[0]))
+            self.balancer.record_check("e0", is_ready)
+            self.assertTrue(self.balancer.routes_to(self.entries[0]))
+        self.assertEqual(self._fail_checks("e0"), [False, True, True, True])
+        self.balancer.record_check("e0", is_ready=True)
+        self.assertTrue(self.balancer.routes_to(self.entries[0]))
 
-    def test_all_are_used_once_under_half_are_ready(self) -> None:
-        self.assertEqual(self._miss("e0", "e1"), [False, False, True, True])
-        self.assertEqual(self._miss("e2"), [True] * 4)
+    def test_all_hosts_are_used_if_under_half_are_ready(self) -> None:
+        self.assertEqual(self._fail_checks("e0", "e1"), [False, False, True, True])
+        self.assertEqual(self._fail_checks("e2"), [True] * 4)
 
 
 class TestLink(unittest.TestCase):
-    """A connection that lost bytes says nothing more that way."""
+    """A connection that dropped bytes forwards nothing more in that direction."""
 
-    def _carried(self, fault: LinkFault) -> bytes:
-        """Return what comes of three pieces, of which the second one meets a fault."""
+    def _received(self, fault: LinkFault) -> bytes:
+        """Return what is received of three chunks, with a fault while the second one is sent."""
 
         async def answer(stream: trio.SocketStream) -> None:
             for piece in (b"1", b"2", b"3"):
@@ -367,14 +370,14 @@
 
         return trio.run(main)
 
-    def test_what_follows_lost_bytes_is_not_taken_for_them(self) -> None:
-        self.assertEqual(self._carried(LinkFault.NONE), b"123")
+    def test_nothing_is_forwarded_after_dropped_bytes(self) -> None:
+        self.assertEqual(self._received(LinkFault.NONE), b"123")
         for fault in (LinkFault.CUT_BACK, LinkFault.SILENT):
-            self.assertEqual(self._carried(fault), b"1")
+            self.assertEqual(self._received(fault), b"1")
 
 
 class TestSignals(unittest.TestCase):
-    """Signals come in series that overlap, drawn from the seed."""
+    """Sequences of signals are drawn from the seed."""
 
     def _draw(self, seed: int) -> list[Fault]:
         return draw_signals(random.Random(seed), 15.0, 4)
@@ -383,12 +386,12 @@
         self.assertEqual(self._draw(1), self._draw(1))
         self.assertNotEqual(self._draw(1), self._draw(2))
 
-    def test_all_kinds_of_signals_come(self) -> None:
+    def test_all_kinds_of_signals_are_drawn(self) -> None:
         drawn = [fault for seed in range(20) for fault in self._draw(seed)]
         kinds = {type(fault) for fault in drawn}
         self.assertEqual(kinds, {StopEntry, ReloadEntry, StopStartingEntry})
 
-    def test_signals_leave_the_faults_of_a_seed_as_they_are(self) -> None:
+    def test_signals_do_not_change_the_faults_of_a_seed(self) -> None:
         plans = [SoakPlan(101, 15.0, 4, 6, mix) for mix in (FaultMix.FAULTS, FaultMix.BOTH)]
         faults, both = (plan.draw(random.Random(101)) for plan in plans)
         self.assertEqual(both[: len(faults)], faults)
@@ -396,9 +399,11 @@
 
 
 class TestStop(unittest.TestCase):
-    """A planned stop of a real process, with one caller that keeps its connection."""
+    """A planned stop of a real process, with one caller that keeps its connections open."""
 
-    def test_a_connection_whose_stream_outlasts_the_notice_takes_no_more_requests(self) -> None:
+    def test_a_connection_accepts_no_request_after_a_stream_that_outlasts_the_notice_period(
+        self,
+    ) -> None:
         ledger = Ledger()
         with tempfile.TemporaryDirectory() as folder:
             following = trio.run(self._stop_amid_a_stream, Path(folder), ledger)
@@ -410,19 +415,22 @@
             fleet = Fleet(folder, ledger, random.Random(1), nursery)
             async with open_fleet(fleet, entries=1, engines=4) as balancer:
                 caller = Caller(fleet.entries[0], fleet, balancer, ledger, seed=1)
-                with trio.fail_after(STOP_LIMIT_S):
+                with trio.fail_after(STOP_TIMEOUT_S):
                     following = await self._use_through_stop(caller, fleet.entries[0], ledger)
             nursery.cancel_scope.cancel()
         return following
 
     async def _use_through_stop(self, caller: Caller, entry: EntryProcess, ledger: Ledger) -> Sent:
-        """Let one stream end late in the stop while another one still holds the process."""
+        """Send a request after a stream that ends after the notice period.
+
+        A second stream keeps the process running meanwhile.
+        """
         async with caller.open_pool() as pool, trio.open_nursery() as nursery:
             first_ended = trio.Event()
             nursery.start_soon(_stream, caller, pool, first_ended)
-            await trio.sleep(HEAD_S)
+            await trio.sleep(HEADERS_S)
             nursery.start_soon(_stream, caller, pool, trio.Event())
-            await trio.sleep(HEAD_S)  # The heads of both answers are out.
+            await trio.sleep(HEADERS_S)  # The headers of both answers have been sent.
             stopped_s = ledger.planned_stops[entry.life] = trio.current_time()
             entry.signal(signal.SIGTERM)
             await first_ended.wait()
@@ -442,7 +450,7 @@
 
 
 class TestSoak(unittest.TestCase):
-    """Short soaks: entry hosts as processes, faults from outside."""
+    """Short soaks with entry hosts as processes and injected faults."""
 
     def test_short_signals_break_no_promise(self) -> None:
         plan = SoakPlan(SIGNAL_SEED, 6.0, entries=3, engines=4, mix=FaultMix.SIGNALS)
--- a/yewloom/tests/test_soak_callers.py
+++ b/yewloom/tests/test_soak_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers under soak: whom their requests are held against, and how long they wait."""
+"""Tests of the soak callers: which process a request is recorded for, and how long callers wait."""
 
 import random
 import time
@@ -19,71 +19,80 @@
 
 
 class _StartingBalancer(Balancer):
-    """A balancer whose entry host is started anew while a caller connects."""
+    """A balancer whose entry host is restarted while a caller connects."""
 
-    def uses(self, entry: EntryProcess) -> bool:
-        """Count the next process of the host."""
-        entry.lives += 1
+    def routes_to(self, entry: EntryProcess) -> bool:
+        """Count a restart of the host."""
+        entry.start_count += 1
         return True
 
 
 class _SlowBalancer(Balancer):
-    """A balancer whose answer holds up the process of the caller for most of the caller's time."""
+    """A balancer that blocks the caller's process for most of the request's deadline."""
 
-    def uses(self, entry: EntryProcess) -> bool:
-        """Hold the process up."""
+    def routes_to(self, entry: EntryProcess) -> bool:
+        """Block the process."""
         time.sleep(DEADLINE_S * 0.75)
         return True
 
 
 @asynccontextmanager
-async def _calling(
+async def _open_caller(
     balancer: type[Balancer], answer: Callable[[trio.SocketStream], Awaitable[None]]
 ) -> AsyncIterator[tuple[Caller, EntryProcess]]:
-    """Yield a caller, and the entry host that it asks, whose connections are answered by hand."""
+    """Yield a caller and its entry host, whose connections ``answer`` serves."""
     async with trio.open_nursery() as nursery:
         [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
         address = f"127.0.0.1:{listener.socket.getsockname()[1]}"
         nursery.start_soon(trio.serve_listeners, answer, [listener])
-        entry = EntryProcess("e", address, "", Path(), Link(""), PeerLink(""), Path(), lives=1)
+        entry = EntryProcess(
+            "e", address, "", Path(), Link(""), PeerLink(""), Path(), start_count=1
+        )
         fleet = Fleet(Path(), Ledger(), random.Random(1), nursery)
         yield Caller(entry, fleet, balancer([entry]), fleet.ledger, seed=1), entry
         nursery.cancel_scope.cancel()
 
 
 class TestCaller(unittest.TestCase):
-    """A caller's requests are held against the processes that they reach."""
+    """Callers record the process that a request reaches, and wait until the stated deadline."""
 
-    def test_a_request_names_the_process_that_ran_once_its_connection_was_open(self) -> None:
-        """Guards against "late" by a process that answers what was noted before it started."""
-        requests = trio.run(self._ask_twice)
+    def test_a_request_names_the_process_that_ran_when_its_connection_was_open(self) -> None:
+        """Guards against false "late" violations.
+
+        A request that was created before its process started would be recorded for the process
+        before it.
+        """
+        requests = trio.run(self._send_twice)
         self.assertEqual([sent.status for sent in requests], [200, 200])
         self.assertEqual([sent.host_life for sent in requests], ["e/2", "e/2"])
 
-    async def _ask_twice(self) -> list[Sent]:
+    async def _send_twice(self) -> list[Sent]:
         async def answer(stream: trio.SocketStream) -> None:
             for _ in range(2):
                 await stream.receive_some()
                 await stream.send_all(ANSWER)
 
         async with (
-            _calling(_StartingBalancer, answer) as (caller, entry),
+            _open_caller(_StartingBalancer, answer) as (caller, entry),
             caller.open_pool() as pool,
         ):
             first = await caller.send(pool, Kind.SAFE)
-            entry.lives += 1
+            entry.start_count += 1
             return [first, await caller.send(pool, Kind.SAFE)]
 
-    def test_a_caller_that_is_held_up_gives_a_host_all_the_time_that_it_states(self) -> None:
-        """Guards against "unanswered" by a host that was asked when the caller's time was over."""
-        sent = trio.run(self._ask_held_up)
-        self.assertEqual((sent.status, sent.failure, sent.has_left), (200, "", False))
+    def test_a_delayed_caller_waits_until_the_deadline_that_it_stated(self) -> None:
+        """Guards against false "unanswered" violations.
+
+        A caller whose process is delayed would give up before the deadline that the host was told.
+        """
+        sent = trio.run(self._send_delayed)
+        self.assertEqual((sent.status, sent.failure, sent.has_given_up), (200, "", False))
 
-    async def _ask_held_up(self) -> Sent:
+    async def _send_delayed(self) -> Sent:
         async def answer(stream: trio.SocketStream) -> None:
             await stream.receive_some()
             await trio.sleep(DEADLINE_S / 2)
             await stream.send_all(ANSWER)
 
-        async with _calling(_SlowBalancer, answer) as (caller, _), caller.open_pool() as pool:
+        async with _open_caller(_SlowBalancer, answer) as (caller, _), caller.open_pool() as pool:
             return await caller.send(pool, Kind.SAFE)
