--- a/yewloom/tests/soak/balancer.py
+++ b/yewloom/tests/soak/balancer.py
@@ -31,7 +31,7 @@
                 nursery.start_soon(self._watch, entry)
 
     def routes_to(self, entry: EntryProcess) -> bool:
-        """Tell whether a host gets new connections; all hosts do if under half are ready."""
+        """Return whether a host gets new connections; all hosts do if under half are ready."""
         ready = [
             name for name, failures in self._failed_checks.items() if failures < UNREADY_THRESHOLD
         ]
@@ -43,9 +43,9 @@
 
     async def _watch(self, entry: EntryProcess) -> None:
         while True:
-            checked_s = trio.current_time()
+            check_began_s = trio.current_time()
             self.record_check(entry.name, await _is_ready(entry.readiness_address))
-            await trio.sleep_until(checked_s + CHECK_PERIOD_S)
+            await trio.sleep_until(check_began_s + CHECK_PERIOD_S)
 
 
 async def _is_ready(address: str) -> bool:
--- a/yewloom/tests/soak/callers.py
+++ b/yewloom/tests/soak/callers.py
@@ -115,7 +115,7 @@
         headers = _headers(sent)
         method = "GET" if sent.kind is Kind.SAFE else "POST"
         url = f"http://{self._entry.caller_address}{sent.path}"
-        trace = _note_progress(sent, cancel_scope)
+        trace = _progress_trace(sent, cancel_scope)
         async with pool.stream(
             method, url, headers=headers, content=sent.body or None, extensions={"trace": trace}
         ) as answer:
@@ -132,7 +132,7 @@
     return STREAM_DEADLINE_S if kind is Kind.STREAM else DEADLINE_S
 
 
-def _note_progress(
+def _progress_trace(
     sent: Sent, cancel_scope: trio.CancelScope
 ) -> Callable[[str, object], Awaitable[None]]:
     """Return an ``httpcore`` trace function that records how the request is sent.
--- a/yewloom/tests/soak/fault_play.py
+++ b/yewloom/tests/soak/fault_play.py
@@ -8,13 +8,13 @@
 import trio
 
 from yewloom.tests.soak.faults import (
-    AddInvalidEntries,
+    AddInvalidRecords,
     ChangeConfiguration,
     DisturbEndpoint,
     DisturbEngineLinks,
     DisturbPeers,
     DisturbStore,
-    ExpireEntries,
+    ExpireEngineRecords,
     FailStore,
     Fault,
     KillEntry,
@@ -39,7 +39,7 @@
 PAUSE_SLACK_S = 0.5
 """Time after SIGCONT until a paused process works again."""
 
-INVALID_ENTRIES: dict[str, Any] = {
+INVALID_RECORDS: dict[str, Any] = {
     "spoilt-empty": {},
     "spoilt-text": "no entry",
     "spoilt-types": {"service": 7, "address": None, "zone": [], "state": {"a": 1}, "group": 3},
@@ -179,11 +179,11 @@
 
 
 @apply_fault.register
-async def _(fault: AddInvalidEntries, fleet: Fleet, ledger: Ledger) -> None:
-    for name, spec in INVALID_ENTRIES.items():
+async def _(fault: AddInvalidRecords, fleet: Fleet, ledger: Ledger) -> None:
+    for name, spec in INVALID_RECORDS.items():
         fleet.store.put("servers", name, spec)
     await trio.sleep(fault.for_s)
-    for name in INVALID_ENTRIES:
+    for name in INVALID_RECORDS:
         fleet.store.remove("servers", name)
 
 
@@ -243,7 +243,7 @@
 
 
 @apply_fault.register
-async def _(fault: ExpireEntries, fleet: Fleet, ledger: Ledger) -> None:
+async def _(fault: ExpireEngineRecords, fleet: Fleet, ledger: Ledger) -> None:
     engines = list(fleet.engines)
     fleet.store.faults.status = 503
     with ledger.disturbing([entry.name for entry in fleet.entries]):
@@ -280,14 +280,14 @@
     lost = fleet.engines.pop(fault.number % len(fleet.engines))
     lost.engine.is_lost = True
     lost.link.fault = LinkFault.SILENT
-    _stop_group_of(lost, fleet)
+    _stall_group_of(lost, fleet)
     await trio.sleep(fault.for_s / 2)
     fleet.store.remove("servers", lost.engine.name)
     await trio.sleep(fault.for_s / 2)
     await fleet.add_engine()
 
 
-def _stop_group_of(lost: SoakEngine, fleet: Fleet) -> None:
+def _stall_group_of(lost: SoakEngine, fleet: Fleet) -> None:
     """Stall the group that a lost engine was a member of."""
     for engine in (other.engine for other in fleet.engines):
         if lost.engine.name in engine.members and engine.members[0] == engine.name:
--- a/yewloom/tests/soak/faults.py
+++ b/yewloom/tests/soak/faults.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True)
-class AddInvalidEntries(Fault):
+class AddInvalidRecords(Fault):
     """Add invalid records, written by another writer, beside those of the endpoints."""
 
 
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True)
-class ExpireEntries(Fault):
+class ExpireEngineRecords(Fault):
     """Let the store refuse all calls while the records of all engines expire.
 
     The engines write their records again ``relist_delay_s`` after the store recovers.
@@ -270,7 +270,7 @@
             [SilenceStore(at_s, 0.0, chosen_entries)],
             [SilenceStore(at_s, 0.0, tuple(range(entries)))],
             [FailStore(at_s, for_s, store_fault)],
-            [AddInvalidEntries(at_s, for_s)],
+            [AddInvalidRecords(at_s, for_s)],
         ]
     )
 
@@ -315,7 +315,7 @@
         [
             [cut],
             [cut, UnlistEngines(at_s + unlist_delay_s, for_s, chosen_engines)],
-            [cut, ExpireEntries(at_s + unlist_delay_s, for_s / 2, rng.uniform(0.0, 2.0))],
+            [cut, ExpireEngineRecords(at_s + unlist_delay_s, for_s / 2, rng.uniform(0.0, 2.0))],
             [UnlistEngines(at_s, for_s, chosen_engines)],
             [KillEntry(at_s, for_s / 2, chosen_entries[0])],
             [PauseEntry(at_s, for_s / 2, chosen_entries[0])],
--- a/yewloom/tests/soak/fleet.py
+++ b/yewloom/tests/soak/fleet.py
@@ -119,7 +119,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process has been started and has not ended."""
+        """Return whether the process has been started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     @property
@@ -154,7 +154,7 @@
             await trio.sleep(SIGNAL_CHECK_S)
 
     def _handles(self, number: signal.Signals) -> bool:
-        """Tell whether the process catches or ignores a signal."""
+        """Return whether the process catches or ignores a signal."""
         assert self.process is not None
         status = Path(f"/proc/{self.process.pid}/status").read_text(encoding="utf-8")
         sets = [
--- a/yewloom/tests/soak/fragile.py
+++ b/yewloom/tests/soak/fragile.py
@@ -123,7 +123,7 @@
                 return  # The entry host closed it: its caller disconnected, or the deadline passed.
 
     async def _serve_one(self, stream: trio.SocketStream, connection: h11.Connection) -> bool:
-        """Answer one request, and tell whether the connection can be used for another."""
+        """Answer one request, and return whether the connection can be used for another."""
         request, body = None, b""
         while True:
             event = connection.next_event()
--- a/yewloom/tests/soak/ledger.py
+++ b/yewloom/tests/soak/ledger.py
@@ -23,8 +23,8 @@
 
 NOTICE_S = 2.6
 """Notice period: time after SIGTERM for which a host still accepts requests. The balancer checks it
-once a second and stops routing to it after two answers; specified by the platform's documentation,
-as in ``entry_host``."""
+once a second and stops routing to it after two failed checks; specified by the platform's
+documentation, as in ``entry_host``."""
 
 NOTICE_SLACK_S = 0.4
 """Time after the notice period from which a request counts as late. The sum is the 3 s after
@@ -60,7 +60,7 @@
 
 
 class Kind(Enum):
-    """Kind of a request."""
+    """Kind of a request; only those of kind ``UNSAFE`` must not run more than once."""
 
     STREAM = "stream"
     SAFE = "safe"
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True)
 class Disturbance:
-    """An interval in which effects of a fault may be seen."""
+    """An interval in which effects of a fault, a pause or a stall may be seen."""
 
     begin_s: float
     end_s: float
@@ -260,14 +260,14 @@
                 newest = _newest_version_before(sent, accepted)
                 # A version keeps the key of the one before it, so only a key that is two versions
                 # older shows an older configuration.
-                takes_older = sent.status == 200 and sent.key_version < newest - 1
-                refuses = sent.status == 401 and sent.key_version == newest
-                if takes_older or (refuses and not self._is_revoked(sent)):
+                accepts_older = sent.status == 200 and sent.key_version < newest - 1
+                refuses_newest = sent.status == 401 and sent.key_version == newest
+                if accepts_older or (refuses_newest and not self._is_revoked(sent)):
                     detail = f"{sent.status} for key of version {sent.key_version} after {newest}"
                     yield Violation("regressed", sent.request_id, detail)
 
     def _is_revoked(self, sent: Sent) -> bool:
-        """Tell whether a request's key may have been revoked before its answer."""
+        """Return whether a request's key may have been revoked before its answer."""
         revoked_s = self.revoked_s.get(sent.key_version)
         return revoked_s is not None and (sent.ended_s is None or sent.ended_s >= revoked_s)
 
@@ -302,7 +302,7 @@
         return ends_s
 
     def _is_unanswered(self, sent: Sent) -> bool:
-        """Tell whether a request that was fully sent in undisturbed times has no answer at all.
+        """Return whether a request that was fully sent in undisturbed times has no answer at all.
 
         Two cases are excused: the caller gave up at its deadline, or the request crossed a
         connection close of a planned stop. A request that ran before the stop cut it off counts as
@@ -321,7 +321,7 @@
         return not is_close_race and not self.runs.get(sent.request_id)
 
     def _is_lost(self, sent: Sent, stopped_s: float) -> bool:
-        """Tell whether a request that ran in undisturbed times has no complete answer after a stop.
+        """Return whether a planned stop cut off a request that ran in undisturbed times.
 
         Requests that ended at their deadline, or that may be cut off, are excused.
         """
@@ -334,10 +334,11 @@
         return sent.status is None or (sent.status == 200 and not sent.is_whole)
 
     def _is_unfinished_work(self, sent: Sent, stopped_s: float) -> bool:
-        """Tell whether an endpoint still worked on a request in the last part of the grace period.
+        """Return whether a request was still unfinished in the last part of the grace period.
 
-        That excuses only requests of the notice period, and only if the endpoint had not made the
-        answer ``CLOSE_RACE_S`` before the end: a later answer may have crossed it.
+        Such a request may be cut off if it was sent in the notice period. It is not excused if the
+        endpoint had made the answer more than ``CLOSE_RACE_S`` before the end; an answer made later
+        may have crossed the close.
         """
         assert sent.ended_s is not None
         is_in_notice = sent.sent_s <= stopped_s + NOTICE_S + NOTICE_SLACK_S
@@ -361,7 +362,7 @@
 
 
 def _has_reached_deadline(sent: Sent) -> bool:
-    """Tell whether a request ended because of its deadline."""
+    """Return whether a request ended because of its deadline."""
     assert sent.ended_s is not None
     return sent.ended_s >= sent.expires_s - ANSWER_MARGIN_S
 
--- a/yewloom/tests/soak/route_checks.py
+++ b/yewloom/tests/soak/route_checks.py
@@ -70,7 +70,7 @@
 
     @property
     def shows_version(self) -> bool:
-        """Tell whether the answer depends on the version in force."""
+        """Return whether the answer depends on the version in force."""
         return self.status == 404 or (self.status == 200 and bool(self.service))
 
 
@@ -80,12 +80,12 @@
     def __init__(
         self,
         written: Sequence[WrittenVersion],
-        result: Sequence[ProbeResult],
+        results: Sequence[ProbeResult],
         disturbances: dict[str, list[Disturbance]],
     ) -> None:
         self._written = written
-        self._versioned_results = [one for one in result if one.shows_version]
-        self._results = result
+        self._versioned_results = [one for one in results if one.shows_version]
+        self._results = results
         self._disturbances = disturbances
 
     def check(self) -> list[Violation]:
@@ -163,7 +163,7 @@
             yield Violation("not split", "", f"answers on split routes: {dict(counts)}")
 
     def _is_split(self, result: ProbeResult) -> bool:
-        """Tell whether an answer is on a route that all versions that may be in force split."""
+        """Return whether an answer is on a route that all versions that may be in force split."""
         if result.status != 200:
             return False
         may_be = (self._written[number] for number in self._may_be_in_force(result))
@@ -230,7 +230,7 @@
 
 
 def _allows(written: WrittenVersion, result: ProbeResult) -> bool:
-    """Tell whether a version allows an answer."""
+    """Return whether a version allows an answer."""
     services = written.services.get(result.route)
     if result.status == 404:
         return services is None
--- a/yewloom/tests/soak/route_probes.py
+++ b/yewloom/tests/soak/route_probes.py
@@ -17,13 +17,12 @@
 270 requests a second, and on a busy machine the soak's process, which also runs the store, left
 calls unanswered for 10 s."""
 
-CALLERS_PER_ENTRY = 2
+PROBERS_PER_ENTRY = 2
 """Number of probers of each host. Each has one request at a time, so that a paused host gets no
 more requests than others."""
 
 TIMEOUT_S = 4.0
-"""Time-out of a probe; longer than the endpoints' work and than the route time-outs that are
-checked."""
+"""Time-out of a probe; longer than ``LONG_WORK_S`` and than the route time-outs that it exceeds."""
 
 LONG_WORK_S = 2.5
 """Work time of an endpoint that exceeds the time-outs of some routes."""
@@ -49,7 +48,7 @@
         """Send probes until cancelled."""
         async with trio.open_nursery() as nursery:
             for entry in self._fleet.entries:
-                for _ in range(CALLERS_PER_ENTRY):
+                for _ in range(PROBERS_PER_ENTRY):
                     nursery.start_soon(self._probe_repeatedly, entry)
 
     async def _probe_repeatedly(self, entry: EntryProcess) -> None:
--- a/yewloom/tests/soak/run.py
+++ b/yewloom/tests/soak/run.py
@@ -125,7 +125,7 @@
                 await run_faults(faults, fleet, ledger)
                 await _wait_until_served(fleet, balancer, RECOVERY_TIMEOUT_S, RECOVERY_CALLER)
                 callers.cancel_scope.cancel()
-            # Until then endpoints may still begin work that came late.
+            # Wait, as requests that are forwarded late may begin to run at endpoints until then.
             await trio.sleep(STREAM_DEADLINE_S)
         nursery.cancel_scope.cancel()
     return SoakTimes(lag.stalls, sampler.samples, time.time() - trio.current_time())
--- a/yewloom/tests/test_route_soak.py
+++ b/yewloom/tests/test_route_soak.py
@@ -173,7 +173,7 @@
     def test_all_kinds_of_faults_are_drawn(self) -> None:
         drawn = {type(fault).__name__ for seed in range(20) for fault in self._draw(seed)}
         kinds = {"KillEntry", "PauseEntry", "DisturbStore", "SilenceStore", "FailStore"}
-        self.assertEqual(drawn, kinds | {"AddInvalidEntries"})
+        self.assertEqual(drawn, kinds | {"AddInvalidRecords"})
 
 
 class TestRouteSoak(unittest.TestCase):
--- a/yewloom/tests/test_soak.py
+++ b/yewloom/tests/test_soak.py
@@ -296,12 +296,12 @@
         for rank, engine in enumerate(self.engines):
             engine.group = {"name": "old", "epoch": 1, "rank": rank, "state": "ready"}
             engine.members = list(names)
-        self.head, self.member = self.engines
+        self.leader, self.member = self.engines
 
-    def _join(self, head_state: str) -> list[str]:
+    def _join(self, leader_state: str) -> list[str]:
         """Let the member join another group, and return the checks that fail."""
-        assert self.head.group is not None
-        self.head.group["state"] = head_state
+        assert self.leader.group is not None
+        self.leader.group["state"] = leader_state
         order = {"group": "new", "epoch": 2}
         EngineWatch(self.ledger, self.engines).on_join(self.member, order)
         return [violation.check for violation in self.ledger.check()]
