--- a/yewloom/tests/soak/__main__.py
+++ b/yewloom/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs soaks by hand: ``python -m yewloom.tests.soak --first-seed 1 --seeds 50``."""
+"""Run soaks by hand: ``python -m yewloom.tests.soak --first-seed 1 --seeds 50``."""
 
 from typing import Annotated
 
--- a/yewloom/tests/soak/configuration_run.py
+++ b/yewloom/tests/soak/configuration_run.py
@@ -34,7 +34,7 @@
 POLL_S = 0.1
 """Interval between two checks whether all hosts serve, or enough answers have come."""
 
-CALM_S = SETTLE_S + 3.0
+FAULT_FREE_S = SETTLE_S + 3.0
 """Time without faults at the end, in which a configuration that is not applied in time is seen."""
 
 MIN_ANSWERS = 60
@@ -101,7 +101,7 @@
             await _wait_until_all_serve(fleet, probes)
             nursery.start_soon(operator.run)
             await run_faults(plan.draw(), fleet, ledger)
-            await trio.sleep(CALM_S)
+            await trio.sleep(FAULT_FREE_S)
             await _wait_for_answers(probes)
         finally:
             fleet.stop()
--- a/yewloom/tests/soak/endpoints.py
+++ b/yewloom/tests/soak/endpoints.py
@@ -73,7 +73,7 @@
                 self._ledger.record_violation("partial", run.request_id, detail)
 
     def on_whole(self, request: Request) -> None:
-        """Record that an engine has made a whole answer."""
+        """Record that an engine has made a complete answer."""
         self._ledger.record_complete_answer(
             request.headers["yewloom-request-id"], trio.current_time()
         )
--- a/yewloom/tests/soak/ledger.py
+++ b/yewloom/tests/soak/ledger.py
@@ -143,10 +143,10 @@
 class Ledger:
     """Records all requests, runs, stops and faults of a soak, and finds violations.
 
-    ``completed_s`` is when an endpoint had made its whole answer, by request id. ``revoked_s`` is
-    when a version's key was revoked, by version. ``planned_stops`` is when SIGTERM was sent, and
-    ``pauses`` when SIGSTOP was in effect, by process. ``disturbances`` may affect any host, those
-    in ``disturbances_by_host`` the named one.
+    ``completed_s`` is when an endpoint had made the complete answer, by request id. ``revoked_s``
+    is when a version's key was revoked, by version. ``planned_stops`` is when SIGTERM was sent, and
+    ``pauses`` when SIGSTOP was in effect, by process name. ``disturbances`` may affect any host,
+    and ``disturbances_by_host`` only the named one.
     """
 
     sent: dict[str, Sent] = field(default_factory=dict)
@@ -212,7 +212,7 @@
             self.forwarded_s[found[1].decode()].append(at_s)
 
     def record_complete_answer(self, request_id: str, now_s: float) -> None:
-        """Record when an endpoint had made the whole answer to a request."""
+        """Record when an endpoint had made the complete answer to a request."""
         self.completed_s[request_id] = now_s
 
     def check(self) -> list[Violation]:
--- a/yewloom/tests/soak/route_checks.py
+++ b/yewloom/tests/soak/route_checks.py
@@ -108,7 +108,9 @@
             may_be = self._may_be_in_force(result)
             if any(_allows(self._written[number], result) for number in may_be):
                 continue
-            if self._is_calm(result.host, result.sent_s) or not self._allowing_versions(result):
+            if self._is_undisturbed(result.host, result.sent_s) or not self._allowing_versions(
+                result
+            ):
                 yield Violation("not in force", result.route, self._describe(result))
 
     def _check_regressions(self) -> Iterable[Violation]:
@@ -128,7 +130,7 @@
         counts: Counter[int | None] = Counter(
             result.status
             for result in self._results
-            if self._is_calm(result.host, result.sent_s)
+            if self._is_undisturbed(result.host, result.sent_s)
             and not self._exceeds_timeout(result)
             and all(
                 result.route in self._written[n].services for n in self._may_be_in_force(result)
@@ -145,7 +147,7 @@
         statuses = Counter(
             result.status
             for result in self._results
-            if result.route == UNKNOWN_ROUTE and self._is_calm(result.host, result.sent_s)
+            if result.route == UNKNOWN_ROUTE and self._is_undisturbed(result.host, result.sent_s)
         )
         most = MAX_UNSURE_SHARE * statuses.total()
         if statuses.total() >= MIN_REQUESTS and statuses[503] > most:
@@ -179,10 +181,10 @@
 
     def _exceeds_timeout(self, result: ProbeResult) -> bool:
         timeout_s = self._timeout_s(result)
-        is_calm = self._is_calm(result.host, result.sent_s) and self._is_calm(
+        is_undisturbed = self._is_undisturbed(result.host, result.sent_s) and self._is_undisturbed(
             result.host, result.ended_s
         )
-        return timeout_s is not None and result.work_s > timeout_s and is_calm
+        return timeout_s is not None and result.work_s > timeout_s and is_undisturbed
 
     def _is_overdue(self, result: ProbeResult) -> bool:
         timeout_s = self._timeout_s(result)
@@ -213,7 +215,7 @@
             if written.at_s <= result.ended_s and _allows(written, result)
         ]
 
-    def _is_calm(self, host: str, at_s: float) -> bool:
+    def _is_undisturbed(self, host: str, at_s: float) -> bool:
         return not any(
             span.begin_s <= at_s < span.end_s + SETTLE_S
             for span in self._disturbances.get(host, [])
