--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -1,4 +1,4 @@
-"""Place groups and route requests with the decision modules alone: no daemon, no I/O, no clock."""
+"""Place groups and route requests with the decision modules alone, without daemon, I/O or clock."""
 
 import random
 
@@ -10,12 +10,12 @@
 from yewloom.schema.table_pb2 import DowntimePlacement, PolicyRow
 from yewloom.states import EngineState
 
-PLACE = DataCentreId("hall-a")
+DATA_CENTRE = DataCentreId("hall-a")
 HOSTS = [HostId(f"host-{number}") for number in range(9)]
 
 
 def place_groups(fleet: Fleet, now_s: float) -> Placement:
-    """Form groups of four from nine idle hosts, with one spare."""
+    """Form groups of four from nine idle hosts, keeping one spare host."""
     for host in HOSTS:
         idle = HostReport(host_id=host, state=EngineState.IDLE.value)
         fleet.on_host_answered(host, idle, now_s)
@@ -33,15 +33,15 @@
         policies={PolicyName("archive"): policy},
     )
     planner = Planner(EntryHostId("entry-1"), PlacementTiming(2.5, 300.0, 4.0))
-    plan = planner.plan(Placement(data_centre=PLACE), state, now_s, AttemptId("attempt-1"))
+    plan = planner.plan(Placement(data_centre=DATA_CENTRE), state, now_s, AttemptId("attempt-1"))
     assert plan.placement is not None
     for decision in plan.decisions:
         print(f"{decision.change.value} {decision.group_id}: {decision.reason}")
     return plan.placement
 
 
-def see_ready(fleet: Fleet, now_s: float) -> None:
-    """Report every member as ready in its group, as engines do after a load."""
+def report_ready(fleet: Fleet, now_s: float) -> None:
+    """Report every member as ready in its group, as engines do once they have loaded the model."""
     for _, group in fleet.groups():
         for member in group.members:
             report = HostReport(
@@ -57,10 +57,10 @@
 def route(fleet: Fleet, now_s: float) -> GroupId:
     """Choose a group for one request."""
     candidates = [
-        Candidate(GroupId(group.id), place, seen.running, seen.capacity, 0, 0)
-        for place, group, seen in fleet.open_groups(now_s)
+        Candidate(GroupId(group.id), data_centre, observation.running, observation.capacity, 0, 0)
+        for data_centre, group, observation in fleet.open_groups(now_s)
     ]
-    request = RouteRequest(ModelName("m"), PLACE, prompt_characters=400)
+    request = RouteRequest(ModelName("m"), DATA_CENTRE, prompt_characters=400)
     chosen = choose_group(default_routing(), request, candidates, random.Random(1), TurnCounter())
     assert chosen is not None
     print(f"route to {chosen.group_id}: {chosen.reason}")
@@ -68,10 +68,10 @@
 
 
 def main() -> None:
-    """Place, see the groups become ready, and route one request."""
+    """Form groups, report them as ready, and route one request."""
     fleet = Fleet(freshness_s=2.5, give_up_s=5.0)
     fleet.apply_placement(place_groups(fleet, now_s=0.0))
-    see_ready(fleet, now_s=1.0)
+    report_ready(fleet, now_s=1.0)
     route(fleet, now_s=1.5)
 
 
--- a/tools/call.py
+++ b/tools/call.py
@@ -1,4 +1,4 @@
-"""Send one call to an entry host's route for plain services and print the answer."""
+"""Send one call to a plain service through an entry host and print the answer."""
 
 from typing import Annotated
 
@@ -14,7 +14,7 @@
     key: Annotated[str, typer.Option(help="Idempotency key.")] = "",
     customer_key: Annotated[str, typer.Option(envvar="YEWLOOM_KEY")] = "",
 ) -> None:
-    """Send a call; exit code 1 if it was not answered."""
+    """Send a call; exit with code 1 unless the answer has status 200."""
     headers = {"authorization": f"Bearer {customer_key}"}
     if key:
         headers["idempotency-key"] = key
--- a/tools/check_generated.sh
+++ b/tools/check_generated.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fail if the committed generated code differs from what the schema gives.
+# Fail if the committed generated code differs from code generated from the schema.
 set -eu
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Run stand-ins and three entry hosts in two data centres, send requests, and stop everything.
+# Run three entry hosts in two data centres with a simulated platform and endpoints, send requests,
+# and stop all processes.
 set -u
 cd "$(dirname "$0")/.."
 logs=$(mktemp -d)
@@ -35,23 +36,23 @@
     [ "$serving" -ge 2 ] && break
     sleep 0.5
 done
-[ "${serving:-0}" -ge 2 ] || fail "no group came to serve within a minute."
-python -m yewloom.cli groups || fail "the groups can't be read."
+[ "${serving:-0}" -ge 2 ] || fail "no group was serving in each data centre within a minute."
+python -m yewloom.cli groups || fail "could not list the groups."
 
 echo "== a streamed chat request"
 python -m yewloom.cli request "Summarise plate 4711." --model plate-summary --max-tokens 6 \
     || fail "the chat request failed."
 
-call() { python tools/call.py "$@" || fail "the call of $2 failed."; }
+call() { python tools/call.py "$@" || fail "the call to $2 failed."; }
 echo "== a plain-service call, and an unsafe call sent twice with one idempotency key"
 call GET http://127.0.0.1:7201/services/records/plates/4711
 call POST http://127.0.0.1:7201/services/records/update/4711 --key update-1
 call POST http://127.0.0.1:7203/services/records/update/4711 --key update-1
 
-echo "== the table is in force on every entry host"
-python -m yewloom.cli table set customer/branch-1 weight=2 || fail "the edit failed."
+echo "== a table edit takes effect on every entry host"
+python -m yewloom.cli table set customer/branch-1 weight=2 || fail "the table edit failed."
 sleep 3
-python -m yewloom.cli table status || fail "an entry host is behind."
+python -m yewloom.cli table status || fail "an entry host has not applied the edit."
 
 echo "== decisions from the logs"
 grep -h -E '"event": "(placed|routed)"' "$logs"/entry-*.log | head -n 8
--- a/tools/demo_platform.sh
+++ b/tools/demo_platform.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Run stand-ins of the users' platform and two entry hosts, forward requests, and stop everything.
+# Run a simulation of the users' platform with two entry hosts, forward requests, and stop all
+# processes.
 set -u
 cd "$(dirname "$0")/.."
 logs=$(mktemp -d)
@@ -29,11 +30,13 @@
         || fail "entry host $number does not answer."
 done
 
-echo "== a key that nobody holds"
-python tools/forward.py 127.0.0.1:7301 /summaries/4711 --key no-key && fail "it was accepted."
+echo "== a request with an unknown API key is refused"
+python tools/forward.py 127.0.0.1:7301 /summaries/4711 --key no-key \
+    && fail "the request with an unknown key was accepted."
 
-echo "== the story of a request, from the logs of both hosts"
-python -m yewloom.cli explain demo-4711-2 "$logs"/users-entry-*.log || fail "it is not in the logs."
+echo "== how a request was handled, from the logs of both hosts"
+python -m yewloom.cli explain demo-4711-2 "$logs"/users-entry-*.log \
+    || fail "the request is not in the logs."
 stop_all
 rm -rf "$logs"
 echo "== done"
--- a/tools/forward.py
+++ b/tools/forward.py
@@ -14,7 +14,7 @@
     request_id: Annotated[str, typer.Option(help="Id of the request.")] = "demo-1",
     key: Annotated[str, typer.Option(help="API key.")] = "demo-key",
 ) -> None:
-    """Send a request; exit code 1 if it was not answered with 200."""
+    """Send a request; exit with code 1 unless the answer has status 200."""
     headers = [
         (b"host", b"demo.example"),
         (b"yewloom-request-id", request_id.encode()),
--- a/tools/generate.sh
+++ b/tools/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generate the code of the schema into the folder given, or in place.
+# Generate the Python code of the schema into the given folder, or in place if none is given.
 set -eu
 out="${1:-.}"
 python -m grpc_tools.protoc -I . --python_out="$out" --pyi_out="$out" yewloom/schema/*.proto
--- a/tools/measure_core.py
+++ b/tools/measure_core.py
@@ -1,7 +1,7 @@
-"""Measure the slopes of the decisions and messages that docs/CAPACITY.md is worked out from.
+"""Measure how the cost of decisions and messages grows, as the basis of docs/CAPACITY.md.
 
-Each row gives processor time for one operation at two or more sizes (median of seven runs), and
-the bytes of the message or record where there is one.
+Each row shows the CPU time of one operation at two or more sizes (median of seven runs) and, where
+there is a message or record, its size in bytes.
 """
 
 import random
@@ -51,8 +51,8 @@
 from yewloom.writes import to_json
 
 RUNS = 7
-PLACE = DataCentreId("dc-01")
-SIZE = 32
+DATA_CENTRE = DataCentreId("dc-01")
+GROUP_SIZE = 32
 SETTINGS = """
 [host]
 id = entry-0000
@@ -67,7 +67,7 @@
 
 
 def _time_us(operation: Callable[[], object], calls: int) -> float:
-    """Return microseconds of processor time for one call."""
+    """Return the CPU time of one call in microseconds."""
     operation()
     results = []
     for _ in range(RUNS):
@@ -78,7 +78,7 @@
     return statistics.median(results)
 
 
-def _row(name: str, size: str, cost_us: float, size_bytes: int | None = None) -> None:
+def _print_row(name: str, size: str, cost_us: float, size_bytes: int | None = None) -> None:
     text = f"{size_bytes:,}" if size_bytes is not None else ""
     print(f"| {name} | {size} | {cost_us:,.1f} | {text} |", flush=True)
 
@@ -89,14 +89,14 @@
             id=f"entry-{i:04}",
             incarnation=1_790_000_000_000,
             heartbeat=100_000 + i,
-            data_centre=PLACE,
+            data_centre=DATA_CENTRE,
             peer_address=f"10.0.{i // 250}.{i % 250}:7000",
         )
         for i in range(count)
     ]
 
 
-def _group(number: int, size: int = SIZE) -> Group:
+def _group(number: int, size: int = GROUP_SIZE) -> Group:
     members = [
         GroupMember(host_id=f"host-{number:03}-{i:02}", address=f"10.{number}.0.{i}:8000")
         for i in range(size)
@@ -114,11 +114,11 @@
 
 def _placement(groups: int) -> Placement:
     return Placement(
-        data_centre=PLACE, generation=1, groups=[_group(number) for number in range(groups)]
+        data_centre=DATA_CENTRE, generation=1, groups=[_group(number) for number in range(groups)]
     )
 
 
-def _see(node: Node, groups: Iterable[Group]) -> None:
+def _report_ready(node: Node, groups: Iterable[Group]) -> None:
     for group in groups:
         for member in group.members:
             report = HostReport(
@@ -137,13 +137,13 @@
     node.membership.merge(_members(members), 0.0)
     placement = _placement(groups)
     node.fleet.apply_placement(placement)
-    _see(node, placement.groups)
-    for row in _rows(rows):
+    _report_ready(node, placement.groups)
+    for row in _customer_rows(rows):
         node.table.apply(row)
     return node
 
 
-def _rows(count: int) -> list[VersionedRow]:
+def _customer_rows(count: int) -> list[VersionedRow]:
     digest = "0" * 64
     cells = CustomerRow(key_digest=digest, weight=1, max_in_flight=1000, priority=5)
     return [
@@ -153,16 +153,20 @@
 
 
 def measure_routing() -> None:
-    """Routing, admission and prompt hashing: once a request."""
+    """Measure routing, admission and prompt hashing, which run once per request."""
     routing, rng, turns = default_routing(), random.Random(1), TurnCounter()
-    request = RouteRequest(ModelName("model"), PLACE, 8000, entry_hosts=48)
+    request = RouteRequest(ModelName("model"), DATA_CENTRE, 8000, entry_hosts=48)
     for count in (17, 100, 375):
-        candidates = [Candidate(GroupId(str(i)), PLACE, i % 64, 64, 0, 0) for i in range(count)]
+        candidates = [
+            Candidate(GroupId(str(i)), DATA_CENTRE, i % 64, 64, 0, 0) for i in range(count)
+        ]
         cost = _time_us(partial(choose_group, routing, request, candidates, rng, turns), 200)
-        _row("choose a group", f"{count} groups", cost)
+        _print_row("choose a group", f"{count} groups", cost)
     for length in (1000, 8000):
         prompt = "x" * length
-        _row("hash a prompt", f"{length} characters", _time_us(partial(block_hashes, prompt), 200))
+        _print_row(
+            "hash a prompt", f"{length} characters", _time_us(partial(block_hashes, prompt), 200)
+        )
     for count in (10, 200):
         admission = Admission(100_000, 10)
         arrivals = [
@@ -170,47 +174,47 @@
             for i in range(1000)
         ]
 
-        def admit(places: Admission = admission, offered: list[Arrival] = arrivals) -> None:
-            for arrival in offered:
-                places.offer(arrival, 0.0)
-            for arrival in offered:
-                places.release(arrival.request_id, 1.0)
+        def admit(queue: Admission = admission, offered_requests: list[Arrival] = arrivals) -> None:
+            for arrival in offered_requests:
+                queue.offer(arrival, 0.0)
+            for arrival in offered_requests:
+                queue.release(arrival.request_id, 1.0)
 
-        _row("admit and release", f"{count} customers", _time_us(admit, 1) / 1000)
+        _print_row("admit and release", f"{count} customers", _time_us(admit, 1) / 1000)
 
 
 def measure_observation() -> None:
-    """Groups and duties: every probe round."""
+    """Measure group observations and duty look-ups, which run in every probe round."""
     for size in (4, 32):
         group = _group(1, size)
         report = HostReport(state=EngineState.READY.value, group_id=group.id, generation=1)
         hosts = {HostId(m.host_id): HostObservation(report, 0.0) for m in group.members}
         cost = _time_us(partial(observe_group, group, hosts, 0.0, 5.0), 200)
-        _row("sum up a group", f"{size} members", cost)
+        _print_row("summarise a group", f"{size} members", cost)
     for members in (12, 48, 100):
         membership = _node(members, 0).membership
         cost = _time_us(partial(membership.has_duty, "group/x", 2, 0.0), 100)
-        _row("look up a duty", f"{members} members", cost)
+        _print_row("look up a duty", f"{members} members", cost)
 
 
 def measure_exchange() -> None:
-    """Exchange: a few a second."""
+    """Measure exchanges with peers, of which there are a few per second."""
     for members, groups in ((12, 4), (48, 17), (100, 34)):
         node = _node(members, groups)
-        question = exchange.ask(node, 0.0)
-        response = exchange.answer(node, question, 0.0)
+        query = exchange.ask(node, 0.0)
+        response = exchange.answer(node, query, 0.0)
         data = response.SerializeToString()
         size = f"{members} members, {groups} groups"
-        cost = _time_us(partial(exchange.answer, node, question, 0.0), 50)
-        _row("answer a peer", size, cost, len(data))
+        cost = _time_us(partial(exchange.answer, node, query, 0.0), 50)
+        _print_row("answer a peer", size, cost, len(data))
         cost = _time_us(partial(exchange.take_in, node, response, 0.0, 0.0), 50)
-        _row("take in an answer", size, cost)
+        _print_row("apply an answer", size, cost)
 
 
 def measure_table() -> None:
-    """The table: once a change, and at a start."""
+    """Measure the table, which is updated at each change and filled at start."""
     for count in (100, 1000):
-        rows = _rows(count)
+        rows = _customer_rows(count)
 
         def fill(found: list[VersionedRow] = rows) -> Table:
             table = Table()
@@ -222,7 +226,7 @@
         table = fill()
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        _row("apply a row", f"{count} rows", _time_us(fill, 3) / count, rows[0].ByteSize())
+        _print_row("apply a row", f"{count} rows", _time_us(fill, 3) / count, rows[0].ByteSize())
         other = fill()
         changed = VersionedRow()
         changed.CopyFrom(rows[0])
@@ -231,18 +235,18 @@
         digests = other.bucket_digests
         found = table.rows_where_different(digests)
         cost = _time_us(partial(table.rows_where_different, digests), 50)
-        question = FetchRowsRequest(bucket_digests=digests).ByteSize()
-        size = question + FetchRowsResponse(rows=found).ByteSize()
-        _row("send a changed row, with its bucket", f"{count} rows", cost, size)
-        print(f"| memory of the table besides its messages | {count} rows | | {memory:,} |")
+        query = FetchRowsRequest(bucket_digests=digests).ByteSize()
+        size = query + FetchRowsResponse(rows=found).ByteSize()
+        _print_row("send a changed row, with its bucket", f"{count} rows", cost, size)
+        print(f"| memory of the table without its messages | {count} rows | | {memory:,} |")
 
 
 def measure_coordinator() -> None:
-    """Planning: every probe round, at the coordinator of a data centre only."""
+    """Measure planning, which only the coordinator of a data centre does, in every probe round."""
     policy = PolicyRow(
         model="model",
         model_version="1",
-        group_size=SIZE,
+        group_size=GROUP_SIZE,
         max_groups=9999,
         weight=1,
         stranded=StrandedPlacement(),
@@ -254,29 +258,31 @@
             for group in placement.groups
             for m in group.members
         }
-        seen = {
+        observations = {
             GroupId(g.id): GroupObservation(GroupId(g.id), 1, 0.0, ready=True)
             for g in placement.groups
         }
-        state = FleetState(listed, {}, seen, {PolicyName("large"): policy})
+        state = FleetState(listed, {}, observations, {PolicyName("large"): policy})
         planner = Planner(EntryHostId("e"), PlacementTiming(2.5, 300.0, 4.0))
         cost = _time_us(partial(planner.plan, placement, state, 0.0, AttemptId("a")), 3)
-        _row("plan a placement", f"{groups * SIZE} hosts", cost, _json_bytes(placement))
+        _print_row("plan a placement", f"{groups * GROUP_SIZE} hosts", cost, _json_bytes(placement))
     for holders, customers in ((12, 10), (48, 50)):
-        alive = [f"entry-{i:04}/1790000000000" for i in range(holders)]
-        parts = {CustomerId(f"customer-{i:04}"): 1000 for i in range(customers)}
+        holder_names = [f"entry-{i:04}/1790000000000" for i in range(holders)]
+        customer_limits = {CustomerId(f"customer-{i:04}"): 1000 for i in range(customers)}
 
-        def plan(names: list[str] = alive, wanted: dict[CustomerId, int] = parts) -> Shares:
+        def plan(
+            names: list[str] = holder_names, wanted: dict[CustomerId, int] = customer_limits
+        ) -> Shares:
             planned = plan_shares(Shares(), wanted, names, [], {}, AttemptId("a"))
             assert planned is not None
             return planned
 
         size = f"{holders} holders, {customers} customers"
-        _row("plan the shares", size, _time_us(plan, 3), _json_bytes(plan()))
+        _print_row("plan the shares", size, _time_us(plan, 3), _json_bytes(plan()))
 
 
 def measure_claims() -> None:
-    """Claims: one record write for all that wait."""
+    """Measure claims; one write of the record covers all waiting claims."""
     for count in (1, 50, 250):
         claims = [
             ClaimRequest(
@@ -288,7 +294,9 @@
         def add(waiting: list[ClaimRequest] = claims) -> ClaimShard:
             return add_claims(ClaimShard(), waiting, [], 0, 1000)[0]
 
-        _row("add claims to a record", f"{count} claims", _time_us(add, 10), _json_bytes(add()))
+        _print_row(
+            "add claims to a record", f"{count} claims", _time_us(add, 10), _json_bytes(add())
+        )
 
 
 def _json_bytes(message: Message) -> int:
@@ -296,8 +304,8 @@
 
 
 def main() -> None:
-    """Print the table."""
-    print("| operation | size | processor time, us | bytes |")
+    """Print the results as a table."""
+    print("| operation | size | CPU time, us | bytes |")
     print("|---|---|---|---|")
     measure_routing()
     measure_observation()
--- a/tools/measure_daemons.py
+++ b/tools/measure_daemons.py
@@ -1,8 +1,9 @@
-"""Measure real daemons: processor time and memory when idle, and the cost of requests and tokens.
+"""Measure running daemons: CPU time and memory when idle, and the cost of requests and tokens.
 
-Idle: 3, 12 and 24 entry hosts of one data centre with default settings. Serving: one entry host
-passes streams of several lengths and rates, and calls of a plain service; the cost is its own
-processor time over what it passed.
+Idle: 3, 12 and 24 entry hosts of one data centre, with default settings and with those for large
+data centres. Probes: one entry host that probes 9 to 65 engines. Serving: one entry host forwards
+streams of several lengths and rates, and calls of a plain service; the cost is its own CPU time
+divided by the number of forwarded tokens or calls.
 """
 
 import os
@@ -42,15 +43,15 @@
 give_up_ms = 9000
 """
 )
-"""Settings for data centres of about 48 entry hosts, see docs/CAPACITY.md."""
+"""Settings for data centres of about 48 entry hosts; see docs/CAPACITY.md."""
 
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def _cpu_s(pid: int) -> float:
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
 def _memory_mb(pid: int) -> float:
@@ -65,7 +66,7 @@
 
 
 def measure_idle(count: int, name: str, settings: str) -> None:
-    """Print one row for an idle data centre of so many entry hosts."""
+    """Print one row for an idle data centre with the given number of entry hosts."""
     entries = {f"e{number + 1}": "a" for number in range(count)}
     fleet = Fleet(members_a=9, members_b=0, entries=entries, settings=settings)
     try:
@@ -92,7 +93,7 @@
 
 
 def measure_probes(members: int) -> None:
-    """Print one row for a single entry host that probes so many engines."""
+    """Print one row for a single entry host that probes the given number of engines."""
     fleet = Fleet(members_a=members, members_b=0, entries={"e1": "a"}, settings=DEFAULTS)
     try:
         fleet.start()
@@ -106,8 +107,8 @@
         fleet.stop()
 
 
-def _load(work: Callable[[], int], workers: int, seconds: float) -> int:
-    """Run work in threads for a time; return what it counted."""
+def _run_for(work: Callable[[], int], workers: int, seconds: float) -> int:
+    """Call work repeatedly in threads for a time; return the sum of its results."""
     total, end_s, lock = 0, time.monotonic() + seconds, threading.Lock()
 
     def run() -> None:
@@ -124,7 +125,7 @@
 
 
 def measure_serving(coalesce_ms: int) -> None:
-    """Print the cost of requests and tokens at one entry host."""
+    """Print the cost of requests and tokens on one entry host."""
     settings = f"{DEFAULTS}[requests]\ncoalesce_ms = {coalesce_ms}\n"
     fleet = Fleet(members_a=9, members_b=0, entries={"e1": "a"}, capacity=64, settings=settings)
     try:
@@ -146,10 +147,10 @@
             for name in [f"a{number}" for number in range(9)]:
                 fleet.control(name, token_ms=token_ms)
             time.sleep(1)
-            name = f"{tokens} tokens, {workers} streams, {coalesce_ms} ms together"
-            _serve(pid, name, lambda: chat(tokens), workers)  # noqa: B023
+            name = f"{tokens} tokens, {workers} streams, coalesced over {coalesce_ms} ms"
+            _print_cost(pid, name, lambda: chat(tokens), workers)  # noqa: B023
         service = f"{fleet.url('e1')}/services/s/x"
-        _serve(
+        _print_cost(
             pid,
             "service call",
             lambda: int(call("GET", service, None, authorized()).status == 200),
@@ -159,9 +160,9 @@
         fleet.stop()
 
 
-def _serve(pid: int, name: str, work: Callable[[], int], workers: int) -> None:
+def _print_cost(pid: int, name: str, work: Callable[[], int], workers: int) -> None:
     before_s, start_s = _cpu_s(pid), time.monotonic()
-    total = _load(work, workers, 8.0)
+    total = _run_for(work, workers, 8.0)
     used_s, took_s = _cpu_s(pid) - before_s, time.monotonic() - start_s
     print(
         f"| {name} | {total / took_s:,.0f} | {used_s / took_s * 100:.0f} "
@@ -171,21 +172,21 @@
 
 
 def main() -> None:
-    """Print both tables, or the one that the argument names."""
-    wanted = sys.argv[1:] or ["idle", "probes", "serving"]
-    if "idle" in wanted:
+    """Print all tables, or those named by the arguments."""
+    tables = sys.argv[1:] or ["idle", "probes", "serving"]
+    if "idle" in tables:
         print("| entry hosts | settings | % of a core | memory, MB | peer B/s | platform calls/s |")
         print("|---|---|---|---|---|---|")
         for count in (3, 12, 24):
             measure_idle(count, "default", DEFAULTS)
             measure_idle(count, "large", LARGE)
-    if "probes" in wanted:
+    if "probes" in tables:
         print("| engines probed twice a second | % of a core | memory, MB |")
         print("|---|---|---|")
         for members in (9, 33, 65):
             measure_probes(members)
-    if "serving" in wanted:
-        print("| load | units/s | % of a core | us a unit | memory, MB |")
+    if "serving" in tables:
+        print("| load | units/s | % of a core | us per unit | memory, MB |")
         print("|---|---|---|---|---|")
         for coalesce_ms in (0, 30, 60):
             measure_serving(coalesce_ms)
--- a/tools/measure_memory.py
+++ b/tools/measure_memory.py
@@ -1,4 +1,4 @@
-"""Measure the resident memory of a process stage by stage, and of a node's state at two sizes."""
+"""Measure the resident memory after each stage of imports, and of node state at two sizes."""
 
 import importlib
 import re
@@ -10,9 +10,9 @@
         "starlette.applications", "xxhash", "result",
     ],
     "the serving path": ["yewloom.callers", "yewloom.endpoints", "yewloom.settings"],
-    "all of the daemon": ["yewloom.daemon"],
+    "the whole daemon": ["yewloom.daemon"],
 }  # fmt: skip
-NODES = 10
+NODE_COUNT = 10
 
 
 def _memory_mb() -> float:
@@ -22,7 +22,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the results as a table."""
     print("| stage | memory, MB |")
     print("|---|---|")
     for stage, modules in _STAGES.items():
@@ -32,9 +32,9 @@
     core = importlib.import_module("measure_core")
     for members, groups, rows in ((12, 4, 100), (48, 17, 1000)):
         before = _memory_mb()
-        nodes = [core._node(members, groups, rows) for _ in range(NODES)]
-        each = (_memory_mb() - before) / len(nodes)
-        print(f"| state: {members} members, {groups} groups of 32, {rows} rows | {each:.1f} |")
+        nodes = [core._node(members, groups, rows) for _ in range(NODE_COUNT)]
+        memory_mb = (_memory_mb() - before) / len(nodes)
+        print(f"| state: {members} members, {groups} groups of 32, {rows} rows | {memory_mb:.1f} |")
 
 
 if __name__ == "__main__":
--- a/tools/measure_placement.py
+++ b/tools/measure_placement.py
@@ -1,16 +1,16 @@
 """Compare placement policies on the same failure traces: group downtime and stranded accelerators.
 
-Hosts of four fabric domains fail at random, one domain goes dark once, and hosts come back after
-ten minutes. The baseline never changes its groups: a group waits for its lost member. Prints group
-downtime in group-minutes (against the groups that were there at the start), the mean numbers of
-stranded accelerators and of serving groups, and the record writes; median (lowest-highest) over
-five seeds.
+Hosts of four fabric domains fail at random, one whole domain fails once, and hosts return after ten
+minutes. The baseline never changes its groups: a group waits for its lost member. Prints the group
+downtime in group-minutes (relative to the number of groups serving after five minutes), the mean
+numbers of stranded accelerators and of serving groups, and the number of record writes; each as
+median (lowest-highest) over five seeds.
 """
 
 import random
 from dataclasses import dataclass, field
 
-from queue_model import spread
+from queue_model import format_spread
 
 from yewloom.drafts import Plan
 from yewloom.fleet import Fleet
@@ -21,17 +21,23 @@
 from yewloom.schema.table_pb2 import DowntimePlacement, PolicyRow, StrandedPlacement
 from yewloom.states import EngineState
 
-DOMAINS, HOSTS_A_DOMAIN, SIZE = 4, 16, 4
-ACCELERATORS_A_HOST = 2
+DOMAINS, HOSTS_PER_DOMAIN, GROUP_SIZE = 4, 16, 4
+ACCELERATORS_PER_HOST = 2
 STEP_S = 5.0
 HOURS = 6
 REPAIR_S = 600.0
-FAILURES_A_HOUR = 6
+FAILURES_PER_HOUR = 6
 LOAD_S, CACHED_LOAD_S = 90.0, 30.0
 SEEDS = range(5)
-PLACE, POLICY = DataCentreId("a"), PolicyName("p")
-
-_COMMON = {"model": "m", "model_version": "1", "group_size": SIZE, "max_groups": 99, "weight": 1}
+DATA_CENTRE, POLICY = DataCentreId("a"), PolicyName("p")
+
+_COMMON = {
+    "model": "m",
+    "model_version": "1",
+    "group_size": GROUP_SIZE,
+    "max_groups": 99,
+    "weight": 1,
+}
 POLICIES = {
     "least downtime, 1 spare": PolicyRow(**_COMMON, downtime=DowntimePlacement(spare_hosts=1)),
     "least downtime, 3 spares": PolicyRow(**_COMMON, downtime=DowntimePlacement(spare_hosts=3)),
@@ -73,7 +79,7 @@
 
 @dataclass
 class _Trial:
-    """One run of the planner, or of the baseline that keeps its first groups."""
+    """One run of the planner, or of the baseline, which keeps its initial groups."""
 
     policy: PolicyRow
     seed: int
@@ -82,19 +88,19 @@
     result: _Result = field(default_factory=_Result)
 
     def __post_init__(self) -> None:
-        for number in range(DOMAINS * HOSTS_A_DOMAIN):
-            name, domain = f"h{number:03}", f"d{number // HOSTS_A_DOMAIN}"
+        for number in range(DOMAINS * HOSTS_PER_DOMAIN):
+            name, domain = f"h{number:03}", f"d{number // HOSTS_PER_DOMAIN}"
             host = Host(
                 id=name, address=name, fabric_domain=domain, state="live", checks_fences=True
             )
             self.engines[HostId(name)] = _Engine(host)
         self.fleet = Fleet(4 * STEP_S, 2 * STEP_S)
         self.planner = Planner(EntryHostId("e"), PlacementTiming(4 * STEP_S, 600.0, 2 * STEP_S))
-        self.record = Placement(data_centre=PLACE)
-        self.events = _trace(self.seed)
+        self.record = Placement(data_centre=DATA_CENTRE)
+        self.events = _failure_trace(self.seed)
 
     def run(self) -> _Result:
-        """Run the whole trace."""
+        """Simulate the whole trace and return the result."""
         target = 0
         for step in range(int(HOURS * 3600 / STEP_S)):
             now_s = step * STEP_S
@@ -105,7 +111,7 @@
             serving = len(self.fleet.open_groups(now_s))
             target = serving if now_s == 300.0 else target
             if now_s > 300.0:
-                self._count(target - serving)
+                self._add_losses(target - serving)
             self.result.serving += serving
         self.result.stranded /= HOURS * 3600 / STEP_S
         self.result.serving /= HOURS * 3600 / STEP_S
@@ -117,10 +123,10 @@
             engine = self.engines[name]
             engine.is_alive = is_alive
             if is_alive:
-                self._revive(engine, now_s)
+                self._restart(engine, now_s)
 
-    def _revive(self, engine: _Engine, now_s: float) -> None:
-        """Bring a host back empty; the baseline's group loads again at once."""
+    def _restart(self, engine: _Engine, now_s: float) -> None:
+        """Return a host without cached weights; in the baseline, its group reloads immediately."""
         engine.is_cached = False
         engine.ready_s = now_s + LOAD_S
         if not self.is_baseline:
@@ -157,7 +163,7 @@
             engine.ready_s = now_s + (CACHED_LOAD_S if engine.is_cached else LOAD_S)
             engine.is_cached = True
 
-    def _count(self, missing: int) -> None:
+    def _add_losses(self, missing: int) -> None:
         self.result.downtime_minutes += max(0, missing) * STEP_S / 60
         placed = {
             member.host_id
@@ -166,26 +172,26 @@
             for member in group.members
         }
         idle = [n for n, e in self.engines.items() if e.is_alive and n not in placed]
-        self.result.stranded += len(idle) * ACCELERATORS_A_HOST
+        self.result.stranded += len(idle) * ACCELERATORS_PER_HOST
 
 
-def _trace(seed: int) -> list[tuple[float, HostId, bool]]:
-    """Return failures and returns in order of time; the same for every policy."""
+def _failure_trace(seed: int) -> list[tuple[float, HostId, bool]]:
+    """Return host failures and returns in order of time; they are the same for every policy."""
     rng = random.Random(seed)
     events = []
-    for _ in range(HOURS * FAILURES_A_HOUR):
+    for _ in range(HOURS * FAILURES_PER_HOUR):
         at_s = rng.uniform(600, HOURS * 3600 - REPAIR_S)
-        name = HostId(f"h{rng.randrange(DOMAINS * HOSTS_A_DOMAIN):03}")
+        name = HostId(f"h{rng.randrange(DOMAINS * HOSTS_PER_DOMAIN):03}")
         events += [(at_s, name, False), (at_s + REPAIR_S, name, True)]
-    dark_s, domain = rng.uniform(3600, 7200), rng.randrange(DOMAINS)
-    for number in range(domain * HOSTS_A_DOMAIN, (domain + 1) * HOSTS_A_DOMAIN):
+    domain_failure_s, domain = rng.uniform(3600, 7200), rng.randrange(DOMAINS)
+    for number in range(domain * HOSTS_PER_DOMAIN, (domain + 1) * HOSTS_PER_DOMAIN):
         name = HostId(f"h{number:03}")
-        events += [(dark_s, name, False), (dark_s + REPAIR_S, name, True)]
+        events += [(domain_failure_s, name, False), (domain_failure_s + REPAIR_S, name, True)]
     return sorted(events)
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the results as a table."""
     print(
         "| placement | downtime, group-minutes | stranded accelerators | groups serving | writes |"
     )
@@ -195,10 +201,10 @@
     for name, policy, is_baseline in rows:
         results = [_Trial(policy, seed, is_baseline).run() for seed in SEEDS]
         cells = [
-            spread([result.downtime_minutes for result in results]),
-            spread([result.stranded for result in results]),
-            spread([result.serving for result in results]),
-            spread([float(result.writes) for result in results]),
+            format_spread([result.downtime_minutes for result in results]),
+            format_spread([result.stranded for result in results]),
+            format_spread([result.serving for result in results]),
+            format_spread([float(result.writes) for result in results]),
         ]
         print(f"| {name} | {' | '.join(cells)} |", flush=True)
 
--- a/tools/measure_replacement.py
+++ b/tools/measure_replacement.py
@@ -1,8 +1,8 @@
-"""Measure how long a host is out of service when the leader of its group is lost, by cause.
+"""Measure how long a host is out of service after the leader of its group is lost, by cause.
 
-Prints a table: seconds of the mock clock from the loss until the host serves in another group. The
-coordinator is the product's; engines, store and listing are played. Entries lapse after three
-heartbeats, and entry hosts report a group that stands still for as long as it does.
+Prints a table with the time on the mock clock, in seconds, from the loss until the host serves in
+another group. The coordinator is the real one; engines, store and listing are simulated. Entries
+expire after three heartbeats, and entry hosts report a stalled group for as long as it is stalled.
 """
 
 import math
@@ -15,77 +15,79 @@
 from yewloom.stalls import QUIET_S
 from yewloom.tests.engine_world import EngineWorld, Played, WorldEngine, play
 
-LEASE_S = 4.0
-"""Time until the coordinator is at work."""
+LEASE_ACQUIRED_S = 4.0
+"""Time until the coordinator has acquired its lease."""
 
-LAPSE_S = 3.6
-"""Time after which the entry of an endpoint that does not write goes: three heartbeats of 1.2 s."""
+EXPIRY_S = 3.6
+"""Time without writes after which an endpoint's entry expires: three heartbeats of 1.2 s."""
 
 REPORT_PAUSE_S = 0.5
-"""Pause between two reports of entry hosts that a group stands still."""
+"""Pause between two reports by entry hosts that a group is stalled."""
 
-LONGEST_S = 60.0
-"""Time after which a host counts as not replaced."""
+TIMEOUT_S = 60.0
+"""Time after which a host is considered not replaced."""
 
 LEADER, MEMBER = HostId("a"), HostId("b")
 
 
-def _die(leader: WorldEngine, now_s: float) -> None:
+def _crash(leader: WorldEngine, now_s: float) -> None:
     leader.is_alive = False
-    leader.unlisted_from_s = now_s + LAPSE_S
+    leader.unlisted_from_s = now_s + EXPIRY_S
 
 
-def _lose_all(leader: WorldEngine, now_s: float) -> None:
+def _disconnect_from_all(leader: WorldEngine, now_s: float) -> None:
     leader.is_reached = False
-    leader.unlisted_from_s = now_s + LAPSE_S
+    leader.unlisted_from_s = now_s + EXPIRY_S
 
 
-def _lose_coordinator(leader: WorldEngine, now_s: float) -> None:
+def _disconnect_from_coordinator(leader: WorldEngine, now_s: float) -> None:
     leader.is_reached = False
 
 
-def _lose_store(leader: WorldEngine, now_s: float) -> None:
-    leader.unlisted_from_s = now_s + LAPSE_S
+def _disconnect_from_store(leader: WorldEngine, now_s: float) -> None:
+    leader.unlisted_from_s = now_s + EXPIRY_S
 
 
 CAUSES: Sequence[tuple[str, Callable[[WorldEngine, float], None], bool]] = (
-    ("dead", _die, True),
-    ("out of reach of the coordinator and the store", _lose_all, True),
-    ("out of reach of the coordinator alone", _lose_coordinator, True),
-    ("unlisted alone", _lose_store, False),
+    ("crashed", _crash, True),
+    ("unreachable from the coordinator and the store", _disconnect_from_all, True),
+    ("unreachable from the coordinator alone", _disconnect_from_coordinator, True),
+    ("missing from the listing alone", _disconnect_from_store, False),
 )
-"""Name, what happens to the leader, and whether entry hosts find its group to stand still."""
+"""Name, the fault of the leader, and whether entry hosts detect that its group is stalled."""
 
 
-def measure(lose: Callable[[WorldEngine, float], None], stands_still: bool) -> tuple[float, int]:
+def measure(
+    inject_fault: Callable[[WorldEngine, float], None], is_stalled: bool
+) -> tuple[float, int]:
     """Return the seconds until the member serves again, and how often a host was in two groups."""
     world = EngineWorld()
     world.serve("old", ["a", "b"])
     world.add("c")
     took_s = math.inf
 
-    async def test(played: Played) -> None:
+    async def test(simulation: Played) -> None:
         nonlocal took_s
-        await trio.sleep(LEASE_S)
-        lost_s = trio.current_time()
-        lose(world.engines[LEADER], lost_s)
-        with trio.move_on_after(LONGEST_S):
+        await trio.sleep(LEASE_ACQUIRED_S)
+        fault_s = trio.current_time()
+        inject_fault(world.engines[LEADER], fault_s)
+        with trio.move_on_after(TIMEOUT_S):
             async with trio.open_nursery() as nursery:
-                if stands_still:
-                    nursery.start_soon(_report, played)
-                while not _serves_elsewhere(world):  # noqa: ASYNC110 - engines are played
+                if is_stalled:
+                    nursery.start_soon(_report_stalls, simulation)
+                while not _serves_elsewhere(world):  # noqa: ASYNC110 - engines are simulated
                     await trio.sleep(0.02)
-                took_s = trio.current_time() - lost_s
+                took_s = trio.current_time() - fault_s
                 nursery.cancel_scope.cancel()
 
     play(world, test)
     return took_s, len(world.taken)
 
 
-async def _report(played: Played) -> None:
+async def _report_stalls(simulation: Played) -> None:
     await trio.sleep(QUIET_S)
     while True:
-        played.stalls.report(LEADER, trio.current_time())
+        simulation.stalls.report(LEADER, trio.current_time())
         await trio.sleep(REPORT_PAUSE_S)
 
 
@@ -94,12 +96,12 @@
 
 
 def main() -> None:
-    """Measure each cause and print the table."""
+    """Measure each cause and print a table."""
     structlog.configure(processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
     print("| leader | s until its host serves again | joined while the old group was open |")
     print("|---|---|---|")
-    for name, lose, stands_still in CAUSES:
-        took_s, taken = measure(lose, stands_still)
+    for name, inject_fault, is_stalled in CAUSES:
+        took_s, taken = measure(inject_fault, is_stalled)
         print(f"| {name} | {took_s:.1f} | {taken} |")
 
 
--- a/tools/measure_silence.py
+++ b/tools/measure_silence.py
@@ -1,8 +1,8 @@
-"""Measure how long a change takes to be in force after connections to the store fell silent.
+"""Measure how long a change takes to take effect after connections to the store stop responding.
 
-Runs entry hosts as processes beside a stand-in of the users' store, silences all their open
-connections to it in rounds, writes a change soon after each, and prints for each host the time from
-the silence until it serves a route that the change adds.
+Runs entry hosts as processes with a simulated store. In each round, stops all traffic on their open
+connections to the store, writes a change shortly afterwards, and prints for each host the time from
+the loss of the connections until it serves a route that the change adds.
 """
 
 import random
@@ -17,31 +17,31 @@
 from yewloom.tests.soak.fleet import HOST, PLAIN, EntryProcess, Fleet, configuration, key_of
 from yewloom.tests.soak.ledger import Ledger
 
-PLACES = ("hall-a", "hall-b", "hall-c")
+DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
 
 FIRST_ROUTE = "idempotent"
-"""A route that all versions have."""
+"""A route that is present in all versions."""
 
-SERVED = (200, 500)
-"""Statuses of an endpoint's answer."""
+SERVED_STATUSES = (200, 500)
+"""Statuses that show that an endpoint answered the request."""
 
-LOOK_S = 0.02
-"""Pause between two questions to a host, which bounds how exact the times are."""
+POLL_INTERVAL_S = 0.02
+"""Pause between two requests to a host, which limits the accuracy of the measured times."""
 
-LIMIT_S = 20.0
-"""Longest wait for a change."""
+TIMEOUT_S = 20.0
+"""Longest wait for a change to take effect."""
 
 
-def _write(fleet: Fleet, version: int, route: str) -> None:
-    """Write a version that has a route beside the first ones."""
+def _write_configuration(fleet: Fleet, version: int, route: str) -> None:
+    """Write a version with one route in addition to the initial ones."""
     fields = configuration(1)
     plain = next(known for known in fields["routes"] if known["name"] == FIRST_ROUTE)
     fields["routes"].append({**plain, "name": route, "pathPrefix": f"/{route}/", "service": PLAIN})
     fleet.store.put("config", "main", fields | {"version": version})
 
 
-async def _ask(entry: EntryProcess, route: str) -> int | None:
-    """Return the status of an answer; None without one."""
+async def _request_status(entry: EntryProcess, route: str) -> int | None:
+    """Send a request by a route; return the status of the answer, or None if there is none."""
     headers: dict[bytes | str, bytes | str] = {
         "host": HOST,
         "yewloom-request-id": f"{entry.name}-{route}",
@@ -59,35 +59,35 @@
 
 
 async def _time_until_served(entry: EntryProcess, route: str, times_s: dict[str, float]) -> None:
-    """Note the time at which a question was sent that a host answered by a route."""
+    """Record when the first request was sent that a host served by a route."""
     while True:
         sent_s = trio.current_time()
-        if await _ask(entry, route) in SERVED:
+        if await _request_status(entry, route) in SERVED_STATUSES:
             times_s[entry.name] = sent_s
             return
-        await trio.sleep(LOOK_S)
+        await trio.sleep(POLL_INTERVAL_S)
 
 
 async def _round(fleet: Fleet, version: int, delay_s: float) -> str:
-    """Silence, write a version, and return the line of a round."""
+    """Run one round and return its output line."""
     silenced_s = trio.current_time()
     for entry in fleet.entries:
         entry.store_link.silence_open()
     await trio.sleep(delay_s)
-    _write(fleet, version, f"added-{version}")
+    _write_configuration(fleet, version, f"added-{version}")
     times_s: dict[str, float] = {}
-    with trio.move_on_after(LIMIT_S):
+    with trio.move_on_after(TIMEOUT_S):
         async with trio.open_nursery() as nursery:
             for entry in fleet.entries:
                 nursery.start_soon(_time_until_served, entry, f"added-{version}", times_s)
     took_s = [times_s[name] - silenced_s for name in sorted(times_s)]
-    return f"written after {delay_s:.2f} s, in force after " + " ".join(f"{t:.2f}" for t in took_s)
+    return f"written after {delay_s:.2f} s, in effect after " + " ".join(f"{t:.2f}" for t in took_s)
 
 
 async def _measure(folder: Path, hosts: int, places: int, rounds: int, seed: int) -> None:
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(folder, Ledger(), rng, nursery, data_centres=PLACES[:places])
+        fleet = Fleet(folder, Ledger(), rng, nursery, data_centres=DATA_CENTRES[:places])
         try:
             await fleet.start(hosts, 0, 2)
             for entry in fleet.entries:
@@ -101,12 +101,12 @@
 
 
 def main(
-    hosts: Annotated[int, typer.Option(help="Entry hosts.")] = 3,
-    places: Annotated[int, typer.Option(help="Data centres, up to 3.")] = 1,
-    rounds: Annotated[int, typer.Option(help="Times that connections fall silent.")] = 10,
-    seed: Annotated[int, typer.Option(help="Seed of the times.")] = 1,
+    hosts: Annotated[int, typer.Option(help="Number of entry hosts.")] = 3,
+    places: Annotated[int, typer.Option(help="Number of data centres, up to 3.")] = 1,
+    rounds: Annotated[int, typer.Option(help="Number of rounds.")] = 10,
+    seed: Annotated[int, typer.Option(help="Seed of the random delays.")] = 1,
 ) -> None:
-    """Measure, and print a line for each round."""
+    """Print a line for each round of the measurement."""
     with tempfile.TemporaryDirectory() as folder:
         trio.run(_measure, Path(folder), hosts, places, rounds, seed)
 
--- a/tools/measure_transport.py
+++ b/tools/measure_transport.py
@@ -1,8 +1,9 @@
-"""Compare two transports between entry hosts: grpcio on trio-asyncio, protobuf over HTTP/1.1.
+"""Compare two transports between entry hosts: grpcio on trio-asyncio, and protobuf over HTTP/1.1.
 
-Each runs a server and a client as separate processes on loopback and passes the same messages:
-unary calls with the answer of a data centre of 48 entry hosts, and a stream of small messages.
-Prints processor time of both sides for one call or message, and memory, median of five rounds.
+For each transport, runs a server and a client as separate processes on loopback and sends the same
+messages: unary calls with the answer of a data centre of 48 entry hosts, and a stream of small
+messages. Prints the CPU time of both sides per call or message (median and range of five rounds),
+and the server's memory.
 """
 
 import os
@@ -27,7 +28,7 @@
 
 from yewloom.schema.peer_pb2 import ExchangeRequest, ExchangeResponse, Member
 
-CALLS, STREAMED, ROUNDS = 400, 2000, 5
+UNARY_CALLS, STREAM_MESSAGES, ROUNDS = 400, 2000, 5
 
 
 def _answer() -> ExchangeResponse:
@@ -52,7 +53,7 @@
 
     async def stream(request: Request) -> Response:
         async def body() -> AsyncIterator[bytes]:
-            for _ in range(STREAMED):
+            for _ in range(STREAM_MESSAGES):
                 yield len(small).to_bytes(4, "big") + small
 
         return StreamingResponse(body())
@@ -72,7 +73,7 @@
 
 
 class _Handler(grpc.GenericRpcHandler):  # type: ignore[misc]
-    """Unary and streaming methods without a generated service."""
+    """Unary and streaming methods, defined without generated service code."""
 
     def service(self, details: Any) -> Any:
         """Return the handler of a method."""
@@ -92,7 +93,7 @@
         return _answer()
 
     async def _stream(self, request: ExchangeRequest, context: object) -> AsyncIterator[Member]:
-        for _ in range(STREAMED):
+        for _ in range(STREAM_MESSAGES):
             yield Member(id="x")
 
     async def _usage(self, request: bytes, context: object) -> bytes:
@@ -109,7 +110,7 @@
 
 
 class _HttpClient:
-    """Calls by httpcore."""
+    """Client that uses httpcore."""
 
     def __init__(self, port: int) -> None:
         self.url = f"http://127.0.0.1:{port}"
@@ -123,25 +124,25 @@
 
     async def stream(self) -> None:
         """Read one stream."""
-        rest, count = b"", 0
+        buffer, count = b"", 0
         async with self.pool.stream("GET", f"{self.url}/stream") as answer:
             async for chunk in answer.aiter_stream():
-                rest += chunk
-                while len(rest) >= 4:
-                    size = int.from_bytes(rest[:4], "big")
-                    if len(rest) < 4 + size:
+                buffer += chunk
+                while len(buffer) >= 4:
+                    size = int.from_bytes(buffer[:4], "big")
+                    if len(buffer) < 4 + size:
                         break
-                    Member.FromString(rest[4 : 4 + size])
-                    rest, count = rest[4 + size :], count + 1
-        assert count == STREAMED
+                    Member.FromString(buffer[4 : 4 + size])
+                    buffer, count = buffer[4 + size :], count + 1
+        assert count == STREAM_MESSAGES
 
     async def usage(self) -> str:
-        """Return the server's processor time and memory."""
+        """Return the server's CPU time and memory."""
         return (await self.pool.request("GET", f"{self.url}/usage")).content.decode()
 
 
 class _GrpcClient:
-    """Calls by grpc.aio."""
+    """Client that uses grpc.aio."""
 
     def __init__(self, port: int) -> None:
         self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}")
@@ -166,10 +167,10 @@
         async def run() -> int:
             return len([message async for message in method(ExchangeRequest())])
 
-        assert await trio_asyncio.aio_as_trio(run)() == STREAMED
+        assert await trio_asyncio.aio_as_trio(run)() == STREAM_MESSAGES
 
     async def usage(self) -> str:
-        """Return the server's processor time and memory."""
+        """Return the server's CPU time and memory."""
         method = self.channel.unary_unary("/t/usage")
 
         async def run() -> bytes:
@@ -179,18 +180,18 @@
 
 
 async def _measure(client: _HttpClient | _GrpcClient, name: str) -> None:
-    await _wait(client)
-    for what, work, units in (
-        ("unary call", lambda: _repeat(client.call, CALLS), CALLS),
-        ("streamed message", client.stream, STREAMED),
+    await _wait_until_serving(client)
+    for operation, work, units in (
+        ("unary call", lambda: _repeat(client.call, UNARY_CALLS), UNARY_CALLS),
+        ("streamed message", client.stream, STREAM_MESSAGES),
     ):
         costs = []
         for _ in range(ROUNDS):
-            before = await _both(client)
+            before = await _total_cpu_s(client)
             await work()
-            costs.append((await _both(client) - before) / units * 1e6)
+            costs.append((await _total_cpu_s(client) - before) / units * 1e6)
         spread = f"{statistics.median(costs):.0f} ({min(costs):.0f}-{max(costs):.0f})"
-        print(f"| {name} | {what} | {spread} |")
+        print(f"| {name} | {operation} | {spread} |")
     print(
         f"| {name} | server memory, MB | {float((await client.usage()).split()[1]):.0f} |",
         flush=True,
@@ -202,18 +203,18 @@
         await call()
 
 
-async def _both(client: _HttpClient | _GrpcClient) -> float:
+async def _total_cpu_s(client: _HttpClient | _GrpcClient) -> float:
     return float((await client.usage()).split()[0]) + time.process_time()
 
 
-async def _wait(client: _HttpClient | _GrpcClient) -> None:
+async def _wait_until_serving(client: _HttpClient | _GrpcClient) -> None:
     for _ in range(100):
         try:
             await client.usage()
             return
         except (httpcore.ConnectError, grpc.aio.AioRpcError):
             await trio.sleep(0.1)
-    raise SystemExit("the server did not start")
+    raise SystemExit("the server did not answer after 100 attempts")
 
 
 async def _run_client(kind: str, port: int) -> None:
@@ -225,11 +226,11 @@
 
 
 def main() -> None:
-    """Serve if told so; otherwise start a server for each transport and print the table."""
+    """Run a server if called with --serve; otherwise measure each transport and print a table."""
     if sys.argv[1:2] == ["--serve"]:
         trio.run(_serve_http if sys.argv[2] == "http" else _serve_grpc, int(sys.argv[3]))
         return
-    print("| transport | what | processor time of both sides, us |")
+    print("| transport | operation | CPU time of both sides, us |")
     print("|---|---|---|")
     for number, kind in enumerate(("grpc", "http")):
         port = 20_000 + os.getpid() % 20_000 + number
--- a/tools/queue_model.py
+++ b/tools/queue_model.py
@@ -1,7 +1,8 @@
-"""A small queue model of engines for measurements of decisions, in virtual time.
+"""Discrete-event queue model of engines, used to measure decisions in virtual time.
 
-Each group runs ``capacity`` requests at once and queues the rest. The first token comes after the
-prompt blocks that are not cached were prefilled. Entry hosts see load and cache events late.
+Each group runs up to ``capacity`` requests concurrently and queues the others. The first token of a
+request is produced once all prompt blocks that are not in the prefix cache have been prefilled.
+Entry hosts receive load and cache events with a delay.
 """
 
 import heapq
@@ -11,26 +12,26 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-PREFILL_S_A_BLOCK = 0.02
+PREFILL_S_PER_BLOCK = 0.02
 TOKEN_S = 0.02
-CACHED_BLOCKS = 600
+MAX_CACHED_BLOCKS = 600
 
 
-class Clock:
-    """Events in order of virtual time, in seconds."""
+class VirtualClock:
+    """A virtual clock in seconds that runs scheduled events in order of time."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
 
-    def after(self, delay_s: float, event: Callable[[], None]) -> None:
-        """Run an event later."""
+    def schedule(self, delay_s: float, event: Callable[[], None]) -> None:
+        """Schedule an event after a delay."""
         self._count += 1
         heapq.heappush(self._events, (self.now_s + delay_s, self._count, event))
 
     def run(self, until_s: float) -> None:
-        """Run all events up to a time."""
+        """Run all events that are due up to a time."""
         while self._events and self._events[0][0] <= until_s:
             self.now_s, _, event = heapq.heappop(self._events)
             event()
@@ -38,7 +39,7 @@
 
 @dataclass
 class Job:
-    """One request: its prompt's blocks, the tokens wanted, and what became of it."""
+    """A request: the blocks of its prompt, the number of tokens to generate, and its outcome."""
 
     name: str
     customer: str
@@ -53,9 +54,9 @@
 
 
 class GroupModel:
-    """One group's engine."""
+    """The engine of one group."""
 
-    def __init__(self, clock: Clock, capacity: int) -> None:
+    def __init__(self, clock: VirtualClock, capacity: int) -> None:
         self.clock = clock
         self.capacity = capacity
         self.running = 0
@@ -66,11 +67,11 @@
 
     @property
     def load(self) -> int:
-        """Requests that run or wait."""
+        """The number of running and waiting requests."""
         return self.running + len(self.waiting)
 
     def submit(self, job: Job) -> None:
-        """Take a request."""
+        """Queue a request and start it as soon as the capacity allows."""
         self.waiting.append(job)
         self._start_next()
 
@@ -78,49 +79,49 @@
         while self.waiting and self.running < self.capacity:
             job = self.waiting.popleft()
             self.running += 1
-            missing = self._cache(job)
-            first_s = missing * PREFILL_S_A_BLOCK + TOKEN_S
-            self.clock.after(first_s, partial(self._first, job))
+            uncached_count = self._update_cache(job)
+            first_s = uncached_count * PREFILL_S_PER_BLOCK + TOKEN_S
+            self.clock.schedule(first_s, partial(self._on_first_token, job))
 
-    def _first(self, job: Job) -> None:
+    def _on_first_token(self, job: Job) -> None:
         job.first_token_s = self.clock.now_s
-        self.clock.after(job.tokens * TOKEN_S, partial(self._end, job))
+        self.clock.schedule(job.tokens * TOKEN_S, partial(self._finish, job))
 
-    def _end(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
         job.ended_s = self.clock.now_s
         self.running -= 1
         job.on_end(job)
         self._start_next()
 
-    def _cache(self, job: Job) -> int:
-        known = 0
-        while known < len(job.blocks) and job.blocks[known] in self.cache:
-            known += 1
-        job.hits = known
+    def _update_cache(self, job: Job) -> int:
+        cached_count = 0
+        while cached_count < len(job.blocks) and job.blocks[cached_count] in self.cache:
+            cached_count += 1
+        job.hits = cached_count
         for block in job.blocks:
             self.cache.pop(block, None)
             self.cache[block] = None
-        self.added += job.blocks[known:]
-        while len(self.cache) > CACHED_BLOCKS:
+        self.added += job.blocks[cached_count:]
+        while len(self.cache) > MAX_CACHED_BLOCKS:
             block, _ = self.cache.popitem(last=False)
             self.removed.append(block)
-        return len(job.blocks) - known
+        return len(job.blocks) - cached_count
 
 
-def percentile(values: list[float], share: float) -> float:
-    """Return a percentile; infinity stands for answers that never came."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return a percentile; requests that were never answered count as infinity."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else float("nan")
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else float("nan")
 
 
-def spread(values: list[float]) -> str:
-    """Return the median with the lowest and highest, over seeds."""
+def format_spread(values: list[float]) -> str:
+    """Format the median, lowest and highest of the values."""
     ordered = sorted(values)
     return f"{ordered[len(ordered) // 2]:.2f} ({ordered[0]:.2f}-{ordered[-1]:.2f})"
 
 
-def draw_blocks(rng: random.Random, families: int) -> list[int]:
-    """Return a prompt: a shared beginning of one of some families, then blocks of its own."""
+def random_prompt_blocks(rng: random.Random, families: int) -> list[int]:
+    """Return the blocks of a prompt: the shared prefix of a random family, then unique blocks."""
     family = min(int(rng.expovariate(4 / families)), families - 1)
     shared = [family * 1000 + i for i in range(20)]
     return shared + [rng.getrandbits(40) for _ in range(3)]
