--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,8 +1,9 @@
-"""Measure what each mechanism of the entry host is worth, by taking it out.
+"""Measure how much each mechanism of the entry host contributes, by removing it.
 
-Removes one mechanism at a time from a copy of the tree, has days played with each copy and with the
-whole, and prints a table of the differences. The command that plays a day is given on the command
-line; it runs in the copy and prints a line that begins with ``worth`` and a figure. For example:
+Removes one mechanism at a time from a copy of the tree, runs scenarios ("days") with each copy and
+with an unchanged one, and prints a table of the differences in score. The command that runs a
+scenario is given on the command line; it runs in the copy and prints a line that begins with
+``worth`` and the score. For example:
 
     python tools/ablation.py --days scale-1,trouble-3 --seeds 11,12 --jobs 4 \\
         --play 'PLAYER run SITE {day} --seed {seed}'
@@ -20,67 +21,67 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from removals import Removal, take_out
+from removals import Removal, apply_removal
 
 ROOT = Path(__file__).resolve().parent.parent
 COPIED = ("yewloom", "deploy", "target", ".gitignore")
-WORTH = re.compile(r"^worth (-?[0-9.]+)", re.MULTILINE)
-PLAY_LIMIT_S = 900
+SCORE_LINE = re.compile(r"^worth (-?[0-9.]+)", re.MULTILINE)
+RUN_TIMEOUT_S = 900
 
 
-WHOLE = "nothing"
+UNCHANGED = "nothing"
 
 REMOVALS = (
     Removal(
-        "keys last known are accepted in an outage",
+        "the last known keys are accepted in an outage",
         "key_trust",
         "return not self._needs_proof and not self._book.is_outdated",
         "return False",
     ),
     Removal(
-        "the last holder renews its lease at once after an outage",
+        "the last holder renews its lease immediately after an outage",
         "leases",
         "self._is_interrupted = True",
         "return",
     ),
     Removal(
-        "groups of the model that an engine still holds",
+        "engines that still hold a model can form groups of it",
         "directory",
         "return model in self.staged or model in self.models",
         "return model in self.staged",
     ),
     Removal(
-        "peers pass configurations on",
+        "peers forward configurations",
         "peer_configurations",
         "if self._book.is_outdated:\n                await trio.sleep(STORE_FIRST_S)",
         "if False:\n                await trio.sleep(STORE_FIRST_S)",
     ),
     Removal(
-        "the large model's weights on hosts of small groups",
+        "the large model's weights are staged on hosts of small groups",
         "replica_supply",
         "self._stage_reserves(groups, now_s)",
         "pass",
     ),
     Removal(
-        "groups given up for one of another model",
+        "groups are dissolved in favour of a group of another model",
         "replica_supply",
         "chosen = self._exchanges.best(free, groups, need)",
         "chosen = None",
     ),
     Removal(
-        "demand by what runs",
+        "demand is estimated from running requests",
         "model_need",
         "model: self._average.get(model, 0.0) + PRIOR_REQUESTS * part / total",
         "model: PRIOR_REQUESTS * part / total",
     ),
     Removal(
-        "a data centre found to be cut off",
+        "a data centre that is cut off is detected",
         "reachability",
         "return len(failed) >= ENDPOINTS_OF_A_CUT",
         "return False",
     ),
     Removal(
-        "endpoints that can't be reached are avoided",
+        "unreachable endpoints are avoided",
         "reachability",
         "return endpoint.id in self._lost or endpoint.data_centre in self._cut",
         "return False",
@@ -92,25 +93,25 @@
         "self._running.get(endpoint.id, 0)",
     ),
     Removal(
-        "near endpoints first",
+        "endpoints in the same data centre are preferred",
         "selection",
         "REMOTE_PENALTY = 0.25",
         "REMOTE_PENALTY = 0.0",
     ),
     Removal(
-        "groups without all members come later",
+        "groups without all members are chosen last",
         "selection",
         "INCOMPLETE_PENALTY = 0.5",
         "INCOMPLETE_PENALTY = 0.0",
     ),
     Removal(
-        "groups with a leaving member come later",
+        "groups with a leaving member are chosen last",
         "selection",
         "LEAVING_PENALTY = 0.3",
         "LEAVING_PENALTY = 0.0",
     ),
     Removal(
-        "slow groups get little",
+        "slow groups get few requests",
         "selection",
         "SLOW_PENALTY = 0.6",
         "SLOW_PENALTY = 0.0",
@@ -122,25 +123,25 @@
         "AVOID_FULL_S = 0.0",
     ),
     Removal(
-        "groups that stand still are left",
+        "streams are moved away from stalled groups",
         "stalls",
         "return now_s - pace.read_s >= (TOLD_QUIET_S if is_told else pace.quiet_limit_s)",
         "return False",
     ),
     Removal(
-        "a peer's word that a group stands still",
+        "a peer's report that a group is stalled is considered",
         "stalls",
         "is_told = self._still_by_peers.has(head, now_s)",
         "is_told = False",
     ),
     Removal(
-        "callers may connect from the first moment",
+        "callers may connect before the program has started",
         "platform/__main__",
         "listener = open_early(settings, DEADLINE_HEADER)",
         "listener = None",
     ),
     Removal(
-        "callers wait for the first configuration",
+        "requests wait for the first configuration",
         "entry_servers",
         "FIRST_KNOWLEDGE_S = 0.5",
         "FIRST_KNOWLEDGE_S = 0.0",
@@ -149,8 +150,8 @@
 
 
 @dataclass(frozen=True)
-class Play:
-    """A day to play with one copy of the tree."""
+class ScenarioRun:
+    """A scenario to run with one copy of the tree."""
 
     mechanism: str
     tree: Path
@@ -159,7 +160,7 @@
 
 
 def _copy_without(removal: Removal | None, folder: Path) -> Path:
-    """Return a copy of the tree, without a mechanism if one is given."""
+    """Copy the tree and remove a mechanism, if one is given; return the copy."""
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
@@ -168,77 +169,87 @@
             shutil.copy(source, folder / name)
     subprocess.run(["git", "init", "--quiet"], cwd=folder, check=True)
     if removal is not None:
-        take_out(removal, folder)
+        apply_removal(removal, folder)
     return folder
 
 
-def _worth(command: str, play: Play) -> float | None:
-    """Play a day; return its worth, or None if it has none."""
-    words = shlex.split(command.format(day=play.day, seed=play.seed))
+def _run_scenario(command: str, run: ScenarioRun) -> float | None:
+    """Run a scenario; return its score, or None if the command printed none."""
+    words = shlex.split(command.format(day=run.day, seed=run.seed))
     done = subprocess.run(
-        words, cwd=play.tree, capture_output=True, text=True, timeout=PLAY_LIMIT_S, check=False
+        words, cwd=run.tree, capture_output=True, text=True, timeout=RUN_TIMEOUT_S, check=False
     )
-    found = WORTH.search(done.stdout)
+    found = SCORE_LINE.search(done.stdout)
     return float(found[1]) if found else None
 
 
-def _difference(without: list[float | None], whole: list[float | None]) -> str:
-    """Return what a removal costs over the same plays: mean and greatest distance from it."""
-    pairs = [a - b for a, b in zip(whole, without, strict=True) if a is not None and b is not None]
-    if not pairs:
-        return "not played"
-    mean = statistics.fmean(pairs)
-    spread = max(abs(pair - mean) for pair in pairs)
-    return f"{mean:+.3f} ± {spread:.3f} ({len(pairs)} plays)"
+def _difference(scores_without: list[float | None], scores_unchanged: list[float | None]) -> str:
+    """Return the loss of score by a removal over the same runs: mean and greatest deviation."""
+    losses = [
+        a - b
+        for a, b in zip(scores_unchanged, scores_without, strict=True)
+        if a is not None and b is not None
+    ]
+    if not losses:
+        return "no scores"
+    mean = statistics.fmean(losses)
+    spread = max(abs(loss - mean) for loss in losses)
+    return f"{mean:+.3f} ± {spread:.3f} ({len(losses)} runs)"
 
 
 def _arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--play", required=True, help="command with {day} and {seed}")
-    parser.add_argument("--days", required=True, help="days, with commas")
-    parser.add_argument("--seeds", required=True, help="seeds, with commas")
-    parser.add_argument("--jobs", type=int, default=2, help="plays at once")
-    parser.add_argument("--only", default="", help="part of the mechanisms' names")
-    parser.add_argument("--folder", type=Path, help="where the copies go; a temporary one if none")
+    parser.add_argument("--days", required=True, help="scenarios, separated by commas")
+    parser.add_argument("--seeds", required=True, help="seeds, separated by commas")
+    parser.add_argument("--jobs", type=int, default=2, help="number of concurrent runs")
+    parser.add_argument(
+        "--only", default="", help="run only mechanisms whose names contain this text"
+    )
+    parser.add_argument(
+        "--folder",
+        type=Path,
+        help="parent folder of the copies; by default that of temporary files",
+    )
     return parser.parse_args()
 
 
 def main() -> int:
-    """Play all days with each mechanism taken out in turn, and print what each is worth."""
+    """Run all scenarios with each mechanism removed in turn, and print what each contributes."""
     arguments = _arguments()
     removals = [removal for removal in REMOVALS if arguments.only in removal.mechanism]
-    names = [WHOLE, *(removal.mechanism for removal in removals)]
+    names = [UNCHANGED, *(removal.mechanism for removal in removals)]
     with tempfile.TemporaryDirectory(dir=arguments.folder) as base:
-        trees = {WHOLE: _copy_without(None, Path(base) / "whole")}
+        trees = {UNCHANGED: _copy_without(None, Path(base) / "whole")}
         for number, removal in enumerate(removals):
             trees[removal.mechanism] = _copy_without(removal, Path(base) / str(number))
-        plays = [
-            Play(name, trees[name], day, seed)
+        runs = [
+            ScenarioRun(name, trees[name], day, seed)
             for day in arguments.days.split(",")
             for seed in arguments.seeds.split(",")
             for name in names
         ]
-        worth: defaultdict[str, list[float | None]] = defaultdict(list)
+        scores: defaultdict[str, list[float | None]] = defaultdict(list)
         with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
-            results = pool.map(lambda play: _worth(arguments.play, play), plays)
-            for play, result in zip(plays, results, strict=True):
-                worth[play.mechanism].append(result)
-                print(f"{play.day} {play.seed} without {play.mechanism}: {result}", flush=True)
+            results = pool.map(lambda run: _run_scenario(arguments.play, run), runs)
+            for run, result in zip(runs, results, strict=True):
+                scores[run.mechanism].append(result)
+                print(f"{run.day} {run.seed} without {run.mechanism}: {result}", flush=True)
         for name in trees:
-            _keep_journal(trees[name])
-    print("\n| taken out | what it is worth |\n|---|---|")
+            _copy_journal_entries(trees[name])
+    print("\n| removed mechanism | loss of score |\n|---|---|")
     for name in names[1:]:
-        print(f"| {name} | {_difference(worth[name], worth[WHOLE])} |")
+        print(f"| {name} | {_difference(scores[name], scores[UNCHANGED])} |")
     return 0
 
 
-def _keep_journal(tree: Path) -> None:
-    """Bring the entries that the plays left home."""
+def _copy_journal_entries(tree: Path) -> None:
+    """Copy the journal entries that the runs wrote in a copy of the tree to this tree."""
     for entry in (tree / "journal").glob("**/*"):
-        home = ROOT / "journal" / entry.relative_to(tree / "journal")
-        if entry.is_file() and not home.exists():
-            home.parent.mkdir(parents=True, exist_ok=True)
-            shutil.copy(entry, home)
+        target = ROOT / "journal" / entry.relative_to(tree / "journal")
+        if entry.is_file() and not target.exists():
+            target.parent.mkdir(parents=True, exist_ok=True)
+            shutil.copy(entry, target)
 
 
 if __name__ == "__main__":
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,7 +1,7 @@
-"""Show that each proof fails without its mechanism.
+"""Mutation tests: show that tests fail when the mechanism that they check is removed.
 
-Removes one mechanism at a time from a copy of the tree and runs the tests that should notice.
-Prints a table; exit code 1 if a removal goes unnoticed.
+Removes one mechanism at a time from a copy of the tree and runs the tests that should detect it.
+Prints a table; the exit code is 1 if any removal is not detected.
 """
 
 import shutil
@@ -17,7 +17,7 @@
 import mutations_limits
 import mutations_size
 import mutations_yewloomd
-from removals import Mutation, take_out
+from removals import Mutation, apply_removal
 
 ROOT = Path(__file__).resolve().parent.parent
 TIMEOUT_S = 240
@@ -33,12 +33,12 @@
 )
 
 
-def _fails_without(mutation: Mutation) -> str:
-    """Return the first failing test's name when the mechanism is gone; empty if all pass."""
+def _failure_without(mutation: Mutation) -> str:
+    """Return the name of the first test that fails without the mechanism; empty if all pass."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "tree"
         shutil.copytree(ROOT / "yewloom", copy / "yewloom", ignore=_ignored)
-        take_out(mutation, copy, mutation.times)
+        apply_removal(mutation, copy, mutation.times)
         return _first_failure(copy, mutation.tests)
 
 
@@ -64,17 +64,17 @@
 
 
 def main() -> int:
-    """Remove each mechanism in turn, or those whose names contain the argument."""
-    wanted = sys.argv[1] if len(sys.argv) > 1 else ""
-    unnoticed = 0
+    """Remove each mechanism in turn, or only those whose names contain the argument."""
+    name_filter = sys.argv[1] if len(sys.argv) > 1 else ""
+    undetected = 0
     for mutation in MUTATIONS:
-        if wanted not in mutation.mechanism:
+        if name_filter not in mutation.mechanism:
             continue
-        failure = _fails_without(mutation)
-        unnoticed += not failure
-        print(f"| {mutation.mechanism} | {failure or 'UNNOTICED'} |", flush=True)
-    print(f"{unnoticed} removals unnoticed")
-    return 1 if unnoticed else 0
+        failure = _failure_without(mutation)
+        undetected += not failure
+        print(f"| {mutation.mechanism} | {failure or 'NOT DETECTED'} |", flush=True)
+    print(f"{undetected} removals not detected")
+    return 1 if undetected else 0
 
 
 if __name__ == "__main__":
--- a/tools/mutations_limits.py
+++ b/tools/mutations_limits.py
@@ -1,66 +1,66 @@
-"""Removals around limits that endpoints name."""
+"""Mutations of the handling of endpoints' rate limits, and the tests that detect them."""
 
 from removals import Mutation
 
 MUTATIONS = (
     Mutation(
-        "named limits: an endpoint whose limit is reached gets nothing",
+        "endpoint limits: an endpoint whose limit is reached gets no request",
         "selection",
         " or self._limits.wait_s(endpoint, now_s) > 0:",
         ":",
         "test_forwarding_limits",
     ),
     Mutation(
-        "named limits: each sending counts",
+        "endpoint limits: each sent request counts",
         "endpoint_choice",
         "        self._limits.spend(endpoint, now_s)\n",
         "",
         "test_forwarding_limits",
     ),
     Mutation(
-        "named limits: what finds no endpoint comes back when one takes it",
+        "endpoint limits: a caller is told when to retry if no endpoint accepts its request",
         "forwarding",
         "if limit_wait_s > 0:",
         "if False:",
         "test_forwarding_limits",
     ),
     Mutation(
-        "named limits: few hosts send to an endpoint",
+        "endpoint limits: few hosts send to an endpoint",
         "endpoint_limits",
         "senders = min(len(hosts), int(at_once))",
         "senders = len(hosts)",
         "test_endpoint_limits",
     ),
     Mutation(
-        "named limits: the hosts near an endpoint come first",
+        "endpoint limits: hosts in the endpoint's data centre are preferred",
         "endpoint_limits",
         "is_remote = host.data_centre != endpoint.data_centre",
         "is_remote = False",
         "test_endpoint_limits",
     ),
     Mutation(
-        "named limits: an older word of a peer changes nothing",
+        "endpoint limits: an older message of a peer is ignored",
         "endpoint_limits",
         "if known is None else said_s > known.said_s",
         "if known is None else True",
         "test_endpoint_limits",
     ),
     Mutation(
-        "named limits: hosts that have not heard one learn of it",
+        "endpoint limits: hosts learn limits from peers",
         "limit_messages",
         "self._limits.take(_word(message), came_s)",
         "pass",
         "test_peer_reports",
     ),
     Mutation(
-        "named limits: a silent host keeps its part for a time",
+        "endpoint limits: an unresponsive host keeps its part for a time",
         "entry_states",
         "if now_s - h.heard_s < SHARE_KEPT_S",
         "if p in self._heard",
         "test_peer_reports",
     ),
     Mutation(
-        "named limits: a text that is none tells nothing",
+        "endpoint limits: an invalid limit is ignored",
         "platform/headers",
         "if not _DECIMAL.fullmatch(text):",
         "if False:",
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -1,4 +1,4 @@
-"""Taking a mechanism out of a copy of the tree: what the tools that do so share."""
+"""Removal of a mechanism from a copy of the source tree, for mutation tests and ablation."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True)
 class Removal:
-    """A mechanism, and the text of a module whose replacement takes it out."""
+    """A mechanism, and the source text of a module to replace in order to disable it."""
 
     mechanism: str
     module: str
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True)
 class Mutation(Removal):
-    """A removal, the tests to run, and how many times its text stands in the module."""
+    """A removal with the tests that must detect it and the number of occurrences of its text."""
 
     tests: str
     times: int = 1
 
 
-def take_out(removal: Removal, tree: Path, times: int = 1) -> None:
-    """Replace a removal's text in a copy of the tree; it must stand there so many times."""
+def apply_removal(removal: Removal, tree: Path, times: int = 1) -> None:
+    """Replace a removal's text in a copy of the tree; it must occur the given number of times."""
     path = tree / "yewloom" / f"{removal.module}.py"
     text = path.read_text(encoding="utf-8")
     found = text.count(removal.text)
     if found != times:
         raise SystemExit(
-            f"{removal.mechanism}: its text stands {found} times in {removal.module}.py, "
-            f"not {times}; mend the removal."
+            f"{removal.mechanism}: its text occurs {found} times in {removal.module}.py, "
+            f"expected {times}; update the removal."
         )
     path.write_text(text.replace(removal.text, removal.replacement), encoding="utf-8")
--- a/yewloom/tests/test_removals.py
+++ b/yewloom/tests/test_removals.py
@@ -1,4 +1,4 @@
-"""Tests that the tools which take mechanisms out still find them."""
+"""Tests that the removals of the mutation and ablation tools match the source."""
 
 import importlib
 import sys
@@ -12,13 +12,13 @@
 
 
 class TestRemovals(unittest.TestCase):
-    """A removal whose text has changed would be noticed only when it is next run."""
+    """Without these tests, an outdated removal would be noticed only when it is next run."""
 
     def setUp(self) -> None:
         sys.path.insert(0, str(TOOLS))
         self.addCleanup(sys.path.remove, str(TOOLS))
 
-    def test_the_text_of_each_removal_stands_as_often_as_it_says(self) -> None:
+    def test_each_removal_text_occurs_as_often_as_stated(self) -> None:
         removals = [
             *importlib.import_module("ablation").REMOVALS,
             *importlib.import_module("mutations").MUTATIONS,
