--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,8 @@
-"""Run all tests, those of real processes beside the others, and print how many passed.
+"""Run all tests in parallel lanes and print how many passed.
 
-Each lane is a run of nose2 of its own, as most tests of processes wait for times that pass. What no
-lane names goes into the last one. Exit code 1 if a test failed.
+Each lane is a separate nose2 process. Tests of real processes run in parallel with the others, as
+they spend most of their time waiting. Modules that no lane lists run in one more lane. The exit
+code is 1 if a test failed.
 """
 
 import re
@@ -28,10 +29,10 @@
     ),
     ("test_entry_process", "test_engine_restart", "test_entry_host", "test_program_start"),
 )
-"""Modules of tests that run one after the other, by lane; some 2 to 4 minutes each."""
+"""Test modules by lane; those of one lane run in sequence, which takes 2 to 4 minutes."""
 
-POLL_S = 0.2
-"""Pause between two looks whether a lane has ended."""
+POLL_INTERVAL_S = 0.2
+"""Pause between two checks whether a lane has ended."""
 
 _RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
 _FAILED = re.compile(r"(?<!expected )\b(?:failures|errors|unexpected successes)=(\d+)")
@@ -39,35 +40,35 @@
 
 @dataclass
 class Lane:
-    """A run of nose2 and where it writes."""
+    """A running nose2 process and its output file."""
 
     modules: Sequence[str]
     process: subprocess.Popen[bytes]
     output: Path
-    began_s: float
+    started_s: float
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """How many tests of a lane ran and failed; a lane that ends badly otherwise counts one."""
+    """Counts of run and failed tests of a lane; a non-zero exit counts as at least one failure."""
 
     ran: int
     failed: int
 
 
 def lanes_of(modules: Iterable[str]) -> list[list[str]]:
-    """Divide modules among the lanes; each is in exactly one."""
-    left = set(modules)
-    divided = [[name for name in lane if name in left] for lane in LANES]
-    rest = sorted(left - {name for lane in divided for name in lane})
+    """Divide the modules among the lanes; each module is in exactly one."""
+    unassigned = set(modules)
+    divided = [[name for name in lane if name in unassigned] for lane in LANES]
+    rest = sorted(unassigned - {name for lane in divided for name in lane})
     return [lane for lane in [*divided, rest] if lane]
 
 
 def read_outcome(text: str, exit_code: int) -> Outcome:
-    """Return what a lane's output tells."""
+    """Return the outcome of a lane from its output and exit code."""
     ran = sum(int(number) for number in _RAN.findall(text))
-    last = text[text.rfind("\nFAILED") :] if "\nFAILED" in text else ""
-    failed = sum(int(number) for number in _FAILED.findall(last))
+    summary = text[text.rfind("\nFAILED") :] if "\nFAILED" in text else ""
+    failed = sum(int(number) for number in _FAILED.findall(summary))
     return Outcome(ran, max(failed, 1) if exit_code else failed)
 
 
@@ -82,19 +83,19 @@
 
 def _finish(lane: Lane) -> Outcome:
     text = lane.output.read_text(encoding="utf-8", errors="replace")
-    took_s = time.monotonic() - lane.began_s
+    took_s = time.monotonic() - lane.started_s
     print(text, f"lane of {lane.modules[0]}: {took_s:.0f} s", sep="\n", flush=True)
     return read_outcome(text, lane.process.returncode)
 
 
 def main() -> int:
-    """Run all lanes; return the exit code."""
+    """Run all lanes and return the exit code."""
     modules = [path.stem for path in TESTS.glob("test_*.py")]
     outcomes: list[Outcome] = []
     with tempfile.TemporaryDirectory() as folder:
         running = [_start(lane, Path(folder)) for lane in lanes_of(modules)]
         while running:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
             for lane in [lane for lane in running if lane.process.poll() is not None]:
                 running.remove(lane)
                 outcomes.append(_finish(lane))
--- a/yewloom/tests/known_red.py
+++ b/yewloom/tests/known_red.py
@@ -1,8 +1,8 @@
-"""nose2 plugin: tests that are known to fail for a fault that is still open.
+"""nose2 plugin for tests that are known to fail because of a fault that is not yet fixed.
 
-Each line of ``KNOWN-RED.txt`` at the root names a test, the cause and the issue, parted by ``|``.
-A test that shows several faults has a line for each.
-Failures of just these tests don't fail the run; they are printed behind the summary.
+Each line of ``KNOWN-RED.txt`` at the root names a test, the cause and the issue, separated by
+``|``. A test that reveals several faults has a line for each. Failures of the listed tests do not
+fail the run; they are printed after the summary.
 """
 
 import traceback
@@ -15,20 +15,20 @@
 
 LIST_PATH = Path(__file__).parent.parent.parent / "KNOWN-RED.txt"
 
-MOST_KNOWN = 7
-"""Most faults that may be listed; more would hide what the tests are for."""
+MAX_KNOWN = 7
+"""Greatest number of listed faults; a longer list would defeat the purpose of the tests."""
 
-MOST_SHOWN = 6000
-"""Most characters that are printed of what a listed test said when it failed."""
+MAX_FAILURE_CHARACTERS = 6000
+"""Greatest number of characters printed of the failure of a listed test."""
 
 
 class KnownRedError(Exception):
-    """The list of known failures can't be used."""
+    """The list of known failures is invalid."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A fault that a test is known to show; ``test`` is its full dotted name."""
+    """A known fault that makes a test fail; ``test`` is the full dotted name of the test."""
 
     test: str
     cause: str
@@ -36,25 +36,25 @@
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Return the listed faults; raises KnownRedError for a line or a length that is not allowed."""
+    """Return the listed faults; raise KnownRedError if a line is invalid or the list too long."""
     known = [_parse_line(line) for line in text.splitlines() if line.strip()]
-    if len(known) > MOST_KNOWN:
-        raise KnownRedError(f"{len(known)} faults are listed; at most {MOST_KNOWN} may be")
+    if len(known) > MAX_KNOWN:
+        raise KnownRedError(f"{len(known)} faults are listed; at most {MAX_KNOWN} are allowed")
     return known
 
 
 def _parse_line(line: str) -> KnownRed:
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 3 or not all(parts):
-        raise KnownRedError(f"not of the form 'test | cause | issue': {line!r}")
+        raise KnownRedError(f"expected 'test | cause | issue', got {line!r}")
     return KnownRed(*parts)
 
 
 class KnownRedPlugin(Plugin):  # type: ignore[misc]
-    """Counts failures of listed tests as expected, and prints what became of each."""
+    """Treats failures of listed tests as expected, and prints the outcome of each listed test."""
 
-    configSection = "known-red"  # noqa: N815 - nose2's name
-    alwaysOn = True  # noqa: N815 - nose2's name
+    configSection = "known-red"  # noqa: N815 - name required by nose2
+    alwaysOn = True  # noqa: N815 - name required by nose2
 
     def __init__(self) -> None:
         text = LIST_PATH.read_text(encoding="utf-8") if LIST_PATH.exists() else ""
@@ -62,8 +62,8 @@
         self.outcomes: dict[str, str] = {}
         self.failures: dict[str, list[str]] = {}
 
-    def setTestOutcome(self, event: Any) -> None:  # noqa: N802 - nose2's name
-        """Take the failure of a listed test as expected."""
+    def setTestOutcome(self, event: Any) -> None:  # noqa: N802 - name required by nose2
+        """Mark the failure of a listed test as expected."""
         name = event.test.id().split(" ")[0]
         if name not in {known.test for known in self.known}:
             return
@@ -73,8 +73,8 @@
             self.failures.setdefault(name, []).append(_failure_text(event.exc_info))
             event.outcome, event.expected = result.FAIL, True
 
-    def afterSummaryReport(self, event: Any) -> None:  # noqa: N802 - nose2's name
-        """Print the listed faults; a test stands there once for each of its own."""
+    def afterSummaryReport(self, event: Any) -> None:  # noqa: N802 - name required by nose2
+        """Print a line for each listed fault, then the failures of this run."""
         for known in self.known:
             outcome = self.outcomes.get(known.test, "not run")
             event.stream.writeln(
@@ -86,7 +86,7 @@
 
 
 def _failure_text(exc_info: Any) -> str:
-    """Return what a failed test said, the end of it if it is long."""
+    """Return the traceback of a failed test, or only its end if it is long."""
     if exc_info is None:
         return "no reason given"
-    return "".join(traceback.format_exception(*exc_info))[-MOST_SHOWN:]
+    return "".join(traceback.format_exception(*exc_info))[-MAX_FAILURE_CHARACTERS:]
--- a/yewloom/tests/test_run_tests.py
+++ b/yewloom/tests/test_run_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the division of tests into lanes, and of how their outcomes are read."""
+"""Tests of the division of test modules into lanes, and of the parsing of their outcomes."""
 
 import importlib.util
 import sys
@@ -19,7 +19,7 @@
 
 
 class TestLanes(unittest.TestCase):
-    """Each module runs once, and no failure is passed over."""
+    """Each module runs exactly once, and every failure is counted."""
 
     def setUp(self) -> None:
         self.tool = _load()
@@ -31,12 +31,12 @@
         named = [name for lane in self.tool.LANES for name in lane]
         self.assertLessEqual(set(named), set(modules))
 
-    def test_failures_and_errors_are_counted_and_known_ones_are_not(self) -> None:
+    def test_failures_and_errors_are_counted_except_expected_ones(self) -> None:
         passed = "Ran 12 tests in 3.1s\n\nOK (expected failures=2)\n"
         self.assertEqual(self.tool.read_outcome(passed, 0), self.tool.Outcome(12, 0))
         failed = "Ran 12 tests in 3.1s\n\nFAILED (failures=1, errors=2, expected failures=1)\n"
         self.assertEqual(self.tool.read_outcome(failed, 1), self.tool.Outcome(12, 3))
 
-    def test_a_lane_that_ends_without_a_summary_failed(self) -> None:
+    def test_non_zero_exit_without_failures_counts_as_failure(self) -> None:
         for text in ("", "Traceback", "Ran 3 tests in 1s\n\nOK\n"):
             self.assertEqual(self.tool.read_outcome(text, 1).failed, 1)
