--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write the settings and table references in docs/ from the schema, or check them."""
+"""Generate the references of settings and table cells in docs/ from the schema, or check them."""
 
 import sys
 from pathlib import Path
@@ -8,11 +8,11 @@
 from yewloom.schema import entry_pb2, settings_pb2, table_pb2
 from yewloom.validation import allowed_text, is_scalar, rule_of
 
-_HEAD = "| {} | accepts | default | meaning |\n|---|---|---|---|\n"
+_TABLE_HEADER = "| {} | accepts | default | meaning |\n|---|---|---|---|\n"
 
 
 def _table(kind: str, message: Descriptor) -> str:
-    rows = [_HEAD.format(kind)]
+    rows = [_TABLE_HEADER.format(kind)]
     for field in message.fields:
         if not is_scalar(field):
             continue
@@ -54,7 +54,7 @@
 
 
 def main() -> int:
-    """Write the pages with --write; otherwise return 1 if one is out of date."""
+    """Write the pages if called with --write; otherwise return 1 if any page is out of date."""
     pages = {
         Path("docs/settings.md"): settings_reference(),
         Path("docs/entry-settings.md"): entry_settings_reference(),
@@ -64,10 +64,10 @@
         for path, text in pages.items():
             path.write_text(text, encoding="utf-8")
         return 0
-    stale = [p for p, text in pages.items() if not p.exists() or p.read_text("utf-8") != text]
-    for path in stale:
+    outdated = [p for p, text in pages.items() if not p.exists() or p.read_text("utf-8") != text]
+    for path in outdated:
         print(f"{path} is out of date; run `make docs`.", file=sys.stderr)
-    return 1 if stale else 0
+    return 1 if outdated else 0
 
 
 if __name__ == "__main__":
