--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every chore of the project; `make check` is what CI runs.
+# Development tasks of the project; CI runs `make check`.
 PYTHON ?= python3.11
 BIN = .venv/bin
 
