--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -1,7 +1,4 @@
-"""Mutations of what large fleets need, and the tests that detect them.
-
-A large fleet has hundreds of entry hosts and engines.
-"""
+"""Mutations of mechanisms for hundreds of entry hosts and engines, with their tests."""
 
 from removals import Mutation
 
--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -222,7 +222,7 @@
         "test_admission",
     ),
     Mutation(
-        "orders: concurrent loads are limited for the weight store",
+        "orders: the number of concurrent loads from the weight store is limited",
         "orders",
         "for group in loading[:max_loading]:",
         "for group in loading:",
@@ -243,7 +243,7 @@
         "test_limits",
     ),
     Mutation(
-        "limits: the borrower's loan period starts before it asked",
+        "limits: the borrower counts its loan from when it asked",
         "limits",
         "transfer = _Transfer(loan.amount, asked_s + loan.duration_ms / 1000)",
         "transfer = _Transfer(loan.amount, asked_s + 2 * loan.duration_ms / 1000)",
