--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -36,7 +36,7 @@
     [ "$serving" -ge 2 ] && break
     sleep 0.5
 done
-[ "${serving:-0}" -ge 2 ] || fail "no group was serving in each data centre within a minute."
+[ "${serving:-0}" -ge 2 ] || fail "fewer than two groups were serving after a minute."
 python -m yewloom.cli groups || fail "could not list the groups."
 
 echo "== a streamed chat request"
