--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -4,8 +4,14 @@
 
 from yewloom.fleet import Fleet
 from yewloom.ids import AttemptId, DataCentreId, EntryHostId, GroupId, HostId, ModelName, PolicyName
-from yewloom.placement import FleetState, PlacementTiming, Planner
-from yewloom.routing import Candidate, RouteRequest, TurnCounter, choose_group, default_routing
+from yewloom.placement import FleetState, PlacementPlanner, PlacementTiming
+from yewloom.routing import (
+    Candidate,
+    RoundRobinCounter,
+    RouteRequest,
+    choose_group,
+    default_routing,
+)
 from yewloom.schema.records_pb2 import Host, HostReport, Placement
 from yewloom.schema.table_pb2 import DowntimePlacement, PolicyRow
 from yewloom.states import EngineState
@@ -32,7 +38,7 @@
         groups=fleet.group_observations,
         policies={PolicyName("archive"): policy},
     )
-    planner = Planner(EntryHostId("entry-1"), PlacementTiming(2.5, 300.0, 4.0))
+    planner = PlacementPlanner(EntryHostId("entry-1"), PlacementTiming(2.5, 300.0, 4.0))
     plan = planner.plan(Placement(data_centre=DATA_CENTRE), state, now_s, AttemptId("attempt-1"))
     assert plan.placement is not None
     for decision in plan.decisions:
@@ -51,7 +57,7 @@
                 capacity=8,
             )
             fleet.on_host_answered(HostId(member.host_id), report, now_s)
-        fleet.sum_up(group, now_s)
+        fleet.aggregate_probes(group, now_s)
 
 
 def route(fleet: Fleet, now_s: float) -> GroupId:
@@ -61,7 +67,9 @@
         for data_centre, group, observation in fleet.open_groups(now_s)
     ]
     request = RouteRequest(ModelName("m"), DATA_CENTRE, prompt_characters=400)
-    chosen = choose_group(default_routing(), request, candidates, random.Random(1), TurnCounter())
+    chosen = choose_group(
+        default_routing(), request, candidates, random.Random(1), RoundRobinCounter()
+    )
     assert chosen is not None
     print(f"route to {chosen.group_id}: {chosen.reason}")
     return chosen.group_id
@@ -69,7 +77,7 @@
 
 def main() -> None:
     """Form groups, report them as ready, and route one request."""
-    fleet = Fleet(freshness_s=2.5, give_up_s=5.0)
+    fleet = Fleet(freshness_s=2.5, missing_after_s=5.0)
     fleet.apply_placement(place_groups(fleet, now_s=0.0))
     report_ready(fleet, now_s=1.0)
     route(fleet, now_s=1.5)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -35,7 +35,7 @@
     Removal(
         "the last known keys are accepted in an outage",
         "key_trust",
-        "return not self._needs_proof and not self._book.is_outdated",
+        "return not self._needs_proof and not self._configuration_state.is_outdated",
         "return False",
     ),
     Removal(
@@ -53,7 +53,8 @@
     Removal(
         "peers forward configurations",
         "peer_configurations",
-        "if self._book.is_outdated:\n                await trio.sleep(STORE_HEAD_START_S)",
+        "if self._configuration_state.is_outdated:\n"
+        "                await trio.sleep(STORE_HEAD_START_S)",
         "if False:\n                await trio.sleep(STORE_HEAD_START_S)",
     ),
     Removal(
@@ -139,7 +140,7 @@
     Removal(
         "callers may connect before the program has started",
         "platform/__main__",
-        "listener = open_early(settings, DEADLINE_HEADER)",
+        "listener = open_early_listener(settings, DEADLINE_HEADER)",
         "listener = None",
     ),
     Removal(
--- a/tools/call.py
+++ b/tools/call.py
@@ -5,7 +5,7 @@
 import trio
 import typer
 
-from yewloom.http_calls import HttpCaller
+from yewloom.http_calls import HttpClient
 
 
 def main(
@@ -20,7 +20,7 @@
         headers["idempotency-key"] = key
 
     async def call() -> int:
-        answer = await HttpCaller(3.0).call(method, url, 30.0, b"", headers)
+        answer = await HttpClient(3.0).call(method, url, 30.0, b"", headers)
         print(answer.status, answer.headers.get("x-outcome", ""), answer.body.decode())
         return 0 if answer.status == 200 else 1
 
--- a/tools/forward.py
+++ b/tools/forward.py
@@ -27,8 +27,8 @@
         try:
             async with open_exchange(address, 1.0) as exchange:
                 await exchange.send(OutgoingRequest(b"POST", path.encode(), headers, b""))
-                head = await exchange.head()
-                body = await exchange.whole_body()
+                head = await exchange.read_head()
+                body = await exchange.read_body()
         except ExchangeError as error:
             print(f"no answer: {error}")
             return 1
--- a/tools/measure_core.py
+++ b/tools/measure_core.py
@@ -14,7 +14,7 @@
 from google.protobuf.message import Message
 
 from yewloom import exchange
-from yewloom.admission import Admission, Arrival
+from yewloom.admission import AdmissionController, AdmissionRequest
 from yewloom.claims import ClaimRequest, add_claims
 from yewloom.groups import GroupObservation, HostObservation, observe_group
 from yewloom.ids import (
@@ -31,9 +31,15 @@
 )
 from yewloom.limits import plan_shares
 from yewloom.node import Node, build_node
-from yewloom.placement import FleetState, PlacementTiming, Planner
+from yewloom.placement import FleetState, PlacementPlanner, PlacementTiming
 from yewloom.prefixes import block_hashes
-from yewloom.routing import Candidate, RouteRequest, TurnCounter, choose_group, default_routing
+from yewloom.routing import (
+    Candidate,
+    RoundRobinCounter,
+    RouteRequest,
+    choose_group,
+    default_routing,
+)
 from yewloom.schema.peer_pb2 import FetchRowsRequest, FetchRowsResponse, Member
 from yewloom.schema.records_pb2 import (
     ClaimShard,
@@ -129,7 +135,7 @@
                 capacity=64,
             )
             node.fleet.on_host_answered(HostId(member.host_id), report, 0.0)
-        node.fleet.sum_up(group, 0.0)
+        node.fleet.aggregate_probes(group, 0.0)
 
 
 def _node(members: int, groups: int, rows: int = 0) -> Node:
@@ -154,7 +160,7 @@
 
 def measure_routing() -> None:
     """Measure routing, admission and prompt hashing, which run once per request."""
-    routing, rng, turns = default_routing(), random.Random(1), TurnCounter()
+    routing, rng, turns = default_routing(), random.Random(1), RoundRobinCounter()
     request = RouteRequest(ModelName("model"), DATA_CENTRE, 8000, entry_hosts=48)
     for count in (17, 100, 375):
         candidates = [
@@ -168,15 +174,18 @@
             "hash a prompt", f"{length} characters", _time_us(partial(block_hashes, prompt), 200)
         )
     for count in (10, 200):
-        admission = Admission(100_000, 10)
+        admission = AdmissionController(100_000, 10)
         arrivals = [
-            Arrival(RequestId(str(i)), CustomerId(str(i % count)), 1.0, 100.0, 1e9, 10**6)
+            AdmissionRequest(RequestId(str(i)), CustomerId(str(i % count)), 1.0, 100.0, 1e9, 10**6)
             for i in range(1000)
         ]
 
-        def admit(queue: Admission = admission, offered_requests: list[Arrival] = arrivals) -> None:
+        def admit(
+            queue: AdmissionController = admission,
+            offered_requests: list[AdmissionRequest] = arrivals,
+        ) -> None:
             for arrival in offered_requests:
-                queue.offer(arrival, 0.0)
+                queue.submit(arrival, 0.0)
             for arrival in offered_requests:
                 queue.release(arrival.request_id, 1.0)
 
@@ -201,13 +210,13 @@
     """Measure exchanges with peers, of which there are a few per second."""
     for members, groups in ((12, 4), (48, 17), (100, 34)):
         node = _node(members, groups)
-        query = exchange.ask(node, 0.0)
-        response = exchange.answer(node, query, 0.0)
+        query = exchange.build_request(node, 0.0)
+        response = exchange.build_response(node, query, 0.0)
         data = response.SerializeToString()
         size = f"{members} members, {groups} groups"
-        cost = _time_us(partial(exchange.answer, node, query, 0.0), 50)
+        cost = _time_us(partial(exchange.build_response, node, query, 0.0), 50)
         _print_row("answer a peer", size, cost, len(data))
-        cost = _time_us(partial(exchange.take_in, node, response, 0.0, 0.0), 50)
+        cost = _time_us(partial(exchange.apply_response, node, response, 0.0, 0.0), 50)
         _print_row("apply an answer", size, cost)
 
 
@@ -263,7 +272,7 @@
             for g in placement.groups
         }
         state = FleetState(listed, {}, observations, {PolicyName("large"): policy})
-        planner = Planner(EntryHostId("e"), PlacementTiming(2.5, 300.0, 4.0))
+        planner = PlacementPlanner(EntryHostId("e"), PlacementTiming(2.5, 300.0, 4.0))
         cost = _time_us(partial(planner.plan, placement, state, 0.0, AttemptId("a")), 3)
         _print_row("plan a placement", f"{groups * GROUP_SIZE} hosts", cost, _json_bytes(placement))
     for holders, customers in ((12, 10), (48, 50)):
--- a/tools/measure_overload.py
+++ b/tools/measure_overload.py
@@ -11,7 +11,7 @@
 
 from queue_model import GroupModel, Job, VirtualClock, format_spread, percentile
 
-from yewloom.admission import Admission, Admitted, Arrival, Decision
+from yewloom.admission import AdmissionController, AdmissionRequest, Admitted, Decision
 from yewloom.ids import CustomerId, RequestId
 
 CAPACITY = 64
@@ -33,7 +33,7 @@
         self.clock = VirtualClock()
         self.rng = random.Random(seed)
         self.engine = GroupModel(self.clock, CAPACITY)
-        self.admission = Admission(round(CAPACITY * 1.5), max_queued=2000)
+        self.admission = AdmissionController(round(CAPACITY * 1.5), max_queued=2000)
         self.is_fair = is_fair
         self.jobs: dict[RequestId, Job] = {}
         self._submit_request(LARGE, load * CAPACITY_RATE - SMALL_RATE)
@@ -51,8 +51,8 @@
         if self.is_fair:
             job.on_end = self._on_end
             cost, start_by_s = float(TOKENS), now_s + MAX_QUEUE_S
-            arrival = Arrival(name, customer, 1.0, cost, job.deadline_s, 10**6, start_by_s)
-            self._submit_admitted([self.admission.offer(arrival, now_s)])
+            arrival = AdmissionRequest(name, customer, 1.0, cost, job.deadline_s, 10**6, start_by_s)
+            self._submit_admitted([self.admission.submit(arrival, now_s)])
         else:
             self.engine.submit(job)
         self.clock.schedule(
--- a/tools/measure_placement.py
+++ b/tools/measure_placement.py
@@ -12,11 +12,11 @@
 
 from queue_model import format_spread
 
-from yewloom.drafts import Plan
+from yewloom.drafts import PlacementPlan
 from yewloom.fleet import Fleet
 from yewloom.ids import AttemptId, DataCentreId, EntryHostId, HostId, PolicyName
 from yewloom.orders import due_orders
-from yewloom.placement import FleetState, PlacementTiming, Planner
+from yewloom.placement import FleetState, PlacementPlanner, PlacementTiming
 from yewloom.schema.records_pb2 import Host, HostReport, Placement
 from yewloom.schema.table_pb2 import DowntimePlacement, PolicyRow, StrandedPlacement
 from yewloom.states import EngineState
@@ -95,7 +95,9 @@
             )
             self.engines[HostId(name)] = _Engine(host)
         self.fleet = Fleet(4 * STEP_S, 2 * STEP_S)
-        self.planner = Planner(EntryHostId("e"), PlacementTiming(4 * STEP_S, 600.0, 2 * STEP_S))
+        self.planner = PlacementPlanner(
+            EntryHostId("e"), PlacementTiming(4 * STEP_S, 600.0, 2 * STEP_S)
+        )
         self.record = Placement(data_centre=DATA_CENTRE)
         self.events = _failure_trace(self.seed)
 
@@ -139,7 +141,7 @@
             else:
                 self.fleet.on_host_failed(name, now_s)
         for _, group in list(self.fleet.groups()):
-            self.fleet.sum_up(group, now_s)
+            self.fleet.aggregate_probes(group, now_s)
 
     def _plan(self, now_s: float) -> None:
         state = FleetState(
@@ -148,7 +150,7 @@
             groups=self.fleet.group_observations,
             policies={POLICY: self.policy},
         )
-        plan: Plan = self.planner.plan(self.record, state, now_s, AttemptId("a"))
+        plan: PlacementPlan = self.planner.plan(self.record, state, now_s, AttemptId("a"))
         if plan.placement is not None:
             self.record = plan.placement
             self.fleet.apply_placement(self.record)
--- a/tools/measure_replacement.py
+++ b/tools/measure_replacement.py
@@ -12,8 +12,13 @@
 import trio
 
 from yewloom.ids import HostId
-from yewloom.stalls import QUIET_S
-from yewloom.tests.engine_world import EngineWorld, Played, WorldEngine, play
+from yewloom.stalls import STALL_TIMEOUT_S
+from yewloom.tests.engine_world import (
+    CoordinatorSimulation,
+    SimulatedEngines,
+    SimulatedListedEngine,
+    run_simulation,
+)
 
 LEASE_ACQUIRED_S = 4.0
 """Time until the coordinator has acquired its lease."""
@@ -30,25 +35,25 @@
 LEADER, MEMBER = HostId("a"), HostId("b")
 
 
-def _crash(leader: WorldEngine, now_s: float) -> None:
+def _crash(leader: SimulatedListedEngine, now_s: float) -> None:
     leader.is_alive = False
     leader.unlisted_from_s = now_s + EXPIRY_S
 
 
-def _disconnect_from_all(leader: WorldEngine, now_s: float) -> None:
-    leader.is_reached = False
+def _disconnect_from_all(leader: SimulatedListedEngine, now_s: float) -> None:
+    leader.is_reachable = False
     leader.unlisted_from_s = now_s + EXPIRY_S
 
 
-def _disconnect_from_coordinator(leader: WorldEngine, now_s: float) -> None:
-    leader.is_reached = False
+def _disconnect_from_coordinator(leader: SimulatedListedEngine, now_s: float) -> None:
+    leader.is_reachable = False
 
 
-def _disconnect_from_store(leader: WorldEngine, now_s: float) -> None:
+def _disconnect_from_store(leader: SimulatedListedEngine, now_s: float) -> None:
     leader.unlisted_from_s = now_s + EXPIRY_S
 
 
-CAUSES: Sequence[tuple[str, Callable[[WorldEngine, float], None], bool]] = (
+CAUSES: Sequence[tuple[str, Callable[[SimulatedListedEngine, float], None], bool]] = (
     ("crashed", _crash, True),
     ("unreachable from the coordinator and the store", _disconnect_from_all, True),
     ("unreachable from the coordinator alone", _disconnect_from_coordinator, True),
@@ -58,15 +63,15 @@
 
 
 def measure(
-    inject_fault: Callable[[WorldEngine, float], None], is_stalled: bool
+    inject_fault: Callable[[SimulatedListedEngine, float], None], is_stalled: bool
 ) -> tuple[float, int]:
     """Return the seconds until the member serves again, and how often a host was in two groups."""
-    world = EngineWorld()
-    world.serve("old", ["a", "b"])
-    world.add("c")
+    world = SimulatedEngines()
+    world.add_serving_group("old", ["a", "b"])
+    world.add_free_engines("c")
     took_s = math.inf
 
-    async def test(simulation: Played) -> None:
+    async def test(simulation: CoordinatorSimulation) -> None:
         nonlocal took_s
         await trio.sleep(LEASE_ACQUIRED_S)
         fault_s = trio.current_time()
@@ -80,18 +85,18 @@
                 took_s = trio.current_time() - fault_s
                 nursery.cancel_scope.cancel()
 
-    play(world, test)
-    return took_s, len(world.taken)
+    run_simulation(world, test)
+    return took_s, len(world.unsafe_joins)
 
 
-async def _report_stalls(simulation: Played) -> None:
-    await trio.sleep(QUIET_S)
+async def _report_stalls(simulation: CoordinatorSimulation) -> None:
+    await trio.sleep(STALL_TIMEOUT_S)
     while True:
-        simulation.stalls.report(LEADER, trio.current_time())
+        simulation.stalls.report_stalled(LEADER, trio.current_time())
         await trio.sleep(REPORT_PAUSE_S)
 
 
-def _serves_elsewhere(world: EngineWorld) -> bool:
+def _serves_elsewhere(world: SimulatedEngines) -> bool:
     return any(MEMBER in members and LEADER not in members for members in world.open_groups())
 
 
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -21,13 +21,13 @@
     random_prompt_blocks,
 )
 
-from yewloom.admission import Admission, Admitted, Arrival, Decision
+from yewloom.admission import AdmissionController, AdmissionRequest, Admitted, Decision
 from yewloom.ids import CustomerId, DataCentreId, GroupId, ModelName, RequestId
 from yewloom.prefixes import BLOCK_CHARACTERS, PrefixIndex
 from yewloom.routing import (
     Candidate,
+    RoundRobinCounter,
     RouteRequest,
-    TurnCounter,
     choose_group,
     default_routing,
 )
@@ -76,13 +76,13 @@
         self.policy = policy
         self.groups = groups
         self.rng = random.Random(seed)
-        self.turns = TurnCounter()
+        self.turns = RoundRobinCounter()
         self.prefixes = PrefixIndex()
         self.reported = dict.fromkeys(groups, 0)
         self.sequence = dict.fromkeys(groups, 0)
         self.own = dict.fromkeys(groups, 0)
         slots = round(GROUPS * CAPACITY * SLOTS_PER_CAPACITY / ENTRY_HOSTS)
-        self.admission = Admission(slots, max_queued=1000)
+        self.admission = AdmissionController(slots, max_queued=1000)
         self.jobs: dict[RequestId, Job] = {}
 
     def offer(self, job: Job, now_s: float) -> None:
@@ -91,8 +91,10 @@
         self.jobs[name] = job
         job.on_end = self._on_end
         cost, start_by_s = float(TOKENS), now_s + MAX_QUEUE_S
-        arrival = Arrival(name, CustomerId("c"), 1.0, cost, job.deadline_s, 10**6, start_by_s)
-        self._submit_admitted([self.admission.offer(arrival, now_s)])
+        arrival = AdmissionRequest(
+            name, CustomerId("c"), 1.0, cost, job.deadline_s, 10**6, start_by_s
+        )
+        self._submit_admitted([self.admission.submit(arrival, now_s)])
 
     def _on_end(self, job: Job) -> None:
         assert job.ended_s is not None
@@ -135,7 +137,7 @@
         route = choose_group(self.policy, request, candidates, self.rng, self.turns)
         assert route is not None
         self.own[route.group_id] += 1
-        self.prefixes.expect(route.group_id, 1, job.blocks)
+        self.prefixes.add_expected_blocks(route.group_id, 1, job.blocks)
         return route.group_id
 
 
--- a/tools/mutations_crashes.py
+++ b/tools/mutations_crashes.py
@@ -55,14 +55,14 @@
     Mutation(
         "crashes: crashes reported by peers are counted",
         "crash_messages",
-        "self._record.apply_crash(_to_crash_report(crashed), came_s, now_s)",
+        "self._record.apply_crash(_to_crash_report(crashed), arrived_s, now_s)",
         "pass",
         "test_peer_reports",
     ),
     Mutation(
         "crashes: a quarantine reaches hosts that did not hear of the crashes",
         "crash_messages",
-        "self._quarantine.apply(_to_quarantine_report(quarantined), came_s)",
+        "self._quarantine.apply(_to_quarantine_report(quarantined), arrived_s)",
         "pass",
         "test_peer_reports",
     ),
--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -71,7 +71,7 @@
     Mutation(
         "following: the same few hosts keep asking while the store answers no host",
         "follow_duty",
-        "if not peers and not standing.can_follow:",
+        "if not peers and not status.can_follow:",
         "if False:",
         "test_follow_duty",
     ),
@@ -141,7 +141,7 @@
     Mutation(
         "planned stop: a second signal does not change the schedule",
         "planned_stop",
-        "        if self.is_begun:\n            return\n",
+        "        if self.has_begun:\n            return\n",
         "",
         "test_planned_stop",
     ),
@@ -155,7 +155,7 @@
     Mutation(
         "answers: nothing is sent after an answer that was cut off",
         "caller_connection",
-        "if self._is_disconnected or not reply.is_whole:",
+        "if self._is_disconnected or not reply.is_complete:",
         "if self._is_disconnected:",
         "test_caller_connection",
     ),
@@ -191,21 +191,21 @@
     Mutation(
         "keys: a host that knows of a newer configuration accepts no key",
         "key_trust",
-        "return not self._needs_proof and not self._book.is_outdated",
+        "return not self._needs_proof and not self._configuration_state.is_outdated",
         "return not self._needs_proof",
         "test_key_trust",
     ),
     Mutation(
         "keys: hosts with keys_need_proof accept keys only with a proof",
         "key_trust",
-        "return not self._needs_proof and not self._book.is_outdated",
-        "return not self._book.is_outdated",
+        "return not self._needs_proof and not self._configuration_state.is_outdated",
+        "return not self._configuration_state.is_outdated",
         "test_key_trust",
     ),
     Mutation(
         "keys: an unknown key gets a final refusal only with a proof",
         "request_admission",
-        "if self._key_trust.may_refuse(source.read_s):",
+        "if self._key_trust.may_refuse_permanently(source.read_s):",
         "if True:",
         "test_key_trust",
     ),
@@ -353,15 +353,15 @@
     Mutation(
         "unanswered calls: a listing uses a new connection",
         "platform/store",
-        "            await self._caller.renew(self._url)\n",
+        "            await self._caller.renew_connections(self._url)\n",
         "            pass\n",
         "test_silent_connections",
     ),
     Mutation(
         "unanswered calls: the pause after a failed call counts from the start of the call",
         "followers",
-        "asked_s + self._pace.retry_pause_s(self._failures) - trio.current_time()",
-        "self._pace.retry_pause_s(self._failures)",
+        "asked_s + self._policy.retry_pause_s(self._failures) - trio.current_time()",
+        "self._policy.retry_pause_s(self._failures)",
         "test_followers",
     ),
     Mutation(
@@ -374,15 +374,15 @@
     Mutation(
         "delays: a host that knows of a newer configuration gives no final refusal",
         "key_trust",
-        "return not is_late and not self._book.is_outdated",
+        "return not is_late and not self._configuration_state.is_outdated",
         "return not is_late",
         "test_silent_connections",
     ),
     Mutation(
         "delays: no final refusal is given once changes may have been missed",
         "key_trust",
-        "return not is_late and not self._book.is_outdated",
-        "return not self._book.is_outdated",
+        "return not is_late and not self._configuration_state.is_outdated",
+        "return not self._configuration_state.is_outdated",
         "test_key_trust",
     ),
     Mutation(
--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -33,10 +33,10 @@
     ),
     Mutation(
         "selection: a slow group is tried again later",
-        "event_paces",
+        "event_intervals",
         "now_s - interval.updated_s <= RECENT_S",
         "True",
-        "test_event_paces",
+        "test_event_intervals",
     ),
     Mutation(
         "restart: a group with a restarted member is dissolved",
@@ -62,14 +62,16 @@
     Mutation(
         "restart: an order for the old process is not sent to the new one",
         "order_delivery",
-        "if not is_same_process(planned.started_unix_ms, report.started_unix_ms):",
+        "if not may_be_same_process(planned.started_unix_ms, report.started_unix_ms):",
         "if False:",
         "test_slow_engines",
     ),
     Mutation(
         "restart: a report of the new process does not count for the old one",
         "stalled_groups",
-        "if report is not None and is_same_process(report.started_unix_ms, probe.started_unix_ms):",
+        "if report is not None and may_be_same_process(\n"
+        "            report.started_unix_ms, probe.started_unix_ms\n"
+        "        ):",
         "if report is not None:",
         "test_slow_engines",
     ),
@@ -118,7 +120,7 @@
     Mutation(
         "single group: a host whose leader is not listed is asked directly",
         "free_hosts",
-        "if leader is None or self._state.is_silent(leader.id):",
+        "if leader is None or self._state.is_unresponsive(leader.id):",
         "if leader is None:\n            return False\n        if False:",
         "test_replica_plan",
     ),
@@ -153,14 +155,14 @@
     Mutation(
         "single group: a peer's report proves progress only up to the time that it states",
         "stalls",
-        "arrived_s = now_s - age_s - READ_LATE_S",
+        "arrived_s = now_s - age_s - MAX_MESSAGE_DELAY_S",
         "arrived_s = now_s",
         "test_peer_reports",
     ),
     Mutation(
         "single group: hosts report progress of suspected groups",
         "own_state",
-        "in self._stalls.moving(now_s).items()",
+        "in self._stalls.progressing(now_s).items()",
         "in ()",
         "test_peer_reports",
     ),
--- a/tools/mutations_limits.py
+++ b/tools/mutations_limits.py
@@ -13,7 +13,7 @@
     Mutation(
         "endpoint limits: each sent request counts",
         "endpoint_choice",
-        "        self._limits.spend(endpoint, now_s)\n",
+        "        self._limits.take_token(endpoint, now_s)\n",
         "",
         "test_forwarding_limits",
     ),
@@ -48,7 +48,7 @@
     Mutation(
         "endpoint limits: hosts learn limits from peers",
         "limit_messages",
-        "self._limits.apply(_from_message(message), came_s)",
+        "self._limits.apply(_from_message(message), arrived_s)",
         "pass",
         "test_peer_reports",
     ),
--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -13,7 +13,7 @@
     Mutation(
         "order counts: a report older than an answer is ignored",
         "order_counts",
-        "if known is None or report.sequence > known.sequence:",
+        "if known is None or report.order_count > known.order_count:",
         "if True:",
         "test_order_counts",
     ),
@@ -34,14 +34,14 @@
     Mutation(
         "orders: a refused load does not count against the load rate",
         "plan_state",
-        "self.load_times_s.remove(staging.since_s)",
+        "self.recent_load_starts_s.remove(staging.since_s)",
         "pass",
         "test_refused_orders",
     ),
     Mutation(
         "store: hosts that need not follow share a call rate during an outage",
         "store_retries",
-        "max(min_pause_s, near_hosts * IDLE_SPACING_S)",
+        "max(min_pause_s, near_host_count * IDLE_SPACING_S)",
         "min_pause_s",
         "test_store_retries",
     ),
@@ -104,7 +104,7 @@
     Mutation(
         "stop: a host whose process was delayed ends earlier",
         "planned_stop",
-        "        if self.is_begun:\n            max_s",
+        "        if self.has_begun:\n            max_s",
         "        if False:\n            max_s",
         "test_planned_stop",
     ),
--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -34,14 +34,14 @@
     Mutation(
         "member loss: accepted once no observer sees the whole group",
         "groups",
-        "if now_s - later.observed_s >= give_up_s:",
+        "if now_s - later.observed_s >= missing_after_s:",
         "if False:",
         "test_placement",
     ),
     Mutation(
         "member loss: not accepted while an observer sees the whole group",
         "groups",
-        "if now_s - later.observed_s >= give_up_s:",
+        "if now_s - later.observed_s >= missing_after_s:",
         "if True:",
         "test_placement",
     ),
@@ -55,7 +55,7 @@
     Mutation(
         "member loss: a stall of the prober does not count as silence",
         "groups",
-        "return known.failed_s - since_s >= give_up_s * PROBED_SHARE",
+        "return known.failed_s - since_s >= missing_after_s * MIN_PROBED_SHARE",
         "return True",
         "test_placement",
     ),
@@ -139,9 +139,9 @@
     Mutation(
         "claims: nothing runs unless the claim was stored",
         "idempotency",
-        "            case Err(error):\n                raise unavailable(",
+        "            case Err(error):\n                raise unavailable_problem(",
         "            case Err(error):\n                return error and None\n"
-        "                raise unavailable(",
+        "                raise unavailable_problem(",
         "test_claims",
     ),
     Mutation(
@@ -168,7 +168,7 @@
     Mutation(
         "requests: stream parts of other requests are dropped",
         "streams",
-        "if piece.request_id != self.request_id or piece.generation != self._generation:",
+        "if chunk.request_id != self.request_id or chunk.generation != self._generation:",
         "if False:",
         "test_streams",
     ),
@@ -245,8 +245,8 @@
     Mutation(
         "limits: the borrower counts its loan from when it asked",
         "limits",
-        "active_loan = _ActiveLoan(loan.amount, asked_s + loan.duration_ms / 1000)",
-        "active_loan = _ActiveLoan(loan.amount, asked_s + 2 * loan.duration_ms / 1000)",
+        "active_loan = _ActiveLoan(loan.amount, requested_s + loan.duration_ms / 1000)",
+        "active_loan = _ActiveLoan(loan.amount, requested_s + 2 * loan.duration_ms / 1000)",
         "test_limits",
     ),
     Mutation(
@@ -259,8 +259,8 @@
     Mutation(
         "routing: own requests count before they are reported",
         "routing",
-        "return self.reported + self.own_unreported * entry_hosts",
-        "return self.reported",
+        "return self.reported_load + self.sent_since_report * entry_hosts",
+        "return self.reported_load",
         "test_routing",
     ),
     Mutation(
--- a/yewloom/admission.py
+++ b/yewloom/admission.py
@@ -16,7 +16,7 @@
 from yewloom.ids import CustomerId, RequestId
 from yewloom.values import value_class
 
-DEFAULT_PACE_S = 0.005
+DEFAULT_SECONDS_PER_COST = 0.005
 """Assumed seconds per unit of cost until the first request has finished."""
 
 _SMOOTHING_FACTOR = 0.05
@@ -27,7 +27,7 @@
 
 
 @value_class
-class Arrival:
+class AdmissionRequest:
     """A request that asks for a slot.
 
     ``cost`` is the estimated work, in any unit that is the same for all requests. The request must
@@ -84,7 +84,7 @@
 class _ServiceTime:
     """Running mean and deviation of the seconds per unit of cost, from admission to the end."""
 
-    mean_s: float = DEFAULT_PACE_S
+    mean_s: float = DEFAULT_SECONDS_PER_COST
     deviation_s: float = 0.0
 
     def add_sample(self, seconds: float, cost: float) -> None:
@@ -98,21 +98,21 @@
 
 @dataclass
 class _CustomerState:
-    waiting: deque[tuple[float, Arrival]] = field(default_factory=deque)
+    waiting: deque[tuple[float, AdmissionRequest]] = field(default_factory=deque)
     waiting_cost: float = 0.0
     finish_tag: float = 0.0
     in_flight: int = 0
     refused: int = 0
 
 
-class Admission:
+class AdmissionController:
     """The slots of one entry host and the requests that wait for them."""
 
     def __init__(self, slots: int, max_queued: int) -> None:
         self._slots = slots
         self._max_queued = max_queued
         self._customers: dict[CustomerId, _CustomerState] = {}
-        self._running: dict[RequestId, tuple[Arrival, float]] = {}
+        self._running: dict[RequestId, tuple[AdmissionRequest, float]] = {}
         self._queued = 0
         self._virtual_time = 0.0
         self._service_time = _ServiceTime()
@@ -132,7 +132,7 @@
         """Return how many slots each customer holds."""
         return {name: customer.in_flight for name, customer in self._customers.items()}
 
-    def take_demand(self) -> dict[CustomerId, int]:
+    def read_and_reset_demand(self) -> dict[CustomerId, int]:
         """Return the demand of each customer and reset the counts of refused requests.
 
         The demand is the number of slots held, of requests waiting, and of requests refused since
@@ -148,11 +148,11 @@
         """Set the number of slots, which changes as groups open and close."""
         self._slots = slots
 
-    def stop_by(self, stops_s: float) -> None:
+    def set_stop_time(self, stops_s: float) -> None:
         """Reject requests that are not expected to finish by ``stops_s``, from now on."""
         self._stops_s = stops_s
 
-    def offer(self, arrival: Arrival, now_s: float) -> Decision:
+    def submit(self, arrival: AdmissionRequest, now_s: float) -> Decision:
         """Admit, queue or reject a request on arrival."""
         customer = self._customers.setdefault(arrival.customer, _CustomerState())
         if arrival.share <= 0 or self._slots <= 0:
@@ -208,7 +208,7 @@
                 heapq.heappush(queue_heads, (customer.waiting[0][0], arrival.weight, name))
         return decisions
 
-    def expected_wait_s(self, arrival: Arrival) -> float:
+    def expected_wait_s(self, arrival: AdmissionRequest) -> float:
         """Estimate how long a request would wait, from its customer's fair share of the slots."""
         customer = self._customers.setdefault(arrival.customer, _CustomerState())
         busy_weight = arrival.weight + sum(
@@ -220,16 +220,18 @@
         slots = min(fair_slots, arrival.share)
         return (customer.waiting_cost + arrival.cost) * self._service_time.mean_s / slots
 
-    def _latest_start_s(self, arrival: Arrival) -> float:
+    def _latest_start_s(self, arrival: AdmissionRequest) -> float:
         """Return the latest start at which a request is expected to finish in time."""
         by_deadline_s = arrival.deadline_s - self._service_time.upper_bound_s(arrival.cost)
         return min(by_deadline_s, arrival.start_by_s, self._latest_start_before_stop_s(arrival))
 
-    def _latest_start_before_stop_s(self, arrival: Arrival) -> float:
+    def _latest_start_before_stop_s(self, arrival: AdmissionRequest) -> float:
         """Return the latest start at which a request is expected to finish before shutdown."""
         return self._stops_s - self._service_time.upper_bound_s(arrival.cost)
 
-    def _shed_reason(self, arrival: Arrival, start_s: float, otherwise: ShedReason) -> ShedReason:
+    def _shed_reason(
+        self, arrival: AdmissionRequest, start_s: float, otherwise: ShedReason
+    ) -> ShedReason:
         """Return ``STOPPING`` if shutdown makes the start too late, else ``otherwise``."""
         return (
             ShedReason.STOPPING
@@ -237,21 +239,23 @@
             else otherwise
         )
 
-    def _remove(self, customer: _CustomerState, entry: tuple[float, Arrival]) -> None:
+    def _remove(self, customer: _CustomerState, entry: tuple[float, AdmissionRequest]) -> None:
         customer.waiting.remove(entry)
         customer.waiting_cost -= entry[1].cost
         self._queued -= 1
 
-    def _assign_start_tag(self, customer: _CustomerState, arrival: Arrival) -> float:
+    def _assign_start_tag(self, customer: _CustomerState, arrival: AdmissionRequest) -> float:
         """Return the start tag of a request and advance its customer's finish tag."""
         start = max(self._virtual_time, customer.finish_tag)
         customer.finish_tag = start + arrival.cost / arrival.weight
         return start
 
-    def _has_free_slot(self, customer: _CustomerState, arrival: Arrival) -> bool:
+    def _has_free_slot(self, customer: _CustomerState, arrival: AdmissionRequest) -> bool:
         return len(self._running) < self._slots and customer.in_flight < arrival.share
 
-    def _start(self, customer: _CustomerState, arrival: Arrival, tag: float, now_s: float) -> None:
+    def _start(
+        self, customer: _CustomerState, arrival: AdmissionRequest, tag: float, now_s: float
+    ) -> None:
         self._virtual_time = max(self._virtual_time, tag)
         customer.in_flight += 1
         self._running[arrival.request_id] = (arrival, now_s)
@@ -273,6 +277,6 @@
                 shed.append(self._shed(entry[1], reason))
         return shed
 
-    def _shed(self, arrival: Arrival, reason: ShedReason) -> Shed:
+    def _shed(self, arrival: AdmissionRequest, reason: ShedReason) -> Shed:
         wait_s = self.expected_wait_s(arrival) if arrival.share > 0 else _MIN_RETRY_AFTER_S
         return Shed(arrival.request_id, reason, max(_MIN_RETRY_AFTER_S, wait_s))
--- a/yewloom/attempts.py
+++ b/yewloom/attempts.py
@@ -61,7 +61,7 @@
         """Return whether the request may be sent to one more endpoint."""
         if self._endpoints_reached() >= max(1, self.route.max_endpoints):
             return False
-        return self.is_known_not_run or self.route.may_repeat
+        return self.is_known_not_run or self.route.may_retry
 
     def is_retry(self) -> bool:
         """Return whether the next attempt would be a retry, i.e. something was sent before."""
--- a/yewloom/caller_activity.py
+++ b/yewloom/caller_activity.py
@@ -30,7 +30,7 @@
         self.open_requests = 0
 
     @property
-    def is_leaving(self) -> bool:
+    def is_stopping(self) -> bool:
         """Return whether a planned stop has begun."""
         return self._phase is not Phase.SERVING
 
@@ -39,22 +39,22 @@
         """Return whether a request that has just been read may be started."""
         return self._phase is not Phase.CLOSED
 
-    def start_leaving(self) -> None:
+    def begin_stop(self) -> None:
         """Begin a planned stop."""
         if self._phase is Phase.SERVING:
             self._phase = Phase.LEAVING
             self._leaving_since_s = trio.current_time()
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more requests, and don't wait for requests that have not arrived."""
-        self.start_leaving()
+        self.begin_stop()
         self._phase = Phase.CLOSED
         for scope in self._reading_scopes:
             scope.deadline = min(scope.deadline, trio.current_time() + FINAL_READ_S)
 
     def stopping_ms(self) -> int | None:
         """Return the milliseconds since the planned stop began, or None if there is none."""
-        if not self.is_leaving:
+        if not self.is_stopping:
             return None
         return round((trio.current_time() - self._leaving_since_s) * 1000)
 
--- a/yewloom/caller_connection.py
+++ b/yewloom/caller_connection.py
@@ -6,11 +6,11 @@
 
 from yewloom.caller_activity import CallerActivity
 from yewloom.caller_messages import (
-    CallerGoneError,
+    CallerDisconnectedError,
     CallerRequest,
     Handler,
     Handlers,
-    Reply,
+    ResponseWriter,
     SendTimer,
 )
 from yewloom.configuration import CallerLimits
@@ -176,7 +176,7 @@
                 try:
                     data = await self._stream.receive_some(READ_BYTES)
                 except trio.BrokenResourceError as error:
-                    raise CallerGoneError from error
+                    raise CallerDisconnectedError from error
                 self._receive(data)
             if timeout_scope.cancelled_caught:
                 raise h11.RemoteProtocolError(
@@ -185,8 +185,8 @@
 
     async def _respond(self, request: CallerRequest) -> bool:
         """Send the response to a request; return whether the connection may carry another one."""
-        reply = Reply(
-            self._stream, self._connection, lambda: self._activity.is_leaving, self._send_timer
+        reply = ResponseWriter(
+            self._stream, self._connection, lambda: self._activity.is_stopping, self._send_timer
         )
         handler = (
             self._handlers.accept if self._activity.accepts_requests else self._handlers.reject
@@ -196,17 +196,19 @@
                 nursery.start_soon(self._watch_for_disconnect, nursery.cancel_scope)
                 await self._handle(handler, request, reply)
                 nursery.cancel_scope.cancel()
-        if self._is_disconnected or not reply.is_whole:
+        if self._is_disconnected or not reply.is_complete:
             return False
         if self._connection.our_state is h11.MUST_CLOSE:
             await self._linger_and_close()
             return False
         return self._connection.our_state is h11.DONE
 
-    async def _handle(self, handler: Handler, request: CallerRequest, reply: Reply) -> None:
+    async def _handle(
+        self, handler: Handler, request: CallerRequest, reply: ResponseWriter
+    ) -> None:
         try:
             await handler(request, reply)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._is_disconnected = True
 
     async def _watch_for_disconnect(self, scope: trio.CancelScope) -> None:
@@ -243,8 +245,8 @@
             "request rejected by the connection", status=status, reason=reason, **self._log_fields()
         )
         if self._connection.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            reply = Reply(self._stream, self._connection, lambda: True, self._send_timer)
-            await reply.send_whole(status, [], b"")
+            reply = ResponseWriter(self._stream, self._connection, lambda: True, self._send_timer)
+            await reply.send_complete(status, [], b"")
         await self._linger_and_close()
 
     async def _linger_and_close(self) -> None:
--- a/yewloom/caller_headers.py
+++ b/yewloom/caller_headers.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from yewloom.endpoint_calls import AnswerHead, Header
+from yewloom.endpoint_calls import Header, ResponseHead
 from yewloom.ids import CustomerId, HostId, ModelName, RequestId
 from yewloom.values import value_class
 
@@ -13,7 +13,7 @@
 
 
 @value_class
-class RequestMarks:
+class RequestMetadata:
     """Metadata from request headers; ``deadline_ms`` is None if the caller sets no timeout."""
 
     request_id: RequestId
@@ -25,21 +25,21 @@
 
 
 @value_class
-class NamedLimit:
+class AnnouncedLimit:
     """A rate limit that a response reports, in requests per second; None if it reports none.
 
-    ``is_told`` is false if the response carries no information about the limit: because another
-    process answered at the address, or because the header value is invalid, which is then kept in
-    ``unreadable``.
+    ``is_announced`` is false if the response carries no information about the limit: because
+    another process answered at the address, or because the header value is invalid, which is then
+    kept in ``invalid_text``.
     """
 
     per_s: float | None = None
-    is_told: bool = True
-    unreadable: str = ""
+    is_announced: bool = True
+    invalid_text: str = ""
 
 
 @value_class
-class AnswerMarks:
+class ResponseMetadata:
     """Metadata from an endpoint's response headers.
 
     ``is_not_run`` guarantees that the endpoint did not run the request; ``request_id`` identifies
@@ -49,11 +49,11 @@
 
     request_id: RequestId | None
     is_not_run: bool
-    limit: NamedLimit
+    limit: AnnouncedLimit
 
 
 @value_class
-class Sending:
+class ForwardingMetadata:
     """What the entry host adds to a request that it forwards to an endpoint."""
 
     endpoint: HostId
@@ -65,18 +65,20 @@
 class HeaderCodec(Protocol):
     """Translates between wire headers and their meaning."""
 
-    def decode_request(self, headers: Sequence[Header]) -> RequestMarks:
+    def decode_request(self, headers: Sequence[Header]) -> RequestMetadata:
         """Return the metadata in a request's headers; raises HeaderError."""
         ...
 
-    def outgoing_headers(self, headers: Sequence[Header], sending: Sending) -> list[Header]:
+    def request_headers(
+        self, headers: Sequence[Header], sending: ForwardingMetadata
+    ) -> list[Header]:
         """Return the headers of a request as they are sent to the endpoint."""
         ...
 
-    def decode_answer(self, head: AnswerHead) -> AnswerMarks:
+    def decode_response(self, head: ResponseHead) -> ResponseMetadata:
         """Return the metadata in a response's headers."""
         ...
 
-    def returned_headers(self, head: AnswerHead) -> list[Header]:
+    def response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the response headers to send to the caller, without framing headers."""
         ...
--- a/yewloom/caller_messages.py
+++ b/yewloom/caller_messages.py
@@ -22,7 +22,7 @@
     ``arrived_s`` is the earliest time at which its first bytes may have arrived; ``read_s`` is when
     it had been read completely. ``number_on_connection`` is 1 for the first request of a
     connection. ``stopping_ms`` is how long the host had been stopping when the request was read, or
-    None. ``kept_waiting_s`` is how long, after its arrival, earlier responses were being sent on
+    None. ``send_blocked_s`` is how long, after its arrival, earlier responses were being sent on
     the same connection.
     """
 
@@ -34,7 +34,7 @@
     read_s: float
     number_on_connection: int
     stopping_ms: int | None
-    kept_waiting_s: float = 0.0
+    send_blocked_s: float = 0.0
 
     @property
     def path(self) -> str:
@@ -42,7 +42,7 @@
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has disconnected."""
 
 
@@ -69,10 +69,10 @@
             self._began_s = None
 
 
-class Reply:
-    """Sends the response to one request; nothing is sent before ``start`` or ``send_whole``.
+class ResponseWriter:
+    """Sends the response to one request; nothing is sent before ``start`` or ``send_complete``.
 
-    If ``start`` or ``send_whole`` is cancelled before it sends anything, the response remains
+    If ``start`` or ``send_complete`` is cancelled before it sends anything, the response remains
     unstarted.
     """
 
@@ -96,12 +96,12 @@
         return self.status != 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the response was sent completely."""
         has_ended = self._connection.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
         return self.is_started and has_ended and self._is_uninterrupted
 
-    async def send_whole(self, status: int, headers: Sequence[Header], body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Sequence[Header], body: bytes) -> None:
         """Send a complete response with its length."""
         await trio.lowlevel.checkpoint_if_cancelled()
         length = (b"content-length", str(len(body)).encode())
@@ -112,7 +112,7 @@
         with trio.move_on_after(SEND_TIMEOUT_S) as limit:
             await self._write(data)
         if limit.cancelled_caught:
-            raise CallerGoneError
+            raise CallerDisconnectedError
 
     async def start(self, status: int, headers: Sequence[Header], first: bytes) -> None:
         """Send the status, the headers and the first part of the body."""
@@ -143,17 +143,17 @@
             with self._send_timer.sending():
                 await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
         self._is_uninterrupted = True
 
 
-Handler = Callable[[CallerRequest, Reply], Awaitable[None]]
+Handler = Callable[[CallerRequest, ResponseWriter], Awaitable[None]]
 """Handles one request; a response that it does not finish is cut off."""
 
 
-async def respond_unavailable(request: CallerRequest, reply: Reply) -> None:
+async def respond_unavailable(request: CallerRequest, reply: ResponseWriter) -> None:
     """Respond with 503: the request was not run."""
-    await reply.send_whole(503, [], b"")
+    await reply.send_complete(503, [], b"")
 
 
 @value_class
--- a/yewloom/caller_server.py
+++ b/yewloom/caller_server.py
@@ -14,7 +14,7 @@
 
 from yewloom.caller_activity import CallerActivity
 from yewloom.caller_connection import CallerConnection
-from yewloom.caller_messages import CallerGoneError, Handlers
+from yewloom.caller_messages import CallerDisconnectedError, Handlers
 from yewloom.configuration import CallerLimits
 from yewloom.socket_ages import ReadAges
 
@@ -84,14 +84,14 @@
                 )
             await trio.aclose_forcefully(listeners[0])
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more connections or requests; open requests continue.
 
         Callers may have opened connections that are still in the accept queue. Requests on them are
         rejected; closing the socket alone would reset those connections.
         """
         if self.activity.accepts_requests:
-            self.activity.stop_taking()
+            self.activity.stop_accepting()
             self._accept_scope.cancel()
             if self._listener is not None:
                 self._listener_hold.enter_context(self.activity.closing())
@@ -140,7 +140,7 @@
         )
         try:
             await connection.run()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             pass  # The request has its own log line; between requests there is nothing to log.
         except Exception:
             logger.exception("connection failed", reason="unexpected error")
--- a/yewloom/callers.py
+++ b/yewloom/callers.py
@@ -31,11 +31,11 @@
     is_unsafe_path,
     new_request_id,
 )
-from yewloom.idempotency import IdempotentRunner, KeptAnswer
+from yewloom.idempotency import IdempotentRunner, StoredAnswer
 from yewloom.ids import AttemptId, CustomerId, IdempotencyKey, ServiceName
 from yewloom.node import Node
-from yewloom.problems import OVERLOADED_STATUS, Problem, bad_request, unavailable
-from yewloom.requests import ModelRequest, ServiceRequest, Tokens
+from yewloom.problems import OVERLOADED_STATUS, Problem, bad_request_problem, unavailable_problem
+from yewloom.requests import ModelRequest, ServiceRequest, TokenBatch
 from yewloom.responses import (
     EventStream,
     respond_problem,
@@ -110,7 +110,7 @@
     async def _complete_response(
         self, completion: CompletionRequest, request: ModelRequest, key: IdempotencyKey | None
     ) -> Response:
-        async def run() -> KeptAnswer:
+        async def run() -> StoredAnswer:
             tokens: list[str] = []
             finish_reason = ""
             async with aclosing(self._models_dispatcher.generate(request)) as stream:
@@ -118,7 +118,7 @@
                     tokens += part.tokens
                     finish_reason = part.finish_reason
             body = complete_response_body(completion, request.request_id, tokens, finish_reason)
-            return KeptAnswer(200, "application/json", body)
+            return StoredAnswer(200, "application/json", body)
 
         return await self._run_and_count(request.customer, key, run)
 
@@ -144,7 +144,9 @@
     ) -> Response:
         position = parse_position(last_event)
         if position is None or not completion.is_stream:
-            raise bad_request("Last-Event-ID must be the id of an event of a stream sent here.")
+            raise bad_request_problem(
+                "Last-Event-ID must be the id of an event of a stream sent here."
+            )
         stream = self._models_dispatcher.resume(request, position)
         return await self._stream_response(completion, request, stream, None)
 
@@ -152,7 +154,7 @@
         self,
         completion: CompletionRequest,
         request: ModelRequest,
-        stream: AsyncGenerator[Tokens, None],
+        stream: AsyncGenerator[TokenBatch, None],
         claim: ClaimRequest | None,
     ) -> Response:
         """Wait for the first tokens, so that an earlier failure gets a proper HTTP status."""
@@ -161,7 +163,7 @@
         except Problem as problem:
             self._count_problem(request.customer, problem)
             if claim is not None and problem.outcome is Outcome.NOT_RUN:
-                self._runner.finish(claim, ClaimState.RELEASED)
+                self._runner.store_result(claim, ClaimState.RELEASED)
             raise
         events = self._events(completion, request, first, stream, claim)
         return EventStream(events, headers={"x-request-id": request.request_id})
@@ -170,8 +172,8 @@
         self,
         completion: CompletionRequest,
         request: ModelRequest,
-        first: Tokens,
-        stream: AsyncGenerator[Tokens, None],
+        first: TokenBatch,
+        stream: AsyncGenerator[TokenBatch, None],
         claim: ClaimRequest | None,
     ) -> AsyncIterator[bytes]:
         writer = ChunkWriter(completion, request.request_id)
@@ -187,14 +189,14 @@
             return
         self._count(request.customer, Outcome.ANSWERED)
         if claim is not None:
-            self._runner.finish(claim, ClaimState.DONE)
+            self._runner.store_result(claim, ClaimState.DONE)
 
     async def _serve_service(self, request: Request) -> Response:
         customer, customer_row = self._authenticate(request)
         service = ServiceName(request.path_params["service"])
         row = self._node.table.services().get(service)
         if row is None:
-            raise bad_request(f"The service {service!r} is not known here.", 404)
+            raise bad_request_problem(f"The service {service!r} is not known here.", 404)
         path = "/" + request.path_params["path"]
         call = ServiceCall(
             method=request.method,
@@ -216,10 +218,10 @@
             is_unsafe=key is not None or is_marked_unsafe(request) or is_unsafe_path(row, path),
         )
 
-        async def run() -> KeptAnswer:
+        async def run() -> StoredAnswer:
             answer = await self._services_dispatcher.call_service(service_request)
             content_type = answer.headers.get("content-type", "application/octet-stream")
-            return KeptAnswer(answer.status, content_type, answer.body)
+            return StoredAnswer(answer.status, content_type, answer.body)
 
         return await self._run_and_count(customer, key, run)
 
@@ -227,7 +229,7 @@
         self,
         customer: CustomerId,
         key: IdempotencyKey | None,
-        run: Callable[[], Awaitable[KeptAnswer]],
+        run: Callable[[], Awaitable[StoredAnswer]],
     ) -> Response:
         try:
             answer = await (run() if key is None else self._runner.run(key, run))
@@ -264,7 +266,9 @@
     def _authenticate(self, request: Request) -> tuple[CustomerId, CustomerRow]:
         """Return the customer whose API key the request carries; always compares every row."""
         if not self._node.accepts_requests:
-            raise unavailable("This entry host is not ready or is stopping.", Outcome.NOT_RUN)
+            raise unavailable_problem(
+                "This entry host is not ready or is stopping.", Outcome.NOT_RUN
+            )
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
         digest = hashlib.sha256(key.strip().encode()).hexdigest()
         found = None
@@ -272,7 +276,7 @@
             if hmac.compare_digest(digest, row.key_digest.lower()):
                 found = (name, row)
         if scheme.lower() != "bearer" or found is None:
-            raise bad_request("The key is missing or belongs to no customer.", 401)
+            raise bad_request_problem("The key is missing or belongs to no customer.", 401)
         return found
 
     async def _read_body(self, request: Request) -> bytes:
@@ -281,12 +285,12 @@
         async for chunk in request.stream():
             body += chunk
             if len(body) > limit:
-                raise bad_request(f"The body is larger than {limit} bytes.", 413)
+                raise bad_request_problem(f"The body is larger than {limit} bytes.", 413)
         return body
 
     def _check_model(self, completion: CompletionRequest) -> None:
         if not self._node.table.policies_for(completion.model):
-            raise bad_request(f"The model {completion.model!r} is not served here.", 404)
+            raise bad_request_problem(f"The model {completion.model!r} is not served here.", 404)
 
     def _model_request(
         self,
@@ -311,16 +315,16 @@
     def _deadline_s(self, request: Request) -> float:
         """Return the deadline of a request, reduced by the time it waited before it was read."""
         node = self._node
-        return deadline_s(request, node.settings.requests.timeout_ms, node.lateness.late_s())
+        return deadline_s(request, node.settings.requests.timeout_ms, node.loop_delay.delay_s())
 
     def _count_problem(self, customer: CustomerId, problem: Problem) -> None:
         self._count(customer, problem.outcome)
         if problem.status == OVERLOADED_STATUS:
-            self._node.metrics.sheds.labels(customer).inc()
+            self._node.metrics.rejected_requests.labels(customer).inc()
 
     def _count(self, customer: CustomerId, outcome: Outcome) -> None:
         self._node.metrics.requests.labels(customer, outcome.value).inc()
 
 
-def _event(writer: ChunkWriter, part: Tokens) -> bytes:
+def _event(writer: ChunkWriter, part: TokenBatch) -> bytes:
     return writer.event(str(part.position), "".join(part.tokens), part.finish_reason)
--- a/yewloom/claim_writer.py
+++ b/yewloom/claim_writer.py
@@ -24,9 +24,9 @@
     RecordError,
     WriteConflict,
     WriteNotApplied,
-    WriteUnsettled,
+    WriteOutcomeUnknown,
     parse_record,
-    write_settled,
+    write_until_settled,
 )
 
 logger = structlog.get_logger(__name__)
@@ -104,7 +104,7 @@
         assert pending.answer is not None
         return pending.answer
 
-    def store(self, result: ClaimResult) -> None:
+    def store_result(self, result: ClaimResult) -> None:
         """Store the result of a claimed request with the next write of its shard."""
         shard = self._shards[shard_of(result.key, self._shard_count)]
         shard.results.append(result)
@@ -115,7 +115,7 @@
         if pending in shard.pending:
             shard.pending.remove(pending)
         else:
-            self.store(_released_result(pending.claim))
+            self.store_result(_released_result(pending.claim))
 
     def _start_writing(self, shard: _Shard) -> None:
         if not shard.is_writing:
@@ -171,7 +171,7 @@
         self, shard: _Shard, record: ClaimShard, attempts: set[AttemptId]
     ) -> ClaimUnavailable | None:
         """Write the record of a shard, and adopt the record that is stored afterwards."""
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             shard.key,
             record,
@@ -184,7 +184,7 @@
                 shard.adopt(stored)
             case Err(WriteConflict(current)):
                 shard.adopt(current)
-            case Err(WriteNotApplied(detail) | WriteUnsettled(detail)):
+            case Err(WriteNotApplied(detail) | WriteOutcomeUnknown(detail)):
                 return ClaimUnavailable(detail)
         return None
 
--- a/yewloom/cli_calls.py
+++ b/yewloom/cli_calls.py
@@ -14,11 +14,11 @@
 import typer
 from result import Err, Ok, Result
 
-from yewloom.http_calls import HttpCaller, HttpCallError
+from yewloom.http_calls import HttpCallError, HttpClient
 from yewloom.ids import RowName
 from yewloom.operations import (
     OperationError,
-    flat_cells,
+    cells_by_path,
     format_cells,
     get_row,
     read_entry_host,
@@ -128,9 +128,9 @@
     return value_or_exit(trio.run(call))
 
 
-def create_caller() -> HttpCaller:
+def create_caller() -> HttpClient:
     """Create an HTTP client that verifies entry hosts as configured by the operator."""
-    return HttpCaller(CONNECT_TIMEOUT_S, tls=_tls_contexts[0] if _tls_contexts else None)
+    return HttpClient(CONNECT_TIMEOUT_S, tls=_tls_contexts[0] if _tls_contexts else None)
 
 
 def value_or_exit(result: Result[T, OperationError]) -> T:
@@ -144,7 +144,7 @@
 
 def row_fields(row: VersionedRow) -> dict[str, Any]:
     """Return a row as JSON fields."""
-    return {"name": row.name, "version": row.version, "cells": flat_cells(row)}
+    return {"name": row.name, "version": row.version, "cells": cells_by_path(row)}
 
 
 def format_row(row: VersionedRow) -> str:
--- a/yewloom/cli_table.py
+++ b/yewloom/cli_table.py
@@ -23,8 +23,8 @@
     row_name_or_exit,
     run_on_platform,
 )
-from yewloom.node import unix_ms
-from yewloom.operations import Edit, apply_edit, flat_cells, format_cells, list_rows
+from yewloom.node import unix_now_ms
+from yewloom.operations import Edit, apply_edit, cells_by_path, format_cells, list_rows
 
 table_app = typer.Typer(no_args_is_help=True, help="Read and edit the table of weights and limits.")
 
@@ -40,7 +40,7 @@
 def table_get(row: RowArgument, platform: PlatformOption, as_json: JsonOption = False) -> None:
     """Print one row.  Example: yewloom table get policy/hotel"""
     found = read_row_or_exit(platform, row)
-    lines = [f"{cell} = {value}" for cell, value in flat_cells(found).items()]
+    lines = [f"{cell} = {value}" for cell, value in cells_by_path(found).items()]
     print_result(as_json, row_fields(found), [f"{found.name} version {found.version}", *lines])
 
 
@@ -116,7 +116,7 @@
     as_json: bool,
 ) -> None:
     edit = Edit(
-        row_name_or_exit(row), getpass.getuser(), unix_ms(), cells, expect_version, is_deletion
+        row_name_or_exit(row), getpass.getuser(), unix_now_ms(), cells, expect_version, is_deletion
     )
     written = run_on_platform(platform, lambda api: apply_edit(api, edit), token)
     text = f"{written.name} accepted as version {written.version}: {format_cells(written)}"
--- a/yewloom/completions.py
+++ b/yewloom/completions.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from yewloom.ids import ModelName, RequestId
-from yewloom.problems import bad_request
+from yewloom.problems import bad_request_problem
 from yewloom.values import value_class
 
 DEFAULT_MAX_TOKENS = 256
@@ -38,9 +38,9 @@
     try:
         fields = json.loads(body)
     except ValueError as error:
-        raise bad_request(f"The body is not JSON ({error}).") from None
+        raise bad_request_problem(f"The body is not JSON ({error}).") from None
     if not isinstance(fields, dict):
-        raise bad_request("The body must be a JSON object.")
+        raise bad_request_problem("The body must be a JSON object.")
     return CompletionRequest(
         kind=kind,
         model=ModelName(_required_text(fields, "model")),
@@ -112,7 +112,7 @@
 def _required_text(fields: Mapping[str, Any], key: str) -> str:
     value = fields.get(key)
     if not isinstance(value, str) or not value:
-        raise bad_request(f"The body needs {key!r} as text.")
+        raise bad_request_problem(f"The body needs {key!r} as text.")
     return value
 
 
@@ -122,7 +122,7 @@
         if value is None:
             continue
         if type(value) is not int or not 1 <= value <= MAX_TOKENS:
-            raise bad_request(f"{key!r} must be a whole number from 1 to {MAX_TOKENS}.")
+            raise bad_request_problem(f"{key!r} must be a whole number from 1 to {MAX_TOKENS}.")
         return value
     return DEFAULT_MAX_TOKENS
 
@@ -132,16 +132,18 @@
         return _required_text(fields, "prompt")
     messages = fields.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise bad_request("The body needs 'messages' as a list that is not empty.")
+        raise bad_request_problem("The body needs 'messages' as a list that is not empty.")
     return "\n".join(_message_text(message) for message in messages)
 
 
 def _message_text(message: Any) -> str:
     if not isinstance(message, dict) or not isinstance(message.get("role"), str):
-        raise bad_request("Each of 'messages' needs 'role' and 'content'.")
+        raise bad_request_problem("Each of 'messages' needs 'role' and 'content'.")
     content = message.get("content")
     if isinstance(content, list):
         content = "".join(str(p.get("text", "")) for p in content if isinstance(p, dict))
     if not isinstance(content, str):
-        raise bad_request("Each of 'messages' needs 'content' as text or as a list of parts.")
+        raise bad_request_problem(
+            "Each of 'messages' needs 'content' as text or as a list of parts."
+        )
     return f"{message['role']}: {content}"
--- a/yewloom/configuration.py
+++ b/yewloom/configuration.py
@@ -71,7 +71,7 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Return whether routes that do not allow anonymous access require an API key."""
         return bool(self.customers)
 
@@ -80,7 +80,7 @@
         return [service for service in self.services.values() if service.engine is not None]
 
 
-class ConfigurationBook:
+class ConfigurationState:
     """Holds the newest configuration and the time at which it was last confirmed to be current."""
 
     def __init__(self) -> None:
@@ -94,20 +94,20 @@
         """Return whether a version newer than the current one is known to exist."""
         return self.current is not None and self.newest_version > self.current.version
 
-    def apply(self, configuration: Configuration, proved_s: float) -> bool:
-        """Apply a configuration read after ``proved_s``; return whether it is newer."""
+    def apply(self, configuration: Configuration, confirmed_s: float) -> bool:
+        """Apply a configuration read after ``confirmed_s``; return whether it is newer."""
         is_newer = self.current is None or configuration.version > self.current.version
         if is_newer:
             self.current = configuration
         if self.current is not None and configuration.version >= self.current.version:
-            self.confirm(proved_s)
+            self.confirm(confirmed_s)
         return is_newer
 
-    def confirm(self, proved_s: float) -> None:
-        """Record that no newer version existed at some time after ``proved_s``."""
-        self._confirmed_s = max(self._confirmed_s, proved_s)
+    def confirm(self, confirmed_s: float) -> None:
+        """Record that no newer version existed at some time after ``confirmed_s``."""
+        self._confirmed_s = max(self._confirmed_s, confirmed_s)
 
-    def note_version(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Record that a version exists, whether or not this host can read it."""
         self.newest_version = max(self.newest_version, version)
 
@@ -115,6 +115,6 @@
         """Return for how long a newer version may have gone unnoticed; infinite at first."""
         return now_s - self._confirmed_s
 
-    def stated_age_ms(self, now_s: float) -> int:
+    def reported_age_ms(self, now_s: float) -> int:
         """Return the age in whole milliseconds, bounded, for peers and logs."""
         return math.ceil(min(self.age_s(now_s), MAX_REPORTED_AGE_S) * 1000)
--- a/yewloom/coordinator_records.py
+++ b/yewloom/coordinator_records.py
@@ -16,9 +16,9 @@
     WriteConflict,
     WriteError,
     WriteNotApplied,
-    WriteUnsettled,
+    WriteOutcomeUnknown,
     parse_record,
-    write_settled,
+    write_until_settled,
 )
 
 logger = structlog.get_logger(__name__)
@@ -83,7 +83,7 @@
 
     async def _write(self, lease: Lease, version: int) -> None:
         sent_s = trio.current_time()
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             self._key,
             lease,
@@ -105,7 +105,7 @@
                 self._keeper.on_conflict()
             case WriteNotApplied():
                 self._keeper.on_failed(now_s)
-            case WriteUnsettled():
+            case WriteOutcomeUnknown():
                 self._keeper.on_unsettled(now_s)
 
 
@@ -147,7 +147,7 @@
         """Replace the current record; return whether the write took effect."""
         attempt = uuid.uuid4().hex
         record.attempt_id = attempt
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             self._key,
             record,
--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -13,19 +13,19 @@
 from result import Err, Ok
 
 from yewloom import exchange
-from yewloom.drafts import Plan
+from yewloom.drafts import PlacementPlan
 from yewloom.endpoints import Endpoints
 from yewloom.ids import AttemptId, EntryHostId, HostId
 from yewloom.leases import LeaseKeeper, ReadLease, WriteLease, lease_timing
 from yewloom.node import COORDINATE_COUNT, COORDINATE_DUTY, Node
-from yewloom.observers import Observer
+from yewloom.observers import EndpointProber
 from yewloom.orders import DueOrder, due_orders
-from yewloom.placement import FleetState, PlacementTiming, Planner
+from yewloom.placement import FleetState, PlacementPlanner, PlacementTiming
 from yewloom.platforms import Platform, StoredObject
 from yewloom.schema.records_pb2 import GroupMember, Host, Lease, Placement
 from yewloom.share_balancer import ShareBalancer
-from yewloom.watchers import PLACEMENT_PREFIX, parse_placement, take_in_object
-from yewloom.writes import RecordError, WriteConflict, parse_record, write_settled
+from yewloom.watchers import PLACEMENT_PREFIX, apply_object, parse_placement
+from yewloom.writes import RecordError, WriteConflict, parse_record, write_until_settled
 
 logger = structlog.get_logger(__name__)
 
@@ -40,7 +40,7 @@
         node: Node,
         platform: Platform,
         endpoints: Endpoints,
-        observer: Observer,
+        observer: EndpointProber,
         new_attempt: Callable[[], AttemptId],
     ) -> None:
         self._node = node
@@ -48,9 +48,9 @@
         self._endpoints = endpoints
         self._observer = observer
         self._new_attempt = new_attempt
-        self._writer = EntryHostId(f"{node.id}/{node.membership.me.incarnation}")
+        self._writer = EntryHostId(f"{node.id}/{node.membership.own_member.incarnation}")
         self._lease = LeaseKeeper(self._writer, lease_timing(node.settings.lease))
-        self._planner = Planner(self._writer, _placement_timing(node))
+        self._planner = PlacementPlanner(self._writer, _placement_timing(node))
         self._listed_hosts: dict[HostId, Host] | None = None
         self._version = 0
         self._is_placement_current = False
@@ -108,7 +108,7 @@
                 await self._write_lease(key, record, version, sent_s)
 
     async def _write_lease(self, key: str, record: Lease, version: int, sent_s: float) -> None:
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             key,
             record,
@@ -162,7 +162,7 @@
             case Ok(stored):
                 self._version = stored.version if stored is not None else 0
                 if stored is not None:
-                    take_in_object(self._node, stored)
+                    apply_object(self._node, stored)
                 self._is_placement_current = True
                 return True
             case Err(error):
@@ -199,9 +199,9 @@
         now_s = trio.current_time()
         for group in self._placement.groups:
             if group.members and not self._node.fleet.is_open(group, now_s):
-                self._node.fleet.sum_up(group, now_s)
+                self._node.fleet.aggregate_probes(group, now_s)
 
-    def _plan(self) -> Plan:
+    def _plan(self) -> PlacementPlan:
         state = FleetState(
             listed=self._listed_hosts,
             hosts=self._node.fleet.hosts,
@@ -210,10 +210,10 @@
         )
         return self._planner.plan(self._placement, state, trio.current_time(), self._new_attempt())
 
-    async def _write_placement(self, plan: Plan) -> None:
+    async def _write_placement(self, plan: PlacementPlan) -> None:
         placement = plan.placement
         assert placement is not None
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             self._key,
             placement,
@@ -230,7 +230,7 @@
                 self._is_placement_current = False
                 logger.warning("failed to write placement record", reason=str(error))
 
-    def _log_plan(self, plan: Plan) -> None:
+    def _log_plan(self, plan: PlacementPlan) -> None:
         for decision in plan.decisions:
             logger.info(
                 "placed",
@@ -258,7 +258,7 @@
         if not entry.checks_fences and not self.is_holding:
             return
         timeout_s = self._node.settings.lease.margin_ms / 1000
-        result = await self._endpoints.order(entry.address, entry.order, timeout_s)
+        result = await self._endpoints.send_order(entry.address, entry.order, timeout_s)
         logger.info(
             "ordered",
             host=entry.host_id,
--- a/yewloom/counted_requests.py
+++ b/yewloom/counted_requests.py
@@ -2,15 +2,15 @@
 
 from starlette.types import ASGIApp, Message, Receive, Scope, Send
 
-from yewloom.problems import unavailable
+from yewloom.problems import unavailable_problem
 from yewloom.states import Outcome
-from yewloom.work import Work
+from yewloom.work import WorkTracker
 
 _CONNECTION_CLOSE = (b"connection", b"close")
 _CANCELLED_DETAIL = "This entry host stopped before the request ended."
 
 
-class CountedRequests:
+class RequestTrackingMiddleware:
     """Counts each request of an application as work from its headers until its answer is sent.
 
     An answer that starts while the host is leaving carries ``connection: close``, so that the
@@ -19,7 +19,7 @@
     has not run if its body was not received completely.
     """
 
-    def __init__(self, application: ASGIApp, work: Work) -> None:
+    def __init__(self, application: ASGIApp, work: WorkTracker) -> None:
         self._application = application
         self._work = work
 
@@ -33,14 +33,14 @@
             with self._work.request() as request:
                 await self._application(scope, exchange.receive, exchange.send)
             if request.cancelled_caught and not exchange.has_response_started:
-                problem = unavailable(_CANCELLED_DETAIL, exchange.outcome)
+                problem = unavailable_problem(_CANCELLED_DETAIL, exchange.outcome)
                 await problem.to_response()(scope, receive, exchange.send)
 
 
 class _Exchange:
     """Observes the messages between a caller and the application for one request."""
 
-    def __init__(self, scope: Scope, receive: Receive, send: Send, work: Work) -> None:
+    def __init__(self, scope: Scope, receive: Receive, send: Send, work: WorkTracker) -> None:
         self._is_http_1 = scope["http_version"].startswith("1")
         self._receive = receive
         self._send = send
--- a/yewloom/crash_checks.py
+++ b/yewloom/crash_checks.py
@@ -64,7 +64,7 @@
             finally:
                 self._nursery = None
 
-    async def note_cut(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
+    async def on_exchange_aborted(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
         """Start a check of an endpoint that has aborted the exchange of a request.
 
         A request that is suspected already waits for the first probe, which takes a round trip, so
@@ -74,7 +74,7 @@
             return
         process = EndpointProcess(endpoint.id, endpoint.started_unix_ms)
         if self._record.has_crash(process):
-            self._record.note_crash(process, [fingerprint], trio.current_time())
+            self._record.record_crash(process, [fingerprint], trio.current_time())
             return
         check = self._pending_checks.get(process)
         if check is None:
@@ -84,11 +84,11 @@
         if self._record.is_suspect(fingerprint):
             await check.is_probed.wait()
 
-    def on_started_again(self, endpoint: HostId) -> None:
+    def on_restarted(self, endpoint: HostId) -> None:
         """Record a crash if an endpoint that the store shows as restarted had aborted exchanges."""
         check, now_s = self._inconclusive.pop(endpoint, None), trio.current_time()
         if check is not None and now_s - check.started_s < RESTART_EVIDENCE_S:
-            self._record.note_crash(check.process, check.requests, now_s)
+            self._record.record_crash(check.process, check.requests, now_s)
 
     def _is_expected_to_run(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint is listed and has not announced that it leaves."""
@@ -101,7 +101,7 @@
             for pause_s in PROBE_PAUSES_S:
                 await trio.sleep(pause_s)
                 if await _refuses_connections(endpoint):
-                    self._record.note_crash(check.process, check.requests, trio.current_time())
+                    self._record.record_crash(check.process, check.requests, trio.current_time())
                     return
                 check.is_probed.set()
         finally:
--- a/yewloom/crash_messages.py
+++ b/yewloom/crash_messages.py
@@ -23,7 +23,7 @@
         self._record = record
         self._quarantine = quarantine
 
-    def write(self, state: EntryState, now_s: float) -> None:
+    def add_fields(self, state: EntryState, now_s: float) -> None:
         """Add this host's reports to a message; usually there are none."""
         if not self._record.has_any:
             return
@@ -36,15 +36,15 @@
         reports = self._quarantine.reports(now_s, MAX_QUARANTINED)
         state.quarantined.extend(_to_quarantined_request(report) for report in reports)
 
-    def take(self, state: EntryState, came_s: float, now_s: float) -> None:
-        """Apply a message that was received no earlier than ``came_s``."""
+    def process(self, state: EntryState, arrived_s: float, now_s: float) -> None:
+        """Apply a message that was received no earlier than ``arrived_s``."""
         for quarantined in state.quarantined:
-            self._quarantine.apply(_to_quarantine_report(quarantined), came_s)
+            self._quarantine.apply(_to_quarantine_report(quarantined), arrived_s)
         for answered in state.answered:
             report = AnswerReport(Fingerprint(answered.fingerprint), answered.age_ms / 1000)
-            self._record.apply_answer(report, came_s)
+            self._record.apply_answer(report, arrived_s)
         for crashed in state.crashed:
-            self._record.apply_crash(_to_crash_report(crashed), came_s, now_s)
+            self._record.apply_crash(_to_crash_report(crashed), arrived_s, now_s)
 
 
 def _to_crashed_process(report: CrashReport) -> CrashedProcess:
--- a/yewloom/crash_parts.py
+++ b/yewloom/crash_parts.py
@@ -11,17 +11,17 @@
 from yewloom.quarantine_page import QuarantinePage
 
 
-class CrashParts:
+class CrashDetection:
     """Connects these objects; ``on_change`` is called when peers should soon be notified."""
 
     def __init__(
         self,
-        me: EntryHostId,
+        own_id: EntryHostId,
         known_hosts: Callable[[], Iterable[EntryHostId]],
         directory: EndpointDirectory,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self.quarantine = Quarantine(me, known_hosts, on_change)
+        self.quarantine = Quarantine(own_id, known_hosts, on_change)
         self.record = CrashRecord(self.quarantine, on_change)
         self.checks = CrashChecks(self.record, directory)
         self.messages = CrashMessages(self.record, self.quarantine)
--- a/yewloom/crash_record.py
+++ b/yewloom/crash_record.py
@@ -1,9 +1,9 @@
 """Records which requests were at endpoints that crashed, and finds the requests that caused it.
 
 A process that crashes aborts all of its requests, of which only one may be the cause. A request is
-taken as the cause once ``CRASHES`` processes have crashed during it, with no successful answer in
-between. Of several such requests, the one with the most crashes is quarantined first. A crash that
-a quarantined request was part of does not count against other requests.
+taken as the cause once ``CRASH_THRESHOLD`` processes have crashed during it, with no successful
+answer in between. Of several such requests, the one with the most crashes is quarantined first. A
+crash that a quarantined request was part of does not count against other requests.
 
 Each host reports to its peers what it has observed itself, and counts the observations of all
 hosts. Times are in seconds of Trio's clock.
@@ -14,14 +14,14 @@
 
 import structlog
 
-from yewloom.fingerprints import fingerprint_text
+from yewloom.fingerprints import format_fingerprint
 from yewloom.ids import Fingerprint, HostId
 from yewloom.quarantine import Quarantine
 from yewloom.values import value_class
 
 logger = structlog.get_logger(__name__)
 
-CRASHES = 3
+CRASH_THRESHOLD = 3
 """Crashes after which a request is taken as their cause.
 
 Two may be a coincidence when several endpoints fail one after the other. Each further crash aborts
@@ -31,7 +31,7 @@
 RETENTION_S = 600.0
 """Time for which a crash is counted."""
 
-TELL_S = 30.0
+REPORT_PERIOD_S = 30.0
 """Time for which a crash or successful answer is reported: several rounds to all peers."""
 
 MAX_CRASHES = 256
@@ -109,7 +109,7 @@
             return True
         return any(fingerprint in crash.requests for crash in self._crashes.values())
 
-    def note_crash(
+    def record_crash(
         self, process: EndpointProcess, requests: Iterable[Fingerprint], now_s: float
     ) -> None:
         """Record the crash of a process that had requests of this host."""
@@ -120,17 +120,17 @@
             "endpoint crashed",
             endpoint=process.endpoint,
             started_unix_ms=process.started_unix_ms,
-            fingerprints=[fingerprint_text(fingerprint) for fingerprint in sorted(new_requests)],
+            fingerprints=[format_fingerprint(fingerprint) for fingerprint in sorted(new_requests)],
         )
         self._add_requests(crash, new_requests, now_s)
         self._on_change()
 
-    def apply_crash(self, report: CrashReport, received_s: float, now_s: float) -> None:
-        """Apply a peer's report of a crash, which was received no earlier than ``received_s``."""
-        crash = self._get_or_add_crash(report.process, received_s - report.age_s)
+    def apply_crash(self, report: CrashReport, arrived_s: float, now_s: float) -> None:
+        """Apply a peer's report of a crash, which was received no earlier than ``arrived_s``."""
+        crash = self._get_or_add_crash(report.process, arrived_s - report.age_s)
         self._add_requests(crash, set(report.requests), now_s)
 
-    def note_answer(self, fingerprint: Fingerprint, now_s: float) -> None:
+    def record_answer(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Record a successful answer to a request, which did not cause the crashes before it."""
         if not self.is_suspect(fingerprint):
             return
@@ -138,9 +138,9 @@
         self._clear(fingerprint, now_s)
         self._quarantine.lift(fingerprint)
 
-    def apply_answer(self, report: AnswerReport, received_s: float) -> None:
+    def apply_answer(self, report: AnswerReport, arrived_s: float) -> None:
         """Apply a peer's report of a successful answer."""
-        self._clear(report.fingerprint, received_s - report.age_s)
+        self._clear(report.fingerprint, arrived_s - report.age_s)
 
     def crash_reports(self, now_s: float) -> list[CrashReport]:
         """Return reports of the recent crashes that this host has observed itself."""
@@ -148,13 +148,13 @@
         recent = [
             CrashReport(process, tuple(sorted(crash.own_requests)), now_s - crash.seen_s)
             for process, crash in self._crashes.items()
-            if crash.own_requests and now_s - crash.seen_s < TELL_S
+            if crash.own_requests and now_s - crash.seen_s < REPORT_PERIOD_S
         ]
         return recent[-MAX_REPORTS:]
 
     def answer_reports(self, now_s: float) -> list[AnswerReport]:
         """Return reports of the recent successful answers that this host has observed itself."""
-        recent = {f: s for f, s in self._answered_here_s.items() if now_s - s < TELL_S}
+        recent = {f: s for f, s in self._answered_here_s.items() if now_s - s < REPORT_PERIOD_S}
         self._answered_here_s = recent
         return [AnswerReport(f, now_s - s) for f, s in recent.items()][-MAX_REPORTS:]
 
@@ -198,7 +198,7 @@
                 for fingerprint in candidates
             }
             highest = max(counts.values())
-            if highest < CRASHES:
+            if highest < CRASH_THRESHOLD:
                 return
             causes = {fingerprint for fingerprint, count in counts.items() if count == highest}
             for fingerprint in sorted(causes):
--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -19,16 +19,15 @@
 from yewloom.callers import CallerInterface
 from yewloom.claim_writer import ClaimWriter
 from yewloom.coordinators import Coordinator
-from yewloom.counted_requests import CountedRequests
+from yewloom.counted_requests import RequestTrackingMiddleware
 from yewloom.dispatch import Dispatcher
 from yewloom.endpoints import HttpEndpoints
-from yewloom.http_calls import HttpCaller
+from yewloom.http_calls import HttpClient
 from yewloom.idempotency import IdempotentRunner
 from yewloom.ids import AttemptId, CustomerId
-from yewloom.node import build_node, unix_ms
-from yewloom.observers import Observer
+from yewloom.node import build_node, unix_now_ms
+from yewloom.observers import EndpointProber
 from yewloom.peers import PeerExchange, serve_peers
-from yewloom.places import Places
 from yewloom.platforms import HttpPlatform
 from yewloom.process_signals import ProcessSignals
 from yewloom.retries import RetryBudget
@@ -36,14 +35,15 @@
 from yewloom.schema.table_pb2 import CustomerRow
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import read_settings
+from yewloom.slots import SlotPool
 from yewloom.states import Phase
 from yewloom.tables import TABLE_PREFIX
-from yewloom.watchers import PLACEMENT_PREFIX, SHARES_PREFIX, Watcher
+from yewloom.watchers import PLACEMENT_PREFIX, SHARES_PREFIX, PlatformWatcher
 from yewloom.work import CountedTasks
 
 logger = structlog.get_logger(__name__)
 
-PLACES_A_CAPACITY = 1.5
+SLOTS_PER_ENGINE_CAPACITY = 1.5
 """Admission slots per request that the engines can run at once, so that their batches stay full."""
 
 DEREGISTRATION_DELAY_S = 0.5
@@ -64,16 +64,16 @@
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._node = build_node(settings, random.Random(), unix_ms())
-        self._places = Places(self._node.admission)
+        self._node = build_node(settings, random.Random(), unix_now_ms())
+        self._slots = SlotPool(self._node.admission)
 
     async def run(self, signals: ProcessSignals) -> None:
         """Run until a signal requests a planned stop and work in progress has ended."""
         settings = self._settings
-        self._node.lateness.watch_this_run()
+        self._node.loop_delay.start()
         # Separate pools, so that platform calls and probes never wait for callers' streams.
-        control = HttpCaller(settings.requests.connect_timeout_ms / 1000)
-        serving = HttpCaller(settings.requests.connect_timeout_ms / 1000)
+        control = HttpClient(settings.requests.connect_timeout_ms / 1000)
+        serving = HttpClient(settings.requests.connect_timeout_ms / 1000)
         platform = HttpPlatform(
             control,
             settings.platform.url,
@@ -82,7 +82,7 @@
             _read_token(settings.platform.token_file),
         )
         probe_timeout_s = settings.groups.probe_timeout_ms / 1000
-        observer = Observer(self._node, HttpEndpoints(control, probe_timeout_s))
+        observer = EndpointProber(self._node, HttpEndpoints(control, probe_timeout_s))
         coordinator = Coordinator(
             self._node, platform, HttpEndpoints(control, probe_timeout_s), observer, new_attempt
         )
@@ -92,10 +92,10 @@
                 nursery, platform, HttpEndpoints(serving, probe_timeout_s)
             )
             nursery.start_soon(PeerExchange(self._node).run)
-            nursery.start_soon(Watcher(self._node, platform, TABLE_PREFIX).run)
-            nursery.start_soon(Watcher(self._node, platform, PLACEMENT_PREFIX).run)
+            nursery.start_soon(PlatformWatcher(self._node, platform, TABLE_PREFIX).run)
+            nursery.start_soon(PlatformWatcher(self._node, platform, PLACEMENT_PREFIX).run)
             shares_key = f"{SHARES_PREFIX}{self._node.data_centre}"
-            nursery.start_soon(Watcher(self._node, platform, shares_key).run)
+            nursery.start_soon(PlatformWatcher(self._node, platform, shares_key).run)
             nursery.start_soon(observer.run, lambda: self._update_after_probes(platform))
             nursery.start_soon(coordinator.run)
             stopped = trio.Event()
@@ -116,24 +116,24 @@
             requests.claim_shards,
             requests.claim_retention_ms,
             self._settings.platform.timeout_ms / 1000,
-            unix_ms,
+            unix_now_ms,
         )
         budget = RetryBudget(requests.retry_ratio, requests.retry_burst)
-        models = Dispatcher(self._node, self._places, endpoints, tasks, self._share_of, budget)
-        services = ServiceDispatcher(self._node, self._places, endpoints, self._share_of, budget)
+        models = Dispatcher(self._node, self._slots, endpoints, tasks, self._share_of, budget)
+        services = ServiceDispatcher(self._node, self._slots, endpoints, self._share_of, budget)
         runner = IdempotentRunner(claims, self._node.id, new_attempt)
         interface = CallerInterface(self._node, models, services, runner, new_attempt)
-        return CountedRequests(interface.application(), self._node.work)
+        return RequestTrackingMiddleware(interface.application(), self._node.work)
 
     def _share_of(self, customer: CustomerId, row: CustomerRow) -> int:
         """Return this entry host's part of a customer's limit."""
-        return self._node.shares.usable(customer, trio.current_time())
+        return self._node.shares.capacity(customer, trio.current_time())
 
     def _update_after_probes(self, platform: HttpPlatform) -> None:
         """Adapt the admission capacity to the open groups, and update the gauges."""
         now_s = trio.current_time()
         node, metrics = self._node, self._node.metrics
-        node.membership.set_cut_off(platform.is_down)
+        node.membership.set_platform_unreachable(platform.is_down)
         open_groups = node.fleet.open_groups(now_s)
         local_capacities = [
             seen.capacity for data_centre, _, seen in open_groups if data_centre == node.data_centre
@@ -144,11 +144,13 @@
         local_hosts = max(len(node.membership.alive_in(node.data_centre, now_s)), 1)
         all_hosts = max(len(node.membership.alive(now_s)), 1)
         capacity = sum(local_capacities) / local_hosts + sum(remote_capacities) / all_hosts
-        target_slots = max(round(capacity * PLACES_A_CAPACITY), self._settings.requests.min_places)
-        self._places.refill(min(target_slots, self._settings.requests.max_in_flight))
+        target_slots = max(
+            round(capacity * SLOTS_PER_ENGINE_CAPACITY), self._settings.requests.min_places
+        )
+        self._slots.set_slots(min(target_slots, self._settings.requests.max_in_flight))
         metrics.open_groups.set(len(open_groups))
-        metrics.in_flight.set(self._places.admission.in_flight)
-        metrics.queued.set(self._places.admission.queued)
+        metrics.in_flight.set(self._slots.admission.in_flight)
+        metrics.queued.set(self._slots.admission.queued)
         for kind, count in platform.calls.items():
             metrics.platform_calls.labels(kind).set(count)
 
@@ -174,7 +176,7 @@
         deadline_s = stops_accepting_s + drain_timeout_s
         self._node.start_leaving()
         coordinator.release()
-        self._places.stop_by(deadline_s)
+        self._slots.set_stop_time(deadline_s)
         await trio.sleep_until(stops_accepting_s)
         work.phase = Phase.CLOSED
         with trio.move_on_at(deadline_s):
@@ -184,7 +186,7 @@
     async def _cut_off(self) -> None:
         """Send the known outcome to requests that have not ended."""
         work = self._node.work
-        self._places.stop_by(trio.current_time())
+        self._slots.set_stop_time(trio.current_time())
         with trio.move_on_after(FINAL_RESPONSES_S):
             await work.wait_until_none()
         logger.info("stopped", cut_off=work.in_progress)
@@ -213,7 +215,7 @@
     signals.listen()
     match read_settings(config):
         case Ok(settings):
-            log.set_up(settings.host.log_level)
+            log.configure_logs(settings.host.log_level)
             trio.run(Daemon(settings).run, signals, clock=BootClock())
         case Err(error):
             typer.echo(f"yewloomd: {error}", err=True)
--- a/yewloom/directory.py
+++ b/yewloom/directory.py
@@ -33,7 +33,7 @@
 
 
 @value_class
-class Membership:
+class GroupMembership:
     """An endpoint's position in a group; the leader has rank 0 and receives the requests."""
 
     key: GroupKey
@@ -59,10 +59,10 @@
     fabric_domain: str = ""
     models: frozenset[ModelName] = frozenset()
     staged: frozenset[ModelName] = frozenset()
-    membership: Membership | None = None
+    membership: GroupMembership | None = None
     started_unix_ms: int = 0
 
-    def is_prepared_for(self, model: ModelName) -> bool:
+    def can_join_without_load(self, model: ModelName) -> bool:
         """Return whether it can join a group of a model without loading weights.
 
         An engine keeps the model of its last group in memory, even if the weights staged on its
@@ -77,7 +77,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[HostId, Endpoint] = {}
-        self.is_known = False
+        self.is_loaded = False
         self._removal_due_s: dict[HostId, float] = {}
         self._by_service: defaultdict[ServiceName, dict[HostId, Endpoint]] = defaultdict(dict)
         self._leaders: defaultdict[ServiceName, dict[HostId, Endpoint]] = defaultdict(dict)
@@ -96,7 +96,7 @@
                 self.remove(missing)
         for endpoint in listed.values():
             self.put(endpoint)
-        self.is_known = True
+        self.is_loaded = True
 
     def put(self, endpoint: Endpoint) -> None:
         """Add or replace one endpoint."""
@@ -133,7 +133,7 @@
             self.remove(endpoint_id)
         return expired
 
-    def of_service(self, service: ServiceName) -> Iterable[Endpoint]:
+    def endpoints_of(self, service: ServiceName) -> Iterable[Endpoint]:
         """Return the endpoints of a service."""
         return self._by_service[service].values()
 
@@ -141,6 +141,6 @@
         """Return the group leaders of a service; only leaders receive requests."""
         return self._leaders[service].values()
 
-    def members(self, key: GroupKey) -> Mapping[int, Endpoint]:
+    def members_of(self, key: GroupKey) -> Mapping[int, Endpoint]:
         """Return the listed members of a group, keyed by rank."""
         return self._members.get(key, {})
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -12,27 +12,27 @@
 import structlog
 import trio
 
-from yewloom.admission import Arrival
+from yewloom.admission import AdmissionRequest
 from yewloom.endpoints import EndpointError, Endpoints, GenerateCall
-from yewloom.experiments import Side, assign_side, policy_of
+from yewloom.experiments import Side, assign_side, policy_for_side
 from yewloom.ids import DataCentreId, GroupId, ModelName, PolicyName, RequestId
 from yewloom.node import Node
-from yewloom.places import Places
 from yewloom.prefixes import block_hashes
-from yewloom.problems import Problem, bad_request, unavailable
+from yewloom.problems import Problem, bad_request_problem, unavailable_problem
 from yewloom.progress import Progress
 from yewloom.recovery import next_step
-from yewloom.requests import ModelRequest, ShareLookup, Tokens, to_arrival
+from yewloom.requests import ModelRequest, ShareLookup, TokenBatch, to_admission_request
 from yewloom.retries import AttemptTracker, CallFailure, NextStep, RetryBudget
 from yewloom.routing import (
     Candidate,
+    RoundRobinCounter,
     RouteRequest,
-    TurnCounter,
     choose_group,
     default_routing,
 )
 from yewloom.schema.records_pb2 import Group
 from yewloom.schema.table_pb2 import PolicyRow
+from yewloom.slots import SlotPool
 from yewloom.states import Outcome
 from yewloom.streams import StreamAssembler, StreamOverflowError, StreamPosition
 from yewloom.work import TaskStarter
@@ -48,7 +48,7 @@
     def __init__(
         self,
         node: Node,
-        places: Places,
+        slots: SlotPool,
         endpoints: Endpoints,
         tasks: TaskStarter,
         share_of: ShareLookup,
@@ -59,13 +59,13 @@
         self._fleet = node.fleet
         self._prefixes = node.prefixes
         self._membership = node.membership
-        self._places = places
+        self._slots = slots
         self._endpoints = endpoints
         self._metrics = node.metrics
         self._tasks = tasks
         self._rng = node.rng
         self._share_of = share_of
-        self._turns = TurnCounter()
+        self._turns = RoundRobinCounter()
         self._experiments = node.experiments
         self._coalesce_s = node.settings.requests.coalesce_ms / 1000
         # Cached, since looking up a metric by its label costs more than counting a token.
@@ -74,9 +74,9 @@
         self._budget = budget
         self._sent_s: defaultdict[GroupId, dict[RequestId, float]] = defaultdict(dict)
 
-    async def generate(self, request: ModelRequest) -> AsyncGenerator[Tokens, None]:
+    async def generate(self, request: ModelRequest) -> AsyncGenerator[TokenBatch, None]:
         """Yield the tokens of a request in order; raise Problem if it cannot be answered."""
-        async with self._places.hold(self._arrival(request)):
+        async with self._slots.acquire(self._arrival(request)):
             progress = self._start(request)
             try:
                 async with aclosing(self._attempts(progress)) as attempts:
@@ -89,14 +89,14 @@
 
     async def resume(
         self, request: ModelRequest, position: StreamPosition
-    ) -> AsyncGenerator[Tokens, None]:
+    ) -> AsyncGenerator[TokenBatch, None]:
         """Yield the rest of a stream, which may have been started by another entry host."""
         group = self._fleet.group(position.group_id)
         if group is None or group.generation != position.generation:
-            raise unavailable(
+            raise unavailable_problem(
                 "The stream's group is gone; send the request again.", Outcome.UNKNOWN
             )
-        async with self._places.hold(self._arrival(request)):
+        async with self._slots.acquire(self._arrival(request)):
             progress = self._start(request)
             progress.assembler = StreamAssembler(
                 position.request_id, position.generation, position.offset
@@ -111,7 +111,7 @@
     def _start(self, request: ModelRequest) -> Progress:
         policies = self._table.policies_for(request.model)
         if not policies:
-            raise bad_request(f"The model {request.model!r} is not served here.", 404)
+            raise bad_request_problem(f"The model {request.model!r} is not served here.", 404)
         experiment, side, policy = self._assign_policy(request, policies)
         return Progress(
             request=request,
@@ -123,9 +123,9 @@
             arrived_s=trio.current_time(),
         )
 
-    def _arrival(self, request: ModelRequest) -> Arrival:
+    def _arrival(self, request: ModelRequest) -> AdmissionRequest:
         share = self._share_of(request.customer, request.customer_row)
-        return to_arrival(request, float(request.max_tokens), share, trio.current_time())
+        return to_admission_request(request, float(request.max_tokens), share, trio.current_time())
 
     def _assign_policy(
         self, request: ModelRequest, policies: Mapping[PolicyName, PolicyRow]
@@ -133,8 +133,8 @@
         """Return the experiment that a request is part of, its side, and the policy to use."""
         for name, row in self._table.experiments().items():
             side = assign_side(name, row, request.session)
-            if row.model == request.model and policy_of(side, row) in policies:
-                return name, side, policy_of(side, row)
+            if row.model == request.model and policy_for_side(side, row) in policies:
+                return name, side, policy_for_side(side, row)
         return "", Side.A, next(iter(policies))
 
     def _record_observation(self, progress: Progress, outcome: Outcome) -> None:
@@ -143,9 +143,9 @@
             record = self._experiments[progress.experiment]
             record.add(progress.request.session, progress.observation(outcome))
 
-    async def _attempts(self, progress: Progress) -> AsyncGenerator[Tokens, None]:
+    async def _attempts(self, progress: Progress) -> AsyncGenerator[TokenBatch, None]:
         """Call engines until the answer is complete; raise Problem if it is given up."""
-        while not progress.assembler.is_whole:
+        while not progress.assembler.is_complete:
             if progress.group is None:
                 self._route(progress)
             try:
@@ -166,10 +166,10 @@
         progress.is_resuming = step is NextStep.RESUME
         if step is NextStep.REROUTE:
             self._fleet.on_call_failed(GroupId(group.id), trio.current_time())
-            progress.avoid.add(GroupId(group.id))
+            progress.failed_groups.add(GroupId(group.id))
             progress.group = None
 
-    async def _attempt(self, progress: Progress) -> AsyncGenerator[Tokens, None]:
+    async def _attempt(self, progress: Progress) -> AsyncGenerator[TokenBatch, None]:
         """Make one call and yield the tokens that it adds to the answer.
 
         Tokens that arrive within ``coalesce_ms`` are sent together, since the cost to the caller's
@@ -184,16 +184,16 @@
         is_finished = False
         try:
             stall_s = self._stall_timeout_s(request)
-            async with self._endpoints.generate(address, call, stall_s) as pieces:
-                async for piece in pieces:
-                    progress.pending_tokens += progress.assembler.accept(piece)
+            async with self._endpoints.generate(address, call, stall_s) as chunks:
+                async for chunk in chunks:
+                    progress.pending_tokens += progress.assembler.accept(chunk)
                     if progress.should_flush(trio.current_time(), self._coalesce_s):
                         yield self._flush(progress, group)
-                    if progress.assembler.is_whole:
+                    if progress.assembler.is_complete:
                         break
                     if trio.current_time() >= request.deadline_s:
                         raise EndpointError(CallFailure.STALLED, "the time left ran out")
-            if not progress.assembler.is_whole:
+            if not progress.assembler.is_complete:
                 raise EndpointError(CallFailure.BROKEN, "the stream ended early")
             is_finished = True
         except StreamOverflowError as error:
@@ -224,10 +224,10 @@
             priority=request.customer_row.priority,
             offset=progress.assembler.offset,
             resume_only=progress.is_resuming,
-            delivered=tuple(progress.delivered),
+            delivered_tokens=tuple(progress.delivered),
         )
 
-    def _flush(self, progress: Progress, group: Group) -> Tokens:
+    def _flush(self, progress: Progress, group: Group) -> TokenBatch:
         """Return the pending tokens, and update the progress and metrics."""
         tokens, progress.pending_tokens = progress.pending_tokens, []
         progress.tracker.on_tokens_received()
@@ -246,8 +246,8 @@
         position = StreamPosition(
             GroupId(group.id), group.generation, assembler.request_id, assembler.offset
         )
-        finish_reason = assembler.finish_reason if assembler.is_whole else ""
-        return Tokens(tuple(tokens), position, finish_reason)
+        finish_reason = assembler.finish_reason if assembler.is_complete else ""
+        return TokenBatch(tuple(tokens), position, finish_reason)
 
     def _route(self, progress: Progress) -> None:
         """Choose a group for a request; raise Problem if none is open."""
@@ -258,7 +258,7 @@
             model=request.model,
             data_centre=self._data_centre,
             prompt_characters=len(request.prompt),
-            avoid=frozenset(progress.avoid),
+            failed_groups=frozenset(progress.failed_groups),
             entry_hosts=len(self._membership.alive_in(self._data_centre, trio.current_time())),
         )
         policy = self._table.policies()[progress.policy]
@@ -266,7 +266,9 @@
         routing = getattr(policy, routing_field) if routing_field else default_routing()
         route = choose_group(routing, route_request, candidates, self._rng, self._turns)
         if route is None:
-            raise unavailable("No group is open for this model now.", progress.tracker.outcome)
+            raise unavailable_problem(
+                "No group is open for this model now.", progress.tracker.outcome
+            )
         group = self._fleet.group(route.group_id)
         assert group is not None
         logger.info(
@@ -279,18 +281,18 @@
             experiment=progress.experiment,
             reason=route.reason,
         )
-        self._prefixes.expect(route.group_id, group.generation, hashes)
+        self._prefixes.add_expected_blocks(route.group_id, group.generation, hashes)
         progress.group = group
-        progress.assembler.move_to(group.generation)
+        progress.assembler.switch_replica(group.generation)
 
     def _candidates(self, model: ModelName, hashes: list[int]) -> list[Candidate]:
         return [
             Candidate(
                 group_id=GroupId(group.id),
                 data_centre=data_centre,
-                reported=report.running + report.waiting,
+                reported_load=report.running + report.waiting,
                 capacity=report.capacity,
-                own_unreported=self._count_sent_since(GroupId(group.id), report.observed_s),
+                sent_since_report=self._count_sent_since(GroupId(group.id), report.observed_s),
                 matched_blocks=self._prefixes.matched_blocks(GroupId(group.id), hashes),
             )
             for data_centre, group, report in self._fleet.open_groups(trio.current_time())
--- a/yewloom/drafts.py
+++ b/yewloom/drafts.py
@@ -34,7 +34,7 @@
 
 
 @value_class
-class Plan:
+class PlacementPlan:
     """A proposed placement and its decisions; ``placement`` is None if nothing changes."""
 
     placement: Placement | None
@@ -166,12 +166,12 @@
             )
         )
 
-    def finish(self) -> Plan:
+    def finish(self) -> PlacementPlan:
         """Validate the draft and return it as a plan."""
         if not self._decisions:
-            return Plan(None)
+            return PlacementPlan(None)
         check_placement(self._next)
-        return Plan(self._next, tuple(self._decisions))
+        return PlacementPlan(self._next, tuple(self._decisions))
 
     def _add_replacement(self, group: Group) -> None:
         self._next.groups.append(
--- a/yewloom/early_listener.py
+++ b/yewloom/early_listener.py
@@ -95,7 +95,7 @@
         self._is_handed_over = True  # A signal that arrived before may be handled only now.
         return self._listener, list(self._accepted_s)
 
-    def refuse_late(self) -> None:
+    def reject_overdue(self) -> None:
         """Reject the requests that have arrived completely and waited too long."""
         self._accept_waiting()
         for connection in list(self._accepted_s):
@@ -116,7 +116,7 @@
             return
         self._is_checking = True
         try:
-            self.refuse_late()
+            self.reject_overdue()
         except OSError as error:
             self.errors.append(error)
         except Exception as error:
@@ -166,7 +166,7 @@
         return max(self._waited_s(connection), accepted_ago_s) >= limit_s
 
 
-def open_early(settings: Path, deadline_header: bytes) -> EarlyListener | None:
+def open_early_listener(settings: Path, deadline_header: bytes) -> EarlyListener | None:
     """Listen at the callers' address in a settings file; return None if that fails.
 
     The program reads and validates the settings later, and opens the socket itself if this failed.
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -8,30 +8,30 @@
 import trio
 
 from yewloom.attempts import AttemptState
-from yewloom.caller_headers import AnswerMarks, HeaderCodec, Sending
+from yewloom.caller_headers import ForwardingMetadata, HeaderCodec, ResponseMetadata
 from yewloom.crash_checks import CrashChecks
 from yewloom.crash_record import CrashRecord
 from yewloom.directory import Endpoint
 from yewloom.endpoint_calls import (
     CONNECT_TIMEOUT_S,
-    AnswerHead,
     Exchange,
     ExchangeError,
     ExchangeFailure,
     Header,
     OutgoingRequest,
+    ResponseHead,
     open_exchange,
 )
 from yewloom.endpoint_choice import EndpointChooser
 from yewloom.endpoint_limits import EndpointLimits
 from yewloom.event_stream import EventSplitter, EventStreamError
-from yewloom.fingerprints import fingerprint_text
+from yewloom.fingerprints import format_fingerprint
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forward_request import BufferedResponse, ForwardRequest
-from yewloom.loop_lateness import LoopLateness
+from yewloom.loop_delay import LoopDelayMonitor
 from yewloom.reachability import Reachability
 from yewloom.selection import Selector
-from yewloom.stalls import AVOID_STALLED_S, StallDetector
+from yewloom.stalls import STALLED_AVOIDANCE_S, StallDetector
 from yewloom.values import value_class
 
 logger = structlog.get_logger(__name__)
@@ -46,7 +46,7 @@
 SERVER_ERROR = 500
 """Lowest status by which an endpoint reports that a request failed."""
 
-_POSSIBLE_CRASH = {ExchangeFailure.BROKEN, ExchangeFailure.TRUNCATED}
+_POSSIBLE_CRASH = {ExchangeFailure.CONNECTION_LOST, ExchangeFailure.TRUNCATED}
 """Failures that may mean that the endpoint's process has crashed."""
 
 T = TypeVar("T")
@@ -60,8 +60,8 @@
 class _Response:
     """The head of a response, and what its headers say."""
 
-    head: AnswerHead
-    marks: AnswerMarks
+    head: ResponseHead
+    metadata: ResponseMetadata
 
 
 class EndpointAttemptRunner:
@@ -75,7 +75,7 @@
         metrics: ForwardMetrics,
         reachability: Reachability,
         chooser: EndpointChooser,
-        lateness: LoopLateness,
+        loop_delay: LoopDelayMonitor,
         crashes: CrashRecord,
         crash_checks: CrashChecks,
         limits: EndpointLimits,
@@ -84,7 +84,7 @@
         self._crashes = crashes
         self._crash_checks = crash_checks
         self._codec = codec
-        self._lateness = lateness
+        self._loop_delay = loop_delay
         self._reachability = reachability
         self._chooser = chooser
         self._selector = selector
@@ -103,8 +103,8 @@
         else:
             logger.info(
                 "attempt failed",
-                request_id=request.marks.request_id,
-                fingerprint=fingerprint_text(request.fingerprint),
+                request_id=request.metadata.request_id,
+                fingerprint=format_fingerprint(request.fingerprint),
                 endpoint=endpoint.id,
                 outcome=outcome,
                 last_event_id=request.cursor.last_event_id,
@@ -115,7 +115,7 @@
         """Stop suspecting a request of causing crashes if it did not end in a server error."""
         status = request.response.status if request.response is not None else request.reply.status
         if status < SERVER_ERROR and self._crashes.has_any:
-            self._crashes.note_answer(request.fingerprint, trio.current_time())
+            self._crashes.record_answer(request.fingerprint, trio.current_time())
 
     async def _run_attempt(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
         """Return whether the caller gets this response, and the outcome of the attempt."""
@@ -124,10 +124,10 @@
         except ExchangeError as error:
             outcome = self._record_failure(request, endpoint, error)
             if error.failure in _POSSIBLE_CRASH:
-                await self._crash_checks.note_cut(endpoint, request.fingerprint)
+                await self._crash_checks.on_exchange_aborted(endpoint, request.fingerprint)
             return False, outcome
         except _Stalled:
-            self._avoid_and_report(endpoint, AVOID_STALLED_S)
+            self._avoid_and_report(endpoint, STALLED_AVOIDANCE_S)
             return False, "stalled"
         except EventStreamError as error:
             return False, f"unreadable: {error}"
@@ -142,7 +142,7 @@
         try:
             return await self._exchange(request, endpoint)
         except ExchangeError as error:
-            if error.failure is not ExchangeFailure.NOT_CONNECTED or not self._lateness.late_s():
+            if error.failure is not ExchangeFailure.NOT_CONNECTED or not self._loop_delay.delay_s():
                 raise
         return await self._exchange(request, endpoint)
 
@@ -156,9 +156,9 @@
             case ExchangeFailure.NOT_CONNECTED | ExchangeFailure.REFUSED:
                 self._reachability.on_failure(endpoint, now_s)
                 self._stalls.report_unreachable(endpoint.id, now_s)
-            case ExchangeFailure.BROKEN:
+            case ExchangeFailure.CONNECTION_LOST:
                 self._avoid_and_report(endpoint, AVOID_BROKEN_S)
-            case ExchangeFailure.TRUNCATED | ExchangeFailure.UNREADABLE:
+            case ExchangeFailure.TRUNCATED | ExchangeFailure.INVALID_RESPONSE:
                 pass  # One response was wrong, which says nothing about other requests.
         return str(error)
 
@@ -166,7 +166,7 @@
         """Send an endpoint no new requests for some time, and report it to the coordinator."""
         now_s = trio.current_time()
         self._selector.avoid(endpoint.id, now_s + avoid_s)
-        self._stalls.report(endpoint.id, now_s)
+        self._stalls.report_stalled(endpoint.id, now_s)
 
     async def _exchange(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
         async with open_exchange(endpoint.address, CONNECT_TIMEOUT_S) as exchange:
@@ -176,46 +176,46 @@
             if not request.route.is_stream:
                 response = await self._read_response_head(endpoint, exchange)
                 return await self._forward_buffered(request, endpoint, exchange, response)
-            self._stalls.on_begin(endpoint.id, trio.current_time())
+            self._stalls.on_stream_start(endpoint.id, trio.current_time())
             try:
                 read = partial(self._read_response_head, endpoint, exchange)
                 response = await self._run_unless_stalled(request, endpoint, read)
                 if response.head.status != 200:
                     return await self._forward_buffered(request, endpoint, exchange, response)
-                self._check_request_id(request, response.marks)
+                self._check_request_id(request, response.metadata)
                 return await self._forward_events(request, endpoint, exchange, response.head)
             finally:
-                self._stalls.on_end(endpoint.id)
+                self._stalls.on_stream_end(endpoint.id)
 
     async def _read_response_head(self, endpoint: Endpoint, exchange: Exchange) -> _Response:
         """Wait for the head of a response, and record the rate limit that it announces."""
-        head = await exchange.head()
-        marks = self._codec.decode_answer(head)
-        limit = marks.limit
-        if limit.is_told:
-            self._limits.note(endpoint.id, limit.per_s, trio.current_time())
-        elif limit.unreadable:
-            self._limits.note_unreadable(endpoint.id, limit.unreadable)
-        return _Response(head, marks)
+        head = await exchange.read_head()
+        metadata = self._codec.decode_response(head)
+        limit = metadata.limit
+        if limit.is_announced:
+            self._limits.apply_announced(endpoint.id, limit.per_s, trio.current_time())
+        elif limit.invalid_text:
+            self._limits.log_invalid(endpoint.id, limit.invalid_text)
+        return _Response(head, metadata)
 
     def _build_outgoing(self, request: ForwardRequest, endpoint: Endpoint) -> OutgoingRequest:
-        resumes = request.cursor.has_events or request.marks.last_event_id > 0
-        sending = Sending(
+        resumes = request.cursor.has_events or request.metadata.last_event_id > 0
+        sending = ForwardingMetadata(
             endpoint=endpoint.id,
             customer=request.customer,
             deadline_ms=max(1, request.remaining_ms(trio.current_time())),
             last_event_id=request.cursor.last_event_id if resumes else None,
         )
         source = request.source
-        headers = self._codec.outgoing_headers(source.headers, sending)
+        headers = self._codec.request_headers(source.headers, sending)
         if source.body or source.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
             headers.append((b"content-length", str(len(source.body)).encode()))
         return OutgoingRequest(source.method, source.target, headers, source.body)
 
-    def _check_request_id(self, request: ForwardRequest, marks: AnswerMarks) -> None:
+    def _check_request_id(self, request: ForwardRequest, metadata: ResponseMetadata) -> None:
         """Raise ExchangeError unless the response belongs to the request."""
-        if marks.request_id != request.marks.request_id:
-            raise ExchangeError(ExchangeFailure.UNREADABLE, True, "answer to another request")
+        if metadata.request_id != request.metadata.request_id:
+            raise ExchangeError(ExchangeFailure.INVALID_RESPONSE, True, "answer to another request")
 
     async def _forward_buffered(
         self,
@@ -226,18 +226,18 @@
     ) -> tuple[bool, str]:
         """Buffer a complete response for the caller, unless the request is retried elsewhere."""
         head = response.head
-        if response.marks.is_not_run:
+        if response.metadata.is_not_run:
             request.record.set_state(endpoint.id, AttemptState.NOT_RUN)
             self._selector.avoid(endpoint.id, trio.current_time() + AVOID_FULL_S)
             return False, f"not run: status {head.status}"
-        self._check_request_id(request, response.marks)
-        body = await exchange.whole_body()
+        self._check_request_id(request, response.metadata)
+        body = await exchange.read_body()
         if head.status >= SERVER_ERROR and self._chooser.reserve_another(request):
             return False, f"failed: status {head.status}"
         request.record.set_state(endpoint.id, AttemptState.ANSWERED)
         if request.reply.is_started:
             return False, f"failed: status {head.status} in the middle of a stream"
-        request.response = BufferedResponse(head.status, self._codec.returned_headers(head), body)
+        request.response = BufferedResponse(head.status, self._codec.response_headers(head), body)
         return True, "answered"
 
     async def _forward_events(
@@ -245,7 +245,7 @@
         request: ForwardRequest,
         endpoint: Endpoint,
         exchange: Exchange,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> tuple[bool, str]:
         """Forward events as they arrive; the caller's response starts with the first event."""
         splitter = EventSplitter()
@@ -254,7 +254,7 @@
             chunk = await self._run_unless_stalled(request, endpoint, exchange.read_chunk)
             if chunk is None:
                 break
-            now_s, late_s = trio.current_time(), self._lateness.late_s()
+            now_s, late_s = trio.current_time(), self._loop_delay.delay_s()
             self._stalls.on_event(endpoint.id, now_s, late_s)
             # If this host's event loop was delayed, the interval says nothing about the endpoint.
             if last_event_s is not None and not late_s:
@@ -264,17 +264,19 @@
             if data:
                 await self._forward_data(request, head, data)
         if splitter.has_partial_event or not request.reply.is_started:
-            raise ExchangeError(ExchangeFailure.BROKEN, True, "the stream ended inside an event")
+            raise ExchangeError(
+                ExchangeFailure.CONNECTION_LOST, True, "the stream ended inside an event"
+            )
         request.record.set_state(endpoint.id, AttemptState.ANSWERED)
         await request.reply.finish()
         return True, "answered"
 
-    async def _forward_data(self, request: ForwardRequest, head: AnswerHead, data: bytes) -> None:
+    async def _forward_data(self, request: ForwardRequest, head: ResponseHead, data: bytes) -> None:
         if request.reply.is_started:
             await request.reply.send(data)
             return
         request.first_event_s = trio.current_time()
-        headers: list[Header] = self._codec.returned_headers(head)
+        headers: list[Header] = self._codec.response_headers(head)
         await request.reply.start(head.status, headers, data)
 
     async def _run_unless_stalled(
@@ -286,7 +288,7 @@
         event loop was delayed, checks once more first: events that arrived in the meantime may not
         have been read yet.
         """
-        if not request.route.may_repeat:
+        if not request.route.may_retry:
             return await step()
         was_late = False
         while True:
@@ -294,7 +296,7 @@
             with trio.move_on_at(check_s):
                 return await step()
             is_stalled = self._stalls.is_stalled(endpoint.id, trio.current_time())
-            if is_stalled and not was_late and self._lateness.late_s():
+            if is_stalled and not was_late and self._loop_delay.delay_s():
                 was_late = True
             elif is_stalled and self._chooser.reserve_another(request):
                 raise _Stalled
--- a/yewloom/endpoint_calls.py
+++ b/yewloom/endpoint_calls.py
@@ -37,16 +37,17 @@
 
     ``REFUSED``: the endpoint's host rejected the connection because nothing listens on the port.
     ``NOT_CONNECTED``: connecting failed in another way, or timed out.
-    ``BROKEN``: the connection was reset, or closed before the response; or a stream is incomplete.
-    ``TRUNCATED``: the connection was closed before the end of the response.
-    ``UNREADABLE``: the response violates the protocol, is too long or belongs to another request.
+    ``CONNECTION_LOST``: the connection was reset, or closed before the response; or a stream is
+    incomplete. ``TRUNCATED``: the connection was closed before the end of the response.
+    ``INVALID_RESPONSE``: the response violates the protocol, is too long or belongs to another
+    request.
     """
 
     NOT_CONNECTED = "not_connected"
     REFUSED = "refused"
-    BROKEN = "broken"
+    CONNECTION_LOST = "broken"
     TRUNCATED = "cut"
-    UNREADABLE = "unreadable"
+    INVALID_RESPONSE = "unreadable"
 
 
 class ExchangeError(Exception):
@@ -72,7 +73,7 @@
 
 
 @value_class
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an endpoint's response; header names are in lower case."""
 
     status: int
@@ -108,14 +109,14 @@
             await self._write(data)
             nursery.cancel_scope.cancel()
 
-    async def head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Wait for the status and headers of the response."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
-                return AnswerHead(event.status_code, list(event.headers))
+                return ResponseHead(event.status_code, list(event.headers))
             if not isinstance(event, h11.InformationalResponse):
-                raise ExchangeError(ExchangeFailure.BROKEN, True, "no answer")
+                raise ExchangeError(ExchangeFailure.CONNECTION_LOST, True, "no answer")
 
     async def read_chunk(self) -> bytes | None:
         """Return the next chunk of the body, or None if the response is complete.
@@ -127,15 +128,17 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ExchangeError(ExchangeFailure.BROKEN, True, "the answer was cut")
+        raise ExchangeError(ExchangeFailure.CONNECTION_LOST, True, "the answer was cut")
 
-    async def whole_body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Wait for the whole body."""
         body = bytearray()
         while (chunk := await self.read_chunk()) is not None:
             body += chunk
             if len(body) > MAX_BUFFERED_RESPONSE_BYTES:
-                raise ExchangeError(ExchangeFailure.UNREADABLE, True, "the answer is too long")
+                raise ExchangeError(
+                    ExchangeFailure.INVALID_RESPONSE, True, "the answer is too long"
+                )
         return bytes(body)
 
     async def _write(self, data: bytes) -> None:
@@ -161,15 +164,21 @@
                     return event
                 data = await self._stream.receive_some(READ_BYTES)
                 if not data and self._connection.their_state is h11.SEND_RESPONSE:
-                    raise ExchangeError(ExchangeFailure.BROKEN, True, "closed before its answer")
+                    raise ExchangeError(
+                        ExchangeFailure.CONNECTION_LOST, True, "closed before its answer"
+                    )
                 self._connection.receive_data(data)
             except h11.RemoteProtocolError as error:
                 # trailing_data[1] says whether h11 has been told of the end of the stream.
                 has_ended = self._connection.trailing_data[1]
-                failure = ExchangeFailure.TRUNCATED if has_ended else ExchangeFailure.UNREADABLE
+                failure = (
+                    ExchangeFailure.TRUNCATED if has_ended else ExchangeFailure.INVALID_RESPONSE
+                )
                 raise ExchangeError(failure, True, str(error)) from error
             except trio.BrokenResourceError as error:
-                raise ExchangeError(ExchangeFailure.BROKEN, True, "the connection broke") from error
+                raise ExchangeError(
+                    ExchangeFailure.CONNECTION_LOST, True, "the connection broke"
+                ) from error
 
 
 @asynccontextmanager
--- a/yewloom/endpoint_choice.py
+++ b/yewloom/endpoint_choice.py
@@ -12,7 +12,7 @@
 from yewloom.forward_request import ForwardRequest
 from yewloom.planned_stop import PlannedStop
 from yewloom.quarantine import Quarantine
-from yewloom.retry_window import RetryBudget
+from yewloom.retry_budget import RetryBudget
 from yewloom.route_durations import RouteDurations
 from yewloom.selection import Selector
 
@@ -71,7 +71,7 @@
         service, now_s = request.requirements.service, trio.current_time()
         if request.record.is_retry() and not self._retries.try_acquire(service, now_s):
             return None
-        self._limits.spend(endpoint, now_s)
+        self._limits.take_token(endpoint, now_s)
         self._selector.begin(endpoint.id)
         return endpoint
 
@@ -86,9 +86,9 @@
 
         That is the median duration of the route's latest answered requests.
         """
-        if not self._stop.is_begun:
+        if not self._stop.has_begun:
             return True
-        usual_s = self.durations.usual_s(request.route.name)
+        usual_s = self.durations.median_s(request.route.name)
         return self._stop.has_time_for(usual_s, trio.current_time())
 
     def _select(self, request: ForwardRequest) -> Endpoint | None:
@@ -97,7 +97,7 @@
             return None
         if not self.has_time_before_stop(request) or self._was_quarantined(request):
             return None
-        return self._selector.choose(
+        return self._selector.select(
             request.requirements, request.configuration, record.states, trio.current_time()
         )
 
--- a/yewloom/endpoint_limits.py
+++ b/yewloom/endpoint_limits.py
@@ -18,7 +18,7 @@
 import structlog
 
 from yewloom.directory import Endpoint, EndpointDirectory
-from yewloom.entry_states import SharingHost
+from yewloom.entry_states import LimitSharingHost
 from yewloom.hashing import hash64
 from yewloom.ids import EntryHostId, HostId
 from yewloom.values import value_class
@@ -88,12 +88,12 @@
 
     def __init__(
         self,
-        me: EntryHostId,
+        own_id: EntryHostId,
         directory: EndpointDirectory,
-        sharing_hosts: Callable[[float], Iterable[SharingHost]],
+        sharing_hosts: Callable[[float], Iterable[LimitSharingHost]],
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self._me = me
+        self._own_id = own_id
         self._directory = directory
         self._sharing_hosts = sharing_hosts
         self._on_change = on_change
@@ -105,7 +105,7 @@
         """Return whether any limit, or the recent end of one, is known."""
         return bool(self._limits)
 
-    def note(self, endpoint: HostId, per_s: float | None, now_s: float) -> None:
+    def apply_announced(self, endpoint: HostId, per_s: float | None, now_s: float) -> None:
         """Apply the limit in an endpoint's answer; ``per_s`` is None if there is none."""
         known = self._limits.get(endpoint)
         if known is None and per_s is None:
@@ -117,17 +117,17 @@
         if has_changed:
             self._on_change()
 
-    def note_unreadable(self, endpoint: HostId, text: str) -> None:
+    def log_invalid(self, endpoint: HostId, text: str) -> None:
         """Log an invalid limit; the endpoint's previous limit stays in force."""
         if self._unreadable.get(endpoint) == text:
             return  # Every answer repeats it; it is logged once.
         self._unreadable[endpoint] = text
         logger.warning("invalid endpoint limit", endpoint=endpoint, text=text)
 
-    def apply(self, report: LimitReport, received_s: float) -> None:
-        """Apply a peer's report, which was received no earlier than ``received_s``."""
+    def apply(self, report: LimitReport, arrived_s: float) -> None:
+        """Apply a peer's report, which was received no earlier than ``arrived_s``."""
         known = self._limits.get(report.endpoint)
-        announced_s = received_s - report.age_s
+        announced_s = arrived_s - report.age_s
         is_newer = report.per_s is not None if known is None else announced_s > known.announced_s
         if is_newer:
             self._store(report.endpoint, report.per_s, announced_s)
@@ -161,7 +161,7 @@
         rate_per_s = limit.rate_per_s or _enforced_rate(limit.per_s)
         return (1 - limit.tokens) / rate_per_s
 
-    def spend(self, endpoint: Endpoint, now_s: float) -> None:
+    def take_token(self, endpoint: Endpoint, now_s: float) -> None:
         """Take a token for a request that is sent to an endpoint."""
         limit = self._limits.get(endpoint.id)
         if limit is not None and limit.per_s is not None:
@@ -196,7 +196,7 @@
         hosts = list(self._sharing_hosts(now_s))
         senders = min(len(hosts), int(total_burst))
         hosts.sort(key=lambda host: _sender_order(host, endpoint))
-        if self._me not in (host.host for host in hosts[:senders]):
+        if self._own_id not in (host.host for host in hosts[:senders]):
             return 0.0, 0.0
         return per_s / senders, total_burst / senders
 
@@ -213,7 +213,7 @@
     return max(MIN_PER_S, per_s)
 
 
-def _sender_order(host: SharingHost, endpoint: Endpoint) -> tuple[bool, int]:
+def _sender_order(host: LimitSharingHost, endpoint: Endpoint) -> tuple[bool, int]:
     """Return the sort key of a host among the senders of an endpoint; local hosts come first."""
     is_remote = host.data_centre != endpoint.data_centre
     return is_remote, hash64(f"{endpoint.id}/{host.host}")
--- a/yewloom/endpoint_probes.py
+++ b/yewloom/endpoint_probes.py
@@ -20,7 +20,7 @@
         self._reachability = reachability
         self._has_losses = trio.Event()
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Notify the loop that an endpoint has become unreachable."""
         self._has_losses.set()
 
--- a/yewloom/endpoints.py
+++ b/yewloom/endpoints.py
@@ -13,11 +13,11 @@
 from google.protobuf import json_format
 from result import Err, Ok, Result
 
-from yewloom.http_calls import HttpAnswer, HttpCaller, HttpCallError, HttpFailure, HttpStream
+from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure, HttpResponse, HttpStream
 from yewloom.ids import RequestId
 from yewloom.retries import CallFailure
 from yewloom.schema.records_pb2 import HostReport, Order
-from yewloom.streams import StreamPiece
+from yewloom.streams import StreamChunk
 from yewloom.values import value_class
 from yewloom.writes import to_json
 
@@ -44,8 +44,8 @@
     """A request for tokens.
 
     ``offset`` is the position of the first token wanted. ``resume_only`` tells an engine to
-    continue a request that it is already running, and never to start it. ``delivered`` holds the
-    tokens before ``offset``, from which another replica continues.
+    continue a request that it is already running, and never to start it. ``delivered_tokens`` holds
+    the tokens before ``offset``, from which another replica continues.
     """
 
     request_id: RequestId
@@ -56,7 +56,7 @@
     priority: int
     offset: int = 0
     resume_only: bool = False
-    delivered: tuple[str, ...] = ()
+    delivered_tokens: tuple[str, ...] = ()
 
 
 @value_class
@@ -76,14 +76,14 @@
         """Request an endpoint's report."""
         ...
 
-    async def order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
+    async def send_order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
         """Send an order to a model engine."""
         ...
 
     def generate(
         self, address: str, call: GenerateCall, stall_timeout_s: float
-    ) -> AbstractAsyncContextManager[AsyncIterator[StreamPiece]]:
-        """Open a stream of pieces; raises EndpointError when opened or while it is read.
+    ) -> AbstractAsyncContextManager[AsyncIterator[StreamChunk]]:
+        """Open a stream of chunks; raises EndpointError when opened or while it is read.
 
         Receiving nothing for longer than ``stall_timeout_s`` is an error too.
         """
@@ -95,7 +95,7 @@
 
     async def call_service(
         self, address: str, call: ServiceCall, timeout_s: float, is_unsafe: bool
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Call a plain service; raises EndpointError."""
         ...
 
@@ -103,7 +103,7 @@
 class HttpEndpoints:
     """Endpoints over HTTP."""
 
-    def __init__(self, caller: HttpCaller, probe_timeout_s: float) -> None:
+    def __init__(self, caller: HttpClient, probe_timeout_s: float) -> None:
         self._caller = caller
         self._probe_timeout_s = probe_timeout_s
 
@@ -121,7 +121,7 @@
         except json_format.ParseError as error:
             return Err(EndpointError(CallFailure.ENDPOINT_ERROR, f"invalid report: {error}"))
 
-    async def order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
+    async def send_order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
         """Send an order to a model engine."""
         url = f"http://{address}/order"
         try:
@@ -135,15 +135,15 @@
     @asynccontextmanager
     async def generate(
         self, address: str, call: GenerateCall, stall_timeout_s: float
-    ) -> AsyncIterator[AsyncIterator[StreamPiece]]:
-        """Open a stream of pieces; raises EndpointError when opened or while it is read."""
+    ) -> AsyncIterator[AsyncIterator[StreamChunk]]:
+        """Open a stream of chunks; raises EndpointError when opened or while it is read."""
         body = json.dumps(_generate_fields(call)).encode()
         try:
             url = f"http://{address}/generate"
             async with self._caller.stream("POST", url, body, stall_timeout_s) as stream:
                 if stream.status != 200:
                     raise _status_error(stream.status)
-                yield _parse_pieces(stream)
+                yield _parse_chunks(stream)
                 await _read_end(stream)
         except HttpCallError as error:
             raise _endpoint_error(error) from error
@@ -159,12 +159,12 @@
 
     async def call_service(
         self, address: str, call: ServiceCall, timeout_s: float, is_unsafe: bool
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Call a plain service; raises EndpointError."""
         url = f"http://{address}{call.path}"
         try:
             answer = await self._caller.call(
-                call.method, url, timeout_s, call.body, call.headers, fresh=is_unsafe
+                call.method, url, timeout_s, call.body, call.headers, new_connection=is_unsafe
             )
         except HttpCallError as error:
             raise _endpoint_error(error) from error
@@ -180,20 +180,20 @@
             continue
 
 
-async def _parse_pieces(stream: HttpStream) -> AsyncIterator[StreamPiece]:
+async def _parse_chunks(stream: HttpStream) -> AsyncIterator[StreamChunk]:
     """Split the body into events of one ``data`` line each, and decode them."""
     partial_event = b""
     async for chunk in stream.chunks:
         *events, partial_event = (partial_event + chunk).split(_EVENT_END)
         for event in events:
             if event.startswith(_EVENT_DATA):
-                yield _parse_piece(event.removeprefix(_EVENT_DATA))
+                yield _parse_chunk(event.removeprefix(_EVENT_DATA))
 
 
-def _parse_piece(data: bytes) -> StreamPiece:
+def _parse_chunk(data: bytes) -> StreamChunk:
     try:
         fields: dict[str, Any] = json.loads(data)
-        return StreamPiece(
+        return StreamChunk(
             request_id=RequestId(fields["request_id"]),
             generation=int(fields["generation"]),
             offset=int(fields["offset"]),
@@ -202,7 +202,7 @@
             finish_reason=str(fields.get("finish_reason", "")),
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise EndpointError(CallFailure.BROKEN, f"invalid stream piece: {error}") from error
+        raise EndpointError(CallFailure.BROKEN, f"invalid stream chunk: {error}") from error
 
 
 def _generate_fields(call: GenerateCall) -> dict[str, Any]:
@@ -215,7 +215,7 @@
         "priority": call.priority,
         "offset": call.offset,
         "resume_only": call.resume_only,
-        "delivered": list(call.delivered),
+        "delivered": list(call.delivered_tokens),
     }
 
 
--- a/yewloom/entry_addresses.py
+++ b/yewloom/entry_addresses.py
@@ -5,7 +5,7 @@
 from result import Err, Ok
 
 from yewloom.addresses import check_address
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.ids import DataCentreId, EntryHostId
 from yewloom.platforms import Platform, PlatformFailure, StoredObject
 from yewloom.schema.entry_pb2 import EntryAddress
@@ -48,13 +48,13 @@
         own: PeerAddress,
         platform: Platform,
         stale_platform: Platform,
-        board: PeerBoard,
+        peer_states: PeerStates,
     ) -> None:
         self._host_id = host_id
         self.own = own
         self._platform = platform
         self._stale_platform = stale_platform
-        self._board = board
+        self._peer_states = peer_states
         self._is_published = False
         self.by_peer: dict[EntryHostId, PeerAddress] = {}
 
@@ -78,7 +78,7 @@
         """
         if peer == self._host_id or peer in self.by_peer:
             return False
-        self._board.know(peer)
+        self._peer_states.add_host(peer)
         self.by_peer[peer] = address
         return True
 
@@ -126,7 +126,7 @@
         except (RecordError, ValueError) as error:
             logger.error("invalid address record in store", reason=str(error))
             return
-        self._board.know(peer)
+        self._peer_states.add_host(peer)
         peer_address = PeerAddress(address, DataCentreId(record.data_centre))
         if peer != self._host_id:
             self.by_peer[peer] = peer_address
--- a/yewloom/entry_exchange.py
+++ b/yewloom/entry_exchange.py
@@ -14,11 +14,11 @@
 
 from yewloom.addresses import check_address, split_address
 from yewloom.entry_addresses import EntryAddresses, PeerAddress
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.follow_duty import FollowDuty
 from yewloom.ids import DataCentreId, EntryHostId
 from yewloom.listed_endpoints import ChangedEndpoints, encode_changes
-from yewloom.own_state import OwnState
+from yewloom.own_state import OwnStateBuilder
 from yewloom.peer_intake import PeerIntake
 from yewloom.peer_turns import SEND_INTERVAL_S, PeerTurns, Turn
 from yewloom.schema.entry_pb2 import EntryMessage, EntryState
@@ -38,24 +38,24 @@
 class EntryExchange:
     """Sends this host's state to the peers and processes the messages that they send.
 
-    ``late_s`` returns for how long a message that is read now may have waited in the socket.
+    ``loop_delay_s`` returns for how long a message that is read now may have waited in the socket.
     """
 
     def __init__(
         self,
         addresses: EntryAddresses,
-        board: PeerBoard,
+        peer_states: PeerStates,
         duty: FollowDuty,
-        own_state: OwnState,
+        own_state: OwnStateBuilder,
         intake: PeerIntake,
-        late_s: Callable[[], float] = lambda: 0.0,
+        loop_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._addresses = addresses
-        self._board = board
+        self._peer_states = peer_states
         self._duty = duty
         self._own_state = own_state
         self._intake = intake
-        self._late_s = late_s
+        self._loop_delay_s = loop_delay_s
         self._turns = PeerTurns()
         self._new_peers: set[EntryHostId] = set()
         self._send_event = trio.Event()
@@ -73,9 +73,9 @@
             nursery.start_soon(self._receive)
             nursery.start_soon(self._send)
 
-    def tell_changes(self, changes: ChangedEndpoints) -> None:
+    def send_changes(self, changes: ChangedEndpoints) -> None:
         """Send changed endpoints to the peers in this data centre, if this host has the duty to."""
-        if not self._duty.is_mine():
+        if not self._duty.has_duty():
             return
         data = EntryMessage(changes=encode_changes(changes)).SerializeToString()
         if len(data) > MAX_CHANGES_BYTES:
@@ -84,21 +84,21 @@
         for peer in self._near_peers():
             self._send_to(peer, data)
 
-    def addresses_knowing(self, version: int) -> list[str]:
+    def addresses_with_version(self, version: int) -> list[str]:
         """Return the addresses of peers that have at least this configuration version.
 
         Peers in this data centre come first.
         """
         up_to_date = {
             EntryHostId(state.host_id)
-            for state in self._board.states()
+            for state in self._peer_states.states()
             if state.configuration_version >= version
         }
         near = self._near_peers()
         ordered = [*near, *(peer for peer in self._addresses.by_peer if peer not in near)]
         return [self._addresses.by_peer[peer].address for peer in ordered if peer in up_to_date]
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Send this host's state to the peers now, since it contains an urgent change."""
         self._send_event.set()
 
@@ -109,7 +109,7 @@
             is_urgent = not pause.cancelled_caught
             self._send_event = trio.Event()
             now_s = trio.current_time()
-            self._board.drop_silent(now_s)
+            self._peer_states.drop_expired(now_s)
             common = EntryMessage(state=self._own_state.next_state(now_s)).SerializeToString()
             for turn in self._next_turns(is_urgent):
                 # Concatenated protobuf messages are parsed as one merged message.
@@ -122,7 +122,7 @@
         A peer from which no message was received may not know this host; it needs the address to
         answer.
         """
-        fields = self._board.echo_for(turn.peer)
+        fields = self._peer_states.echo_for(turn.peer)
         fields.interval_ms = round(turn.interval_s * 1000)
         if not fields.echoed_started_unix_ms:
             fields.address = self._addresses.own.address
@@ -136,7 +136,7 @@
         """
         near = self._near_peers()
         remote = sorted(self._addresses.by_peer.keys() - set(near))
-        to_all_near = is_urgent or self._duty.is_mine() or self._duty.is_starting()
+        to_all_near = is_urgent or self._duty.has_duty() or self._duty.is_starting()
         always = set(near) if to_all_near else self._duty.near_followers() | self._new_peers
         self._new_peers = set()
         return self._turns.next_turns(near, remote, always)
@@ -158,7 +158,7 @@
         while True:
             await trio.lowlevel.wait_readable(self._socket)
             now_s = trio.current_time()
-            arrived_s = now_s - self._late_s()
+            arrived_s = now_s - self._loop_delay_s()
             for message in self._read_pending():
                 self._add_reported_address(message.state)
                 self._intake.process(message, now_s, arrived_s)
--- a/yewloom/entry_host.py
+++ b/yewloom/entry_host.py
@@ -8,10 +8,10 @@
 import structlog
 import trio
 
-from yewloom.caller_messages import CallerRequest, Handlers, Reply
+from yewloom.caller_messages import CallerRequest, Handlers, ResponseWriter
 from yewloom.caller_server import CallerServer
-from yewloom.configuration import CallerLimits, ConfigurationBook
-from yewloom.crash_parts import CrashParts
+from yewloom.configuration import CallerLimits, ConfigurationState
+from yewloom.crash_parts import CrashDetection
 from yewloom.directory import EndpointDirectory
 from yewloom.early_listener import EarlyListener
 from yewloom.endpoint_limits import EndpointLimits
@@ -19,20 +19,20 @@
 from yewloom.entry_addresses import EntryAddresses, PeerAddress
 from yewloom.entry_exchange import EntryExchange
 from yewloom.entry_servers import EntryServers, HostReadiness
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.exit_timer import ExitTimer
-from yewloom.follow_duty import LISTEN_S, FollowDuty, Standing
+from yewloom.follow_duty import STARTUP_LISTEN_S, FollowDuty, FollowStatus
 from yewloom.follow_times import follow_times
 from yewloom.followed_position import FollowedPosition
-from yewloom.followers import Follower, FollowPace
+from yewloom.followers import Follower, FollowPolicy
 from yewloom.forward_metrics import ForwardMetrics
-from yewloom.forward_parts import ForwardParts, build_forwarder
+from yewloom.forward_parts import ForwarderComponents, build_forwarder
 from yewloom.forwarding import Forwarder
 from yewloom.ids import DataCentreId, EntryHostId, HostId
 from yewloom.intake import ConfigurationIntake, EndpointIntake
 from yewloom.limit_messages import LimitMessages
-from yewloom.loop_lateness import LoopLateness
-from yewloom.own_state import EntryIdentity, OwnState
+from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.own_state import EntryHostProcess, OwnStateBuilder
 from yewloom.peer_configurations import PeerConfigurations
 from yewloom.peer_intake import PeerIntake
 from yewloom.peer_reports import PeerReports
@@ -53,8 +53,7 @@
 logger = structlog.get_logger(__name__)
 
 BEFORE_TRAFFIC_PAUSE_S = 2.0
-"""How long endpoint changes are batched before the first request of the system, on a host that does
-not relay them to other hosts."""
+"""Batching time of endpoint changes before the system's first request, if the host relays none."""
 
 TASK_RESTART_PAUSE_S = 0.5
 """Pause before a failed task is restarted."""
@@ -70,59 +69,59 @@
         metrics: ForwardMetrics,
         rng: random.Random,
         listener: EarlyListener | None = None,
-        lateness: LoopLateness | None = None,
+        loop_delay: LoopDelayMonitor | None = None,
     ) -> None:
         self._settings = settings
         self._listener = listener
-        self._lateness = lateness or LoopLateness()
+        self._loop_delay = loop_delay or LoopDelayMonitor()
         self._parts = parts
         self._metrics = metrics
-        self._book = ConfigurationBook()
+        self._configuration_state = ConfigurationState()
         self._directory = EndpointDirectory()
         self._stalls = StallDetector(self._schedule_exchange)
         self._has_received_requests = False
         self._started_s = float("-inf")
         self._stop_plan = PlannedStop(settings.host.stop_grace_s)
-        self._identity = EntryIdentity(
+        self._identity = EntryHostProcess(
             EntryHostId(settings.host.id),
             DataCentreId(settings.host.data_centre),
             time.time_ns() // 1_000_000,
         )
         host_id, data_centre = self._identity.host_id, self._identity.data_centre
-        self._board = PeerBoard(host_id, data_centre, self._identity.started_unix_ms)
+        self._peer_states = PeerStates(host_id, data_centre, self._identity.started_unix_ms)
         random_fraction = rng.random()
         self._duty = FollowDuty(
             host_id,
-            self._board,
-            self._standing,
+            self._peer_states,
+            self._follow_status,
             follow_times(settings),
             random_fraction,
             self._has_just_started,
         )
         self._store_retries = StoreRetries(settings.store.retry_pause_ms / 1000, random_fraction)
-        self._reachability = Reachability(self._directory, lambda: self._probes.wake())
+        self._reachability = Reachability(self._directory, lambda: self._probes.notify())
         self._probes = EndpointProbes(self._reachability)
         self._limits = EndpointLimits(
-            host_id, self._directory, self._board.sharing_hosts, self._schedule_exchange
+            host_id, self._directory, self._peer_states.sharing_hosts, self._schedule_exchange
         )
         self._selector = Selector(
-            self._directory, data_centre, self._board, rng, self._reachability, self._limits
+            self._directory, data_centre, self._peer_states, rng, self._reachability, self._limits
         )
-        self._crashes = CrashParts(
-            host_id, self._board.known_hosts, self._directory, self._schedule_exchange
+        self._crashes = CrashDetection(
+            host_id, self._peer_states.known_hosts, self._directory, self._schedule_exchange
         )
         self._quarantine_store = QuarantineStore(
             host_id,
-            self._board.known_hosts,
+            self._peer_states.known_hosts,
             self._crashes.quarantine,
             parts.records_store,
             parts.stale_store,
         )
         self._forwarder = self._build_forwarder()
         self._caller_server = CallerServer(
-            Handlers(self._handle, self._forwarder.refuse),
+            Handlers(self._handle, self._forwarder.reject),
             self._caller_limits,
-            ReadAges(self._lateness.late_s),
+            ReadAges(self._loop_delay.delay_s),
         )
         self._coordinator = self._build_coordinator()
         self._followed_endpoints = FollowedPosition()
@@ -131,15 +130,17 @@
             self._directory,
             self._selector,
             self._followed_endpoints,
-            lambda changes: self._exchange.tell_changes(changes),
+            lambda changes: self._exchange.send_changes(changes),
             self._forget_endpoint,
         )
-        self._configuration_intake = ConfigurationIntake(parts.records, self._book)
+        self._configuration_intake = ConfigurationIntake(parts.records, self._configuration_state)
         self._configuration_follower = self._build_configuration_follower()
         self._endpoint_follower = self._build_endpoint_follower()
         self._exchange = self._build_exchange()
         self._peer_configurations = PeerConfigurations(
-            self._book, self._configuration_intake, self._exchange.addresses_knowing
+            self._configuration_state,
+            self._configuration_intake,
+            self._exchange.addresses_with_version,
         )
         self._servers = EntryServers(
             settings.host,
@@ -153,20 +154,20 @@
     def _build_forwarder(self) -> Forwarder:
         bounds = self._settings.bounds
         return build_forwarder(
-            ForwardParts(
+            ForwarderComponents(
                 bounds=bounds,
                 codec=self._parts.codec,
                 metrics=self._metrics,
-                book=self._book,
+                configuration_state=self._configuration_state,
                 directory=self._directory,
                 selector=self._selector,
                 stalls=self._stalls,
                 reachability=self._reachability,
                 stop=self._stop_plan,
-                lateness=self._lateness,
+                loop_delay=self._loop_delay,
                 crashes=self._crashes,
                 limits=self._limits,
-                retry_extra=lambda: bounds.retry_extra / self._board.hosts_to_share_with(),
+                retry_extra=lambda: bounds.retry_extra / self._peer_states.sharing_host_count(),
             )
         )
 
@@ -174,14 +175,14 @@
         return ReplicaCoordinator(
             self._settings,
             self._parts,
-            self._book,
+            self._configuration_state,
             self._directory,
             self._stalls,
             self._selector,
             self._metrics,
             self._is_before_traffic,
-            self._duty.is_mine,
-            self._lateness.late_s,
+            self._duty.has_duty,
+            self._loop_delay.delay_s,
         )
 
     def _build_configuration_follower(self) -> Follower:
@@ -189,75 +190,76 @@
         return Follower(
             parts.configuration,
             parts.records.configuration_kind,
-            self._configuration_intake.take,
+            self._configuration_intake.apply_update,
             FollowedPosition(),
             self._build_follow_pace(lambda: 0.0, self._configuration_age_s),
         )
 
     def _configuration_age_s(self, now_s: float) -> float:
-        """Return the configuration's age, which determines when the store is queried.
-
-        It is infinite while a newer version is known.
-        """
-        return math.inf if self._book.is_outdated else self._book.age_s(now_s)
+        """Return the age that decides when to query; infinite while a newer version is known."""
+        return (
+            math.inf
+            if self._configuration_state.is_outdated
+            else self._configuration_state.age_s(now_s)
+        )
 
     def _build_endpoint_follower(self) -> Follower:
         parts = self._parts
         return Follower(
             parts.endpoints,
             parts.records.endpoint_kind,
-            self._endpoint_intake.take,
+            self._endpoint_intake.apply_update,
             self._followed_endpoints,
             self._build_follow_pace(self._endpoint_pause_s, self._followed_endpoints.age_s),
         )
 
     def _build_follow_pace(
         self, pause_s: Callable[[], float], age_s: Callable[[float], float]
-    ) -> FollowPace:
-        return FollowPace(
-            must_ask=lambda: self._duty.must_ask(age_s(trio.current_time())),
-            pause_s=pause_s,
+    ) -> FollowPolicy:
+        return FollowPolicy(
+            must_call=lambda: self._duty.must_call_store(age_s(trio.current_time())),
+            batch_pause_s=pause_s,
             retry_pause_s=self._retry_pause_s,
         )
 
     def _retry_pause_s(self, failures: int) -> float:
         duty = self._duty
-        return self._store_retries.pause_s(failures, duty.is_mine(), duty.near_hosts())
+        return self._store_retries.pause_s(failures, duty.has_duty(), duty.near_host_count())
 
     def _build_exchange(self) -> EntryExchange:
         topics: list[PeerTopic] = [self._crashes.messages, LimitMessages(self._limits)]
-        own_state = OwnState(
+        own_state = OwnStateBuilder(
             self._identity,
-            self._book,
+            self._configuration_state,
             self._selector,
             self._stalls,
             self._followed_endpoints,
-            self._standing,
+            self._follow_status,
             topics,
         )
         intake = PeerIntake(
-            self._board,
-            self._book,
+            self._peer_states,
+            self._configuration_state,
             self._followed_endpoints,
-            self._endpoint_intake.take_told,
+            self._endpoint_intake.apply_peer_changes,
             PeerReports(self._stalls, self._selector),
-            self._configuration_follower.list_anew,
+            self._configuration_follower.relist,
             topics,
         )
         return EntryExchange(
             self._build_addresses(),
-            self._board,
+            self._peer_states,
             self._duty,
             own_state,
             intake,
-            self._lateness.late_s,
+            self._loop_delay.delay_s,
         )
 
     def _build_addresses(self) -> EntryAddresses:
         own = PeerAddress(self._settings.host.peer_address, self._identity.data_centre)
         parts = self._parts
         return EntryAddresses(
-            self._identity.host_id, own, parts.records_store, parts.stale_store, self._board
+            self._identity.host_id, own, parts.records_store, parts.stale_store, self._peer_states
         )
 
     async def run(
@@ -270,7 +272,7 @@
         each, which a slow host does not have.
         """
         self._started_s = trio.current_time()
-        self._lateness.watch_this_run()
+        self._loop_delay.start()
         async with trio.open_nursery() as nursery:
             await self._start(nursery)
             logger.info("started", data_centre=self._settings.host.data_centre)
@@ -288,7 +290,7 @@
         self._coordinator.is_leaving = True
         shutdown = Shutdown(self._stop_plan, self._caller_server, self._forwarder, ExitTimer(end))
         await shutdown.run(
-            requested_s, self._lateness.unnoticed_s(trio.current_time() - requested_s)
+            requested_s, self._loop_delay.unnoticed_s(trio.current_time() - requested_s)
         )
         end()
 
@@ -314,19 +316,19 @@
         self._stalls.forget(endpoint_id)
         self._reachability.forget(endpoint_id)
         self._limits.forget(endpoint_id)
-        self._crashes.checks.on_started_again(endpoint_id)
+        self._crashes.checks.on_restarted(endpoint_id)
 
     def _schedule_exchange(self) -> None:
         """Send urgent news to the peers without waiting for the next regular exchange."""
-        self._exchange.tell_soon()
+        self._exchange.send_soon()
 
     def _has_full_state(self) -> bool:
         """Return whether the configuration and the endpoints are known."""
-        return self._book.current is not None and self._directory.is_known
+        return self._configuration_state.current is not None and self._directory.is_loaded
 
     def _is_ready(self) -> bool:
         """Return whether the load balancer should send callers here."""
-        return self._has_full_state() and not self._stop_plan.is_begun
+        return self._has_full_state() and not self._stop_plan.has_begun
 
     def _endpoint_pause_s(self) -> float:
         """Return how long endpoint changes are batched; a coordinator waits for each batch.
@@ -336,7 +338,7 @@
         """
         store = self._settings.store
         is_before_traffic = self._is_before_traffic()
-        if is_before_traffic and not self._duty.is_mine():
+        if is_before_traffic and not self._duty.has_duty():
             return BEFORE_TRAFFIC_PAUSE_S
         needs_changes_soon = is_before_traffic or self._coordinator.is_holding
         pause_ms = store.coordinator_pause_ms if needs_changes_soon else store.endpoint_pause_ms
@@ -344,23 +346,25 @@
 
     def _has_just_started(self) -> bool:
         """Return whether this process has only just started."""
-        return trio.current_time() - self._started_s < LISTEN_S
+        return trio.current_time() - self._started_s < STARTUP_LISTEN_S
 
-    def _standing(self) -> Standing:
+    def _follow_status(self) -> FollowStatus:
         followers = (self._configuration_follower, self._endpoint_follower)
         is_answered = all(follower.is_answered for follower in followers)
-        return Standing(is_answered and not self._stop_plan.is_begun, self._coordinator.is_holding)
+        return FollowStatus(
+            is_answered and not self._stop_plan.has_begun, self._coordinator.is_holding
+        )
 
     def _caller_limits(self) -> CallerLimits:
-        configuration = self._book.current
+        configuration = self._configuration_state.current
         return configuration.limits if configuration is not None else CallerLimits()
 
     def _is_before_traffic(self) -> bool:
         """Return whether the system is starting for the first time and has had no request yet."""
-        has_traffic = self._has_received_requests or bool(self._board.loads())
+        has_traffic = self._has_received_requests or bool(self._peer_states.loads())
         return self._settings.host.is_first_start and not has_traffic
 
-    async def _handle(self, request: CallerRequest, reply: Reply) -> None:
+    async def _handle(self, request: CallerRequest, reply: ResponseWriter) -> None:
         self._has_received_requests = True
         await self._forwarder.handle(request, reply)
 
--- a/yewloom/entry_servers.py
+++ b/yewloom/entry_servers.py
@@ -8,7 +8,7 @@
 from prometheus_client import generate_latest
 
 from yewloom.addresses import split_address
-from yewloom.caller_messages import CallerRequest, Handler, Handlers, Reply
+from yewloom.caller_messages import CallerRequest, Handler, Handlers, ResponseWriter
 from yewloom.caller_server import CallerServer
 from yewloom.configuration import CallerLimits
 from yewloom.early_listener import EarlyListener, listen
@@ -88,12 +88,12 @@
                 await trio.sleep(FIRST_CONFIGURATION_CHECK_S)
         logger.info("accepting callers", knows_all=self._host_readiness.has_full_state())
 
-    async def _respond_readiness(self, request: CallerRequest, reply: Reply) -> None:
-        await reply.send_whole(200 if self._host_readiness.is_ready() else 503, [], b"")
+    async def _respond_readiness(self, request: CallerRequest, reply: ResponseWriter) -> None:
+        await reply.send_complete(200 if self._host_readiness.is_ready() else 503, [], b"")
 
-    async def _respond_to_operator(self, request: CallerRequest, reply: Reply) -> None:
-        if self._quarantine_page.answers(request):
+    async def _respond_to_operator(self, request: CallerRequest, reply: ResponseWriter) -> None:
+        if self._quarantine_page.handles(request):
             await self._quarantine_page.answer(request, reply)
             return
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
-        await reply.send_whole(200, headers, generate_latest(self._metrics.registry))
+        await reply.send_complete(200, headers, generate_latest(self._metrics.registry))
--- a/yewloom/entry_states.py
+++ b/yewloom/entry_states.py
@@ -43,7 +43,7 @@
 
 
 @value_class
-class SharingHost:
+class LimitSharingHost:
     """An entry host that gets a share of divided limits."""
 
     host: EntryHostId
@@ -72,22 +72,22 @@
     received_s: float
 
 
-class PeerBoard:
+class PeerStates:
     """Holds the latest state of each peer, and the set of all entry hosts known so far."""
 
     def __init__(
-        self, me: EntryHostId, data_centre: DataCentreId, started_unix_ms: int = 0
+        self, own_id: EntryHostId, data_centre: DataCentreId, started_unix_ms: int = 0
     ) -> None:
         self._started_unix_ms = started_unix_ms
-        self._me = me
+        self._own_id = own_id
         self._data_centre = data_centre
         self._live: dict[EntryHostId, _ReceivedState] = {}
         self._near: dict[EntryHostId, EntryState] = {}
         self._running: Counter[HostId] = Counter()
-        self._known = {me}
+        self._known = {own_id}
         self._recent: dict[EntryHostId, _ReceivedState] = {}
 
-    def know(self, host: EntryHostId) -> None:
+    def add_host(self, host: EntryHostId) -> None:
         """Record that an entry host exists, whether or not it is reachable."""
         self._known.add(host)
 
@@ -95,14 +95,14 @@
         """Return all entry hosts known so far, this one included."""
         return self._known
 
-    def hosts_to_share_with(self) -> int:
+    def sharing_host_count(self) -> int:
         """Return the number of entry hosts among which a global bound is divided, with this one.
 
         Silent hosts still count: they may be serving on the other side of a network partition.
         """
         return max(MIN_SHARING_HOSTS, len(self._known))
 
-    def sharing_hosts(self, now_s: float) -> list[SharingHost]:
+    def sharing_hosts(self, now_s: float) -> list[LimitSharingHost]:
         """Return the hosts among which a limit is divided, this one included.
 
         A silent host is kept for LIMIT_SHARE_RETENTION_S, since it may still be serving on the
@@ -114,18 +114,18 @@
             if now_s - received.received_s < LIMIT_SHARE_RETENTION_S
         }
         self._recent = recent
-        mine = SharingHost(self._me, self._data_centre)
+        mine = LimitSharingHost(self._own_id, self._data_centre)
         others = [
-            SharingHost(peer, DataCentreId(received.state.data_centre))
+            LimitSharingHost(peer, DataCentreId(received.state.data_centre))
             for peer, received in recent.items()
         ]
         return [mine, *others]
 
-    def take(self, state: EntryState, now_s: float) -> PeerConfirmations:
+    def update(self, state: EntryState, now_s: float) -> PeerConfirmations:
         """Process a peer's state and return what it confirms; outdated messages are ignored."""
         peer = EntryHostId(state.host_id)
         known = self._live.get(peer)
-        if peer == self._me or (known is not None and _order(state) <= _order(known.state)):
+        if peer == self._own_id or (known is not None and _order(state) <= _order(known.state)):
             return PeerConfirmations()
         if known is not None:
             self._add_loads(known.state, -1)
@@ -144,7 +144,7 @@
         """Return the latest state of each live peer in this data centre, keyed by host id."""
         return self._near
 
-    def drop_silent(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Drop the states of peers that have not sent a message within their time to live."""
         for peer, received in list(self._live.items()):
             if now_s - received.received_s > self._ttl_s(received.state):
--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -25,26 +25,26 @@
 logger = structlog.get_logger(__name__)
 
 
-def ask(node: Node, now_s: float, wants_members: bool = True) -> ExchangeRequest:
+def build_request(node: Node, now_s: float, wants_members: bool = True) -> ExchangeRequest:
     """Return the request for a peer.
 
     ``wants_members`` asks for the list of entry hosts, which is the largest part of an answer.
     """
     return ExchangeRequest(
-        sender=node.membership.me,
+        sender=node.membership.own_member,
         table_digest=node.table.digest,
         placements=node.fleet.placement_versions(),
         share_state=node.share_state(now_s),
-        shares_generation=node.shares.shares.generation,
+        shares_generation=node.shares.record.generation,
         wants_members=wants_members,
     )
 
 
-def answer(node: Node, request: ExchangeRequest, now_s: float) -> ExchangeResponse:
+def build_response(node: Node, request: ExchangeRequest, now_s: float) -> ExchangeResponse:
     """Return the answer to a peer's request."""
     node.membership.merge([request.sender], now_s)
     response = ExchangeResponse(
-        responder=node.membership.me,
+        responder=node.membership.own_member,
         members=node.membership.alive(now_s) if request.wants_members else [],
         table_digest=node.table.digest,
         placements=node.fleet.newer_placements(request.placements),
@@ -62,13 +62,13 @@
     """Add the shares to the answer for a peer in the same data centre, and lend to it."""
     node.obeyed_shares[request.share_state.instance] = request.share_state.obeyed_generation
     response.share_state.CopyFrom(node.share_state(now_s))
-    if node.shares.shares.generation > request.shares_generation:
-        response.shares.CopyFrom(node.shares.shares)
+    if node.shares.record.generation > request.shares_generation:
+        response.shares.CopyFrom(node.shares.record)
     in_flight = node.admission.in_flight_by_customer()
     response.loans.extend(node.shares.lend(request.share_state, in_flight, now_s))
 
 
-def take_in(node: Node, response: ExchangeResponse, asked_s: float, now_s: float) -> bool:
+def apply_response(node: Node, response: ExchangeResponse, asked_s: float, now_s: float) -> bool:
     """Apply a peer's answer; return whether its table differs from this host's."""
     node.membership.merge([*response.members, response.responder], now_s)
     node.shares.instance = node.instance
@@ -78,16 +78,16 @@
     if response.responder.data_centre == node.data_centre:
         node.obeyed_shares[response.share_state.instance] = response.share_state.obeyed_generation
         node.shares.apply(response.shares)
-        node.shares.borrow(response.loans, asked_s)
+        node.shares.add_loans(response.loans, asked_s)
     return response.table_digest != node.table.digest
 
 
-def ask_rows(node: Node) -> FetchRowsRequest:
+def build_rows_request(node: Node) -> FetchRowsRequest:
     """Return the request for the rows that differ at a peer."""
     return FetchRowsRequest(bucket_digests=node.table.bucket_digests)
 
 
-def answer_rows(node: Node, request: FetchRowsRequest) -> FetchRowsResponse:
+def build_rows_response(node: Node, request: FetchRowsRequest) -> FetchRowsResponse:
     """Return the rows that a peer may lack; none if the request is malformed."""
     if len(request.bucket_digests) != BUCKETS:
         return FetchRowsResponse()
@@ -117,4 +117,4 @@
                 generation=placement.generation,
                 groups=len(placement.groups),
             )
-    node.prefixes.keep_only(node.fleet.group_ids())
+    node.prefixes.retain_groups(node.fleet.group_ids())
--- a/yewloom/experiments.py
+++ b/yewloom/experiments.py
@@ -35,7 +35,7 @@
     return Side.B if fraction < row.share_b else Side.A
 
 
-def policy_of(side: Side, row: ExperimentRow) -> PolicyName:
+def policy_for_side(side: Side, row: ExperimentRow) -> PolicyName:
     """Return the policy that routes the requests of a side."""
     return PolicyName(row.policy_b if side is Side.B else row.policy_a)
 
--- a/yewloom/fingerprints.py
+++ b/yewloom/fingerprints.py
@@ -14,7 +14,7 @@
 """Length in bytes; the chance that any two of a million requests collide is 1 in 10 million."""
 
 
-def fingerprint_of(
+def compute_fingerprint(
     host: str, target: bytes, customer: CustomerId | None, body: bytes
 ) -> Fingerprint:
     """Return the fingerprint of a request.
@@ -29,6 +29,6 @@
     return Fingerprint(int.from_bytes(digest.digest(), "big"))
 
 
-def fingerprint_text(fingerprint: Fingerprint) -> str:
+def format_fingerprint(fingerprint: Fingerprint) -> str:
     """Format a fingerprint for operators, as 16 hexadecimal digits."""
     return f"{fingerprint:016x}"
--- a/yewloom/fleet.py
+++ b/yewloom/fleet.py
@@ -23,9 +23,9 @@
 class Fleet:
     """Placements of all data centres and the latest observations of their endpoints."""
 
-    def __init__(self, freshness_s: float, give_up_s: float) -> None:
+    def __init__(self, freshness_s: float, missing_after_s: float) -> None:
         self._freshness_s = freshness_s
-        self._give_up_s = give_up_s
+        self._missing_after_s = missing_after_s
         self._placements: dict[DataCentreId, Placement] = {}
         self._hosts: dict[HostId, HostObservation] = {}
         self._groups: dict[GroupId, GroupObservation] = {}
@@ -126,7 +126,7 @@
     def on_host_failed(self, host_id: HostId, asked_s: float) -> None:
         """Record that a probe of a model engine by this host failed."""
         known = self._hosts.get(host_id, HostObservation())
-        self._hosts[host_id] = known.failed(asked_s, self._give_up_s)
+        self._hosts[host_id] = known.failed(asked_s, self._missing_after_s)
 
     def on_service_answered(self, host_id: HostId, report: HostReport, asked_s: float) -> None:
         """Record a plain service's answer to a probe by this host."""
@@ -137,11 +137,11 @@
     def on_service_failed(self, host_id: HostId, asked_s: float) -> None:
         """Record that a probe of a plain service by this host failed."""
         known = self._services.get(host_id, HostObservation())
-        self._services[host_id] = known.failed(asked_s, self._give_up_s)
+        self._services[host_id] = known.failed(asked_s, self._missing_after_s)
 
-    def sum_up(self, group: Group, now_s: float) -> None:
+    def aggregate_probes(self, group: Group, now_s: float) -> None:
         """Aggregate this host's own probes of a group's members into an observation."""
-        self._merge(observe_group(group, self._hosts, now_s, self._give_up_s), now_s)
+        self._merge(observe_group(group, self._hosts, now_s, self._missing_after_s), now_s)
 
     def on_call_failed(self, group_id: GroupId, now_s: float) -> None:
         """Close a group after a failed call until all members have answered a later probe."""
@@ -186,7 +186,7 @@
     def _merge(self, observation: GroupObservation, now_s: float) -> None:
         current = self._groups.get(observation.group_id)
         if current is not None:
-            observation = merge_observations(observation, current, now_s, self._give_up_s)
+            observation = merge_observations(observation, current, now_s, self._missing_after_s)
         self._groups[observation.group_id] = observation
 
     def _index_groups(self) -> None:
--- a/yewloom/follow_duty.py
+++ b/yewloom/follow_duty.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.follow_times import MAX_FALLBACK_JITTER_S, FollowTimes
 from yewloom.hashing import hash64
 from yewloom.ids import EntryHostId
@@ -18,7 +18,7 @@
 """Entry hosts of a data centre that follow the store: the coordinator and a standby, since either
 may die or lose its connection to the store."""
 
-LISTEN_S = 0.6
+STARTUP_LISTEN_S = 0.6
 """Time for which a starting host only listens to its peers before it may become a follower.
 
 Peers send messages every 0.2 s, so hosts that start together have heard each other by then.
@@ -26,7 +26,7 @@
 
 
 @value_class
-class Standing:
+class FollowStatus:
     """Whether a host can follow the store, and whether it is its data centre's coordinator.
 
     ``can_follow`` is true if the store answers the host and the host is not about to stop.
@@ -41,9 +41,9 @@
 
     def __init__(
         self,
-        me: EntryHostId,
-        board: PeerBoard,
-        standing: Callable[[], Standing],
+        own_id: EntryHostId,
+        peer_states: PeerStates,
+        status: Callable[[], FollowStatus],
         times: FollowTimes,
         fallback_jitter: float,
         is_starting: Callable[[], bool] = lambda: False,
@@ -51,35 +51,35 @@
         """Create the duty of one host.
 
         ``fallback_jitter`` is a random number from 0 to 1, drawn for this host. ``is_starting``
-        returns whether this host started within the last LISTEN_S, so that it may not have heard
-        its peers yet.
+        returns whether this host started within the last STARTUP_LISTEN_S, so that it may not have
+        heard its peers yet.
         """
         self.is_starting = is_starting
         self._ranks: dict[EntryHostId, int] = {}
-        self._me = me
-        self._board = board
-        self.standing = standing
+        self._own_id = own_id
+        self._peer_states = peer_states
+        self.status = status
         self._standby_s = times.standby_s
         self._fallback_s = times.fallback_s + MAX_FALLBACK_JITTER_S * fallback_jitter
 
-    def is_mine(self) -> bool:
+    def has_duty(self) -> bool:
         """Return whether this host is among the followers of its data centre.
 
         The coordinator always is, since its plans need the latest state. The other followers are
         chosen by rendezvous hashing among the hosts that can reach the store.
         """
-        standing = self.standing()
-        if standing.is_coordinator:
+        status = self.status()
+        if status.is_coordinator:
             return True
         if self.is_starting():
             return False  # Otherwise all hosts that start together would follow.
-        near = self._board.near_states()
+        near = self._peer_states.near_states()
         peers = [peer for peer, state in near.items() if state.can_follow]
-        if not peers and not standing.can_follow:
+        if not peers and not status.can_follow:
             peers = list(near)  # While the store answers no host, the chosen few keep calling it.
         others = [peer for peer in peers if not near[peer].is_coordinator]
         places = FOLLOWERS - min(len(peers) - len(others), FOLLOWERS - 1)
-        before = sum(self._rank(peer) < self._rank(self._me) for peer in others)
+        before = sum(self._rank(peer) < self._rank(self._own_id) for peer in others)
         return before < places
 
     def near_followers(self) -> set[EntryHostId]:
@@ -87,33 +87,33 @@
 
         Including too many is harmless: the extra messages that they get cost little.
         """
-        near = self._board.near_states()
+        near = self._peer_states.near_states()
         ranked = sorted(near, key=self._rank)
         coordinators = {peer for peer, state in near.items() if state.is_coordinator}
         first_able = [peer for peer in ranked if near[peer].can_follow][:FOLLOWERS]
         return coordinators | set(first_able) | set(ranked[:FOLLOWERS])
 
-    def must_ask(self, age_s: float) -> bool:
+    def must_call_store(self, age_s: float) -> bool:
         """Return whether this host must call the store, given the age of its information.
 
         A standby calls the store if the coordinator's messages do not keep it up to date; its
         threshold is lower than that of the hosts without the duty, so it passes changes on before
         they call.
         """
-        if not self.is_mine():
+        if not self.has_duty():
             return age_s > self._fallback_s
         return not self._is_standby() or age_s > self._standby_s
 
     def _is_standby(self) -> bool:
         """Return whether another host is the coordinator and can reach the store."""
-        if self.standing().is_coordinator:
+        if self.status().is_coordinator:
             return False
-        near = self._board.near_states().values()
+        near = self._peer_states.near_states().values()
         return any(peer.is_coordinator and peer.can_follow for peer in near)
 
-    def near_hosts(self) -> int:
+    def near_host_count(self) -> int:
         """Return the number of live hosts in this data centre, this one included."""
-        return len(self._board.near_states()) + 1
+        return len(self._peer_states.near_states()) + 1
 
     def _rank(self, host: EntryHostId) -> int:
         """Return a host's rank for rendezvous hashing: a hash that is the same on every host."""
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -46,16 +46,17 @@
 
 
 @value_class
-class FollowPace:
+class FollowPolicy:
     """When to call the platform.
 
-    ``must_ask`` returns whether this host has to call the platform. ``pause_s`` returns the pause
-    after a watch with changes, in which further changes accumulate. ``retry_pause_s`` returns the
-    pause between a failed call and the next one, given the number of consecutive failures.
+    ``must_call`` returns whether this host has to call the platform. ``batch_pause_s`` returns the
+    pause after a watch with changes, in which further changes accumulate. ``retry_pause_s``
+    returns the pause between a failed call and the next one, given the number of consecutive
+    failures.
     """
 
-    must_ask: Callable[[], bool]
-    pause_s: Callable[[], float]
+    must_call: Callable[[], bool]
+    batch_pause_s: Callable[[], float]
     retry_pause_s: Callable[[int], float]
 
 
@@ -68,13 +69,13 @@
         kind: str,
         take: Callable[[Update], None],
         followed: FollowedPosition,
-        pace: FollowPace,
+        policy: FollowPolicy,
     ) -> None:
         self._platform = platform
         self._kind = kind
         self._take = take
         self._followed = followed
-        self._pace = pace
+        self._policy = policy
         self._failures = 0
         self._watch_scope: trio.CancelScope | None = None
         self._relist_event = trio.Event()
@@ -87,12 +88,12 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            if self._must_list() or self._pace.must_ask():
+            if self._must_list() or self._policy.must_call():
                 await self._step()
             else:
                 await self._pause(IDLE_CHECK_S)
 
-    def list_anew(self) -> None:
+    def relist(self) -> None:
         """Cancel the current watch or pause and list again, since a change was missed."""
         self._followed.forget()
         self._relist_event.set()
@@ -128,11 +129,11 @@
                 return
         match found:
             case Ok(listing):
-                confirmed_s = asked_s + listing.proved_after_s
+                confirmed_s = asked_s + listing.confirmed_after_s
                 update = Update(listing, base, confirmed_s, self._failures > 0)
                 self._apply(update)
                 if base is not None and update.has_changes:
-                    await trio.sleep(self._pace.pause_s())
+                    await trio.sleep(self._policy.batch_pause_s())
             case Err(error):
                 await self._on_error(error, asked_s)
 
@@ -176,4 +177,4 @@
                 return
 
     def _remaining_pause_s(self, asked_s: float) -> float:
-        return asked_s + self._pace.retry_pause_s(self._failures) - trio.current_time()
+        return asked_s + self._policy.retry_pause_s(self._failures) - trio.current_time()
--- a/yewloom/forward_request.py
+++ b/yewloom/forward_request.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 
 from yewloom.attempts import AttemptRecord
-from yewloom.caller_headers import RequestMarks
-from yewloom.caller_messages import CallerRequest, Reply
+from yewloom.caller_headers import RequestMetadata
+from yewloom.caller_messages import CallerRequest, ResponseWriter
 from yewloom.configuration import Configuration
 from yewloom.directory import Endpoint
 from yewloom.endpoint_calls import Header
 from yewloom.event_stream import StreamCursor
-from yewloom.fingerprints import fingerprint_of
+from yewloom.fingerprints import compute_fingerprint
 from yewloom.ids import CustomerId, Fingerprint
 from yewloom.routes import Route
 from yewloom.selection import EndpointRequirements
@@ -37,8 +37,8 @@
     """
 
     source: CallerRequest
-    reply: Reply
-    marks: RequestMarks
+    reply: ResponseWriter
+    metadata: RequestMetadata
     configuration: Configuration
     route: Route
     requirements: EndpointRequirements
@@ -60,8 +60,8 @@
         """
         if self._fingerprint is None:
             source = self.source
-            self._fingerprint = fingerprint_of(
-                self.marks.host, source.target, self.customer, source.body
+            self._fingerprint = compute_fingerprint(
+                self.metadata.host, source.target, self.customer, source.body
             )
         return self._fingerprint
 
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -11,19 +11,19 @@
 import trio
 
 from yewloom.attempts import FailureResponse
-from yewloom.caller_headers import HeaderCodec, RequestMarks
-from yewloom.caller_messages import CallerGoneError, CallerRequest, Reply
-from yewloom.configuration import ConfigurationBook
+from yewloom.caller_headers import HeaderCodec, RequestMetadata
+from yewloom.caller_messages import CallerDisconnectedError, CallerRequest, ResponseWriter
+from yewloom.configuration import ConfigurationState
 from yewloom.directory import Endpoint
 from yewloom.endpoint_calls import Header
 from yewloom.endpoint_choice import EndpointChooser
-from yewloom.fingerprints import fingerprint_text
+from yewloom.fingerprints import format_fingerprint
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forward_request import ForwardRequest, Refusal
 from yewloom.key_trust import KeyTrust
 from yewloom.quarantine import Quarantine
 from yewloom.request_admission import QUARANTINED, RequestAdmission
-from yewloom.retry_window import RetryBudget
+from yewloom.retry_budget import RetryBudget
 from yewloom.selection import Selector
 
 logger = structlog.get_logger(__name__)
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        configuration_state: ConfigurationState,
         codec: HeaderCodec,
         selector: Selector,
         retries: RetryBudget,
@@ -72,52 +72,54 @@
         chooser: EndpointChooser,
         quarantine: Quarantine,
     ) -> None:
-        self._book = book
+        self._configuration_state = configuration_state
         self._selector = selector
         self._retries = retries
         self._attempts = attempts
         self._metrics = metrics
         self._chooser = chooser
         self._timers: dict[trio.CancelScope, None] = {}  # In the order in which they started.
-        self._admission = RequestAdmission(book, codec, selector, key_trust, is_ready, quarantine)
+        self._admission = RequestAdmission(
+            configuration_state, codec, selector, key_trust, is_ready, quarantine
+        )
 
-    async def handle(self, source: CallerRequest, reply: Reply) -> None:
+    async def handle(self, source: CallerRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
-        request = marks = None
+        request = metadata = None
         try:
-            marks = self._admission.marks(source)
-            request = self._admission.admit(source, reply, marks)
+            metadata = self._admission.decode_metadata(source)
+            request = self._admission.admit(source, reply, metadata)
             self._admission.check_quarantine(request)
             self._retries.on_request(request.requirements.service, source.read_s)
             outcome = await self._forward(request)
         except Refusal as refusal:
             outcome = refusal.reason
             await self._send_refusal(reply, refusal)
-        except (CallerGoneError, trio.Cancelled):
+        except (CallerDisconnectedError, trio.Cancelled):
             # A caller that closes right after it received the complete response has been served.
-            is_served = request is not None and request.record.is_answered and reply.is_whole
+            is_served = request is not None and request.record.is_answered and reply.is_complete
             outcome = ANSWERED if is_served else "caller gone"
-            self._record_outcome(source, marks, request, reply, outcome)
+            self._record_outcome(source, metadata, request, reply, outcome)
             raise
-        self._record_outcome(source, marks, request, reply, outcome)
+        self._record_outcome(source, metadata, request, reply, outcome)
 
-    async def refuse(self, source: CallerRequest, reply: Reply) -> None:
+    async def reject(self, source: CallerRequest, reply: ResponseWriter) -> None:
         """Refuse a request that arrived after the host stopped accepting requests."""
-        marks, outcome = None, STOPPING
+        metadata, outcome = None, STOPPING
         try:
-            marks = self._admission.marks(source)
+            metadata = self._admission.decode_metadata(source)
         except Refusal as refusal:
             outcome = f"{STOPPING}; {refusal.reason}"
         await self._send_refusal(reply, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
-        self._record_outcome(source, marks, None, reply, outcome)
+        self._record_outcome(source, metadata, None, reply, outcome)
 
-    def end_open(self, at_most: int = sys.maxsize) -> bool:
+    def end_oldest(self, max_requests: int = sys.maxsize) -> bool:
         """End open requests, oldest first, so that each gets its final response.
 
         Returns whether there were any.
         """
         open_timers = (timer for timer in self._timers if not timer.cancel_called)
-        ended = list(itertools.islice(open_timers, at_most))
+        ended = list(itertools.islice(open_timers, max_requests))
         for timer in ended:
             timer.cancel()
         return bool(ended)
@@ -129,8 +131,8 @@
         # Outside the time limit: a response that has arrived is sent even if time has run out.
         if request.response is not None:
             response = request.response
-            await request.reply.send_whole(response.status, response.headers, response.body)
-        if request.reply.is_whole:
+            await request.reply.send_complete(response.status, response.headers, response.body)
+        if request.reply.is_complete:
             return ANSWERED
         return await self._send_failure(request)
 
@@ -171,10 +173,10 @@
                 await self._send_refusal(request.reply, refusal)
                 return refusal.reason
             case FailureResponse.MAY_HAVE_RUN:
-                await request.reply.send_whole(502, [], b"")
+                await request.reply.send_complete(502, [], b"")
                 return "may have run"
             case FailureResponse.TIMED_OUT:
-                await request.reply.send_whole(504, [], b"")
+                await request.reply.send_complete(504, [], b"")
                 return "out of time"
 
     def _refusal(self, request: ForwardRequest) -> Refusal:
@@ -186,30 +188,30 @@
             return Refusal(503, LIMITED, math.ceil(limit_wait_s * 100) / 100)
         return Refusal(503, "no endpoint free", RETRY_AFTER_S)
 
-    async def _send_refusal(self, reply: Reply, refusal: Refusal) -> None:
+    async def _send_refusal(self, reply: ResponseWriter, refusal: Refusal) -> None:
         headers: list[Header] = []
         if refusal.retry_after_s is not None:
             headers.append((b"retry-after", f"{refusal.retry_after_s:g}".encode()))
-        await reply.send_whole(refusal.status, headers, b"")
+        await reply.send_complete(refusal.status, headers, b"")
 
     def _record_outcome(
         self,
         source: CallerRequest,
-        marks: RequestMarks | None,
+        metadata: RequestMetadata | None,
         request: ForwardRequest | None,
-        reply: Reply,
+        reply: ResponseWriter,
         outcome: str,
     ) -> None:
         """Log the outcome of a request in one line, and record outcome and duration as metrics."""
         now_s = trio.current_time()
         took_ms = round((now_s - source.arrived_s) * 1000)
         if request is not None and outcome == ANSWERED:
-            self._chooser.durations.note(request.route.name, now_s - source.read_s)
+            self._chooser.durations.record(request.route.name, now_s - source.read_s)
         kind = request.route.kind.value if request is not None else "none"
         self._metrics.on_request(kind, reply.status, outcome, took_ms / 1000)
         logger.info(
             "request",
-            request_id=marks.request_id if marks is not None else "",
+            request_id=metadata.request_id if metadata is not None else "",
             route=request.route.name if request is not None else source.path,
             outcome=outcome,
             status=reply.status,
@@ -220,7 +222,7 @@
             number_on_connection=source.number_on_connection,
             stopping_ms=source.stopping_ms,
             configuration=request.configuration.version if request is not None else None,
-            configuration_age_ms=self._book.stated_age_ms(now_s),
+            configuration_age_ms=self._configuration_state.reported_age_ms(now_s),
             **_fingerprint_fields(request, outcome),
         )
 
@@ -235,7 +237,7 @@
     """Return the fingerprint by which operators find and release a quarantined request."""
     if request is None or outcome != QUARANTINED:
         return {}
-    return {"fingerprint": fingerprint_text(request.fingerprint)}
+    return {"fingerprint": format_fingerprint(request.fingerprint)}
 
 
 def _format_attempts(request: ForwardRequest | None) -> list[str]:
--- a/yewloom/free_hosts.py
+++ b/yewloom/free_hosts.py
@@ -32,7 +32,7 @@
         """Return the responsive hosts that belong to no group, by fabric domain."""
         taken = {member.host_id for group in groups for member in group.members}
         free: defaultdict[str, list[Endpoint]] = defaultdict(list)
-        for endpoint in sorted(self._directory.of_service(self._service), key=lambda e: e.id):
+        for endpoint in sorted(self._directory.endpoints_of(self._service), key=lambda e: e.id):
             if endpoint.data_centre != self._data_centre or endpoint.is_leaving:
                 continue
             if endpoint.id in taken or endpoint.id in self._state.suspects:
@@ -53,8 +53,8 @@
             return False
         if self._state.has_left(endpoint.id, member.key):
             return False
-        leader = self._directory.members(member.key).get(0)
-        if leader is None or self._state.is_silent(leader.id):
+        leader = self._directory.members_of(member.key).get(0)
+        if leader is None or self._state.is_unresponsive(leader.id):
             self._order_to_leave(endpoint, member.key, now_s)
             return True
         if self._state.has_left(leader.id, member.key):
@@ -66,5 +66,5 @@
 
     def _order_to_leave(self, endpoint: Endpoint, key: GroupKey, now_s: float) -> None:
         planned = PlannedOrder(endpoint.id, endpoint.address, LeaveGroup(key))
-        if self._state.may_order(planned, now_s):
+        if self._state.mark_sent_if_due(planned, now_s):
             self.orders.append(planned)
--- a/yewloom/group_exchanges.py
+++ b/yewloom/group_exchanges.py
@@ -22,7 +22,7 @@
 
     def hosts_to_load(self) -> list[Endpoint]:
         """Return the hosts that do not have the model's weights."""
-        return [host for host in self.hosts if not host.is_prepared_for(self.model.name)]
+        return [host for host in self.hosts if not host.can_join_without_load(self.model.name)]
 
 
 class GroupExchanges:
@@ -67,12 +67,12 @@
                 hosts += members
         if len(hosts) < wanted.group_size or not released:
             return None
-        hosts.sort(key=lambda host: not host.is_prepared_for(wanted.name))
+        hosts.sort(key=lambda host: not host.can_join_without_load(wanted.name))
         return GroupExchange(domain, wanted, released, hosts[: wanted.group_size])
 
     def _hosts_to_load(self, group: Group, wanted: ReplicaModel) -> int:
         return sum(
-            not member.is_prepared_for(wanted.name)
+            not member.can_join_without_load(wanted.name)
             for member in listed_members(group, self._directory)
         )
 
