--- a/yewloom/groups.py
+++ b/yewloom/groups.py
@@ -15,10 +15,10 @@
 
 NEVER_S = float("-inf")
 
-PROBED_SHARE = 0.5
-"""Share of ``give_up_s`` that the failed probes of a member must span before it counts as missing.
-After a pause of the prober itself, all outstanding probes fail at once, but they were sent within
-the timeout of one probe."""
+MIN_PROBED_SHARE = 0.5
+"""Share of ``missing_after_s`` that the failed probes of a member must span before it counts as
+missing. After a pause of the prober itself, all outstanding probes fail at once, but they were sent
+within the timeout of one probe."""
 
 
 @value_class
@@ -56,7 +56,7 @@
     """One observer's view of all members of a group in one generation.
 
     ``observed_s`` is the time of the least recently seen member. ``missing`` members have failed
-    their probes for ``give_up_s`` or longer; ``mismatched`` members answer but report another
+    their probes for ``missing_after_s`` or longer; ``mismatched`` members answer but report another
     group or generation, or none. ``was_ready`` means that all members were ready at some time in
     this generation, so a mismatch now indicates a restart.
     """
@@ -76,7 +76,7 @@
 
 
 def observe_group(
-    group: Group, hosts: Mapping[HostId, HostObservation], now_s: float, give_up_s: float
+    group: Group, hosts: Mapping[HostId, HostObservation], now_s: float, missing_after_s: float
 ) -> GroupObservation:
     """Aggregate the observations of a group's members."""
     seen = {
@@ -99,26 +99,26 @@
         running=leader.running if leader is not None else 0,
         waiting=leader.waiting if leader is not None else 0,
         capacity=leader.capacity if leader is not None else 0,
-        missing=tuple(h for h, known in seen.items() if _is_missing(known, now_s, give_up_s)),
+        missing=tuple(h for h, known in seen.items() if _is_missing(known, now_s, missing_after_s)),
         mismatched=tuple(host for host in reports if host not in placed),
     )
 
 
 def merge_observations(
-    first: GroupObservation, second: GroupObservation, now_s: float, give_up_s: float
+    first: GroupObservation, second: GroupObservation, now_s: float, missing_after_s: float
 ) -> GroupObservation:
     """Merge two observations of one group, preferring the higher generation, then the later one.
 
     Within a generation, a failure, a leaving member and readiness are kept if either observation
     has them. A missing member is kept as well once nobody has seen the whole group for
-    ``give_up_s``: an unresponsive member stops ``observed_s`` from advancing, so the observation
-    with the later ``observed_s`` is then not the more recent one.
+    ``missing_after_s``: an unresponsive member stops ``observed_s`` from advancing, so the
+    observation with the later ``observed_s`` is then not the more recent one.
     """
     if first.generation != second.generation:
         return first if first.generation > second.generation else second
     later, earlier = (first, second) if first.observed_s >= second.observed_s else (second, first)
     missing = later.missing
-    if now_s - later.observed_s >= give_up_s:
+    if now_s - later.observed_s >= missing_after_s:
         missing += tuple(host for host in earlier.missing if host not in missing)
     return replace(
         later,
@@ -169,9 +169,9 @@
     return report.state == state.value
 
 
-def _is_missing(known: HostObservation, now_s: float, give_up_s: float) -> bool:
-    """Return whether probes failed for ``give_up_s`` and were sent over at least half of it."""
+def _is_missing(known: HostObservation, now_s: float, missing_after_s: float) -> bool:
+    """Return whether probes failed for ``missing_after_s``, sent over at least half of it."""
     since_s = known.failing_since_s
-    if since_s is None or now_s - since_s < give_up_s:
+    if since_s is None or now_s - since_s < missing_after_s:
         return False
-    return known.failed_s - since_s >= give_up_s * PROBED_SHARE
+    return known.failed_s - since_s >= missing_after_s * MIN_PROBED_SHARE
--- a/yewloom/hashing.py
+++ b/yewloom/hashing.py
@@ -10,7 +10,7 @@
     return xxhash.xxh64_intdigest(text.encode())
 
 
-def turn_among(name: str, me: str, others: Iterable[str]) -> int:
-    """Return the rank of ``me`` among ``others`` in rendezvous hashing for ``name``, from 0."""
-    mine = hash64(f"{name}/{me}")
+def rendezvous_rank(name: str, own_id: str, others: Iterable[str]) -> int:
+    """Return the rank of ``own_id`` among ``others`` in rendezvous hashing for ``name``, from 0."""
+    mine = hash64(f"{name}/{own_id}")
     return sum(hash64(f"{name}/{other}") < mine for other in others)
--- a/yewloom/headers.py
+++ b/yewloom/headers.py
@@ -6,7 +6,7 @@
 from starlette.requests import Request
 
 from yewloom.ids import CustomerId, IdempotencyKey, RequestId
-from yewloom.problems import bad_request, unavailable
+from yewloom.problems import bad_request_problem, unavailable_problem
 from yewloom.schema.table_pb2 import ServiceRow
 from yewloom.states import Outcome
 
@@ -23,10 +23,10 @@
     """
     text = request.headers.get("x-timeout-ms", "")
     if text and not (text.isdecimal() and 0 < int(text) <= longest_ms):
-        raise bad_request(f"X-Timeout-Ms must be a whole number from 1 to {longest_ms}.")
+        raise bad_request_problem(f"X-Timeout-Ms must be a whole number from 1 to {longest_ms}.")
     left_s = (int(text) if text else longest_ms) / 1000 - late_s
     if left_s <= 0:
-        raise unavailable("The request was read after its deadline.", Outcome.NOT_RUN)
+        raise unavailable_problem("The request was read after its deadline.", Outcome.NOT_RUN)
     return trio.current_time() + left_s
 
 
@@ -41,7 +41,7 @@
     if key is None:
         return None
     if not key or len(key) > MAX_KEY_LENGTH:
-        raise bad_request(f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters.")
+        raise bad_request_problem(f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters.")
     return IdempotencyKey(f"{customer}/{key}")
 
 
--- a/yewloom/http_calls.py
+++ b/yewloom/http_calls.py
@@ -50,7 +50,7 @@
 
 
 @value_class
-class HttpAnswer:
+class HttpResponse:
     """A complete response; header names are in lower case."""
 
     status: int
@@ -88,12 +88,12 @@
         return "kept" if self._is_reused else "new"
 
 
-class HttpCaller:
+class HttpClient:
     """Makes calls over connections that are kept open.
 
-    Calls with ``fresh`` never reuse a connection: if a request on an old connection is lost,
-    nothing shows whether it was read. After a call that timed out, connections that were open then
-    are not reused either.
+    Calls with ``new_connection`` never reuse a connection: if a request on an old connection is
+    lost, nothing shows whether it was read. After a call that timed out, connections that were open
+    then are not reused either.
     """
 
     def __init__(
@@ -115,12 +115,12 @@
         timeout_s: float,
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
-        fresh: bool = False,
-    ) -> HttpAnswer:
+        new_connection: bool = False,
+    ) -> HttpResponse:
         """Send a request and return its complete response; raises HttpCallError."""
-        connection_kind = _ConnectionKind(is_reused=not fresh)
+        connection_kind = _ConnectionKind(is_reused=not new_connection)
         with trio.move_on_after(timeout_s):
-            if fresh:
+            if new_connection:
                 return await self._call_fresh(method, url, body, headers)
             async with self._pools.pool_for(url) as pool:
                 with _converted_errors():
@@ -157,7 +157,7 @@
                 await self._pools.retire(url)
             raise
 
-    async def renew(self, url: str) -> None:
+    async def renew_connections(self, url: str) -> None:
         """Use new connections to a URL's host for all further calls."""
         await self._pools.retire(url)
 
@@ -167,7 +167,7 @@
 
     async def _call_fresh(
         self, method: str, url: str, body: bytes, headers: Mapping[str, str] | None
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         all_headers = [*_header_list(headers), (b"connection", b"close")]
         with _converted_errors():
             async with httpcore.AsyncConnectionPool(
@@ -210,6 +210,6 @@
     return [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
 
 
-def _to_answer(response: httpcore.Response) -> HttpAnswer:
+def _to_answer(response: httpcore.Response) -> HttpResponse:
     headers = {name.decode().lower(): value.decode("latin-1") for name, value in response.headers}
-    return HttpAnswer(response.status, headers, response.content)
+    return HttpResponse(response.status, headers, response.content)
--- a/yewloom/idempotency.py
+++ b/yewloom/idempotency.py
@@ -7,14 +7,14 @@
 from yewloom.claim_writer import ClaimWriter
 from yewloom.claims import ClaimAnswer, ClaimRequest, ClaimResult, Verdict
 from yewloom.ids import AttemptId, EntryHostId, IdempotencyKey
-from yewloom.problems import Problem, overloaded, unavailable
+from yewloom.problems import Problem, overloaded_problem, unavailable_problem
 from yewloom.schema.records_pb2 import Claim
 from yewloom.states import ClaimState, Outcome
 from yewloom.values import value_class
 
 
 @value_class
-class KeptAnswer:
+class StoredAnswer:
     """A complete answer that can be returned again for the same key."""
 
     status: int
@@ -33,8 +33,8 @@
         self._new_attempt = new_attempt
 
     async def run(
-        self, key: IdempotencyKey, run: Callable[[], Awaitable[KeptAnswer]]
-    ) -> KeptAnswer:
+        self, key: IdempotencyKey, run: Callable[[], Awaitable[StoredAnswer]]
+    ) -> StoredAnswer:
         """Run a request, or return the stored answer of its earlier run; may raise Problem."""
         claim = ClaimRequest(key, self._new_attempt(), self._holder)
         earlier = await self.claim(claim)
@@ -44,12 +44,12 @@
             answer = await run()
         except Problem as problem:
             if problem.outcome is Outcome.NOT_RUN:
-                self.finish(claim, ClaimState.RELEASED)
+                self.store_result(claim, ClaimState.RELEASED)
             raise
-        self.finish(claim, ClaimState.DONE, answer)
+        self.store_result(claim, ClaimState.DONE, answer)
         return answer
 
-    async def claim(self, claim: ClaimRequest) -> KeptAnswer | None:
+    async def claim(self, claim: ClaimRequest) -> StoredAnswer | None:
         """Claim a key; return the stored answer if its request has already run.
 
         Raise Problem if the request must not run.
@@ -58,14 +58,14 @@
             case Ok(answer):
                 return _check_verdict(answer)
             case Err(error):
-                raise unavailable(
+                raise unavailable_problem(
                     f"The platform can't record the idempotency key now ({error.detail}), so the "
                     "request was not run.",
                     Outcome.NOT_RUN,
                 )
 
-    def finish(
-        self, claim: ClaimRequest, state: ClaimState, answer: KeptAnswer | None = None
+    def store_result(
+        self, claim: ClaimRequest, state: ClaimState, answer: StoredAnswer | None = None
     ) -> None:
         """Store the result of a claimed request."""
         result = ClaimResult(claim.key, claim.attempt, state)
@@ -73,17 +73,17 @@
             result = ClaimResult(
                 claim.key, claim.attempt, state, answer.status, answer.content_type, answer.body
             )
-        self._claims.store(result)
+        self._claims.store_result(result)
 
 
-def _check_verdict(answer: ClaimAnswer) -> KeptAnswer | None:
+def _check_verdict(answer: ClaimAnswer) -> StoredAnswer | None:
     if answer.verdict is Verdict.RUN:
         return None
     if answer.verdict is Verdict.FULL:
-        raise overloaded("The record of idempotency keys is full.", 5.0)
+        raise overloaded_problem("The record of idempotency keys is full.", 5.0)
     assert answer.earlier is not None
     if answer.verdict is Verdict.ANSWERED:
-        return KeptAnswer(answer.earlier.status, answer.earlier.content_type, answer.earlier.body)
+        return StoredAnswer(answer.earlier.status, answer.earlier.content_type, answer.earlier.body)
     raise _conflict_problem(answer.earlier)
 
 
--- a/yewloom/intake.py
+++ b/yewloom/intake.py
@@ -5,7 +5,7 @@
 import structlog
 import trio
 
-from yewloom.configuration import ConfigurationBook
+from yewloom.configuration import ConfigurationState
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.followed_position import FollowedPosition
 from yewloom.followers import Update
@@ -25,18 +25,18 @@
 class ConfigurationIntake:
     """Applies configurations read from the store or received from peers."""
 
-    def __init__(self, records: PlatformRecords, book: ConfigurationBook) -> None:
+    def __init__(self, records: PlatformRecords, configuration_state: ConfigurationState) -> None:
         self._records = records
-        self._book = book
+        self._configuration_state = configuration_state
         self.latest: StoredObject | None = None
         """The current configuration in its stored form; None at first."""
 
-    def take(self, update: Update) -> None:
+    def apply_update(self, update: Update) -> None:
         """Apply the configurations of an update, and confirm the current configuration."""
         for stored in update.listing.objects:
             self._apply(stored, update.confirmed_s, "store")
-        if self._book.current is not None:
-            self._book.confirm(update.confirmed_s)
+        if self._configuration_state.current is not None:
+            self._configuration_state.confirm(update.confirmed_s)
 
     def apply_from_peer(self, stored: StoredObject) -> None:
         """Apply a configuration that a peer read; this does not confirm that it is current."""
@@ -48,7 +48,9 @@
         except RecordError as error:
             logger.error("invalid configuration", reason=str(error), revision=stored.version)
             return
-        if configuration is not None and self._book.apply(configuration, confirmed_s):
+        if configuration is not None and self._configuration_state.apply(
+            configuration, confirmed_s
+        ):
             self.latest = stored
             logger.info("configuration applied", version=configuration.version, source=source)
 
@@ -77,7 +79,7 @@
         self._send_changes = send_changes
         self._unreadable: dict[HostId, int] = {}  # The revision last logged, by id.
 
-    def take(self, update: Update) -> None:
+    def apply_update(self, update: Update) -> None:
         """Apply a full listing, or the endpoints that were changed or removed.
 
         An entry that cannot be decoded counts as removed, even if it was valid before.
@@ -98,7 +100,7 @@
         if update.has_changes:
             self._send_changes(changes)
 
-    def take_told(self, changes: ChangedEndpoints) -> None:
+    def apply_peer_changes(self, changes: ChangedEndpoints) -> None:
         """Apply changes received from a peer, unless earlier ones are missing here."""
         if self._followed.can_apply(changes.base, changes.position):
             self._apply(changes)
--- a/yewloom/key_trust.py
+++ b/yewloom/key_trust.py
@@ -10,7 +10,7 @@
 Otherwise callers are asked to retry, since this host may lag behind.
 """
 
-from yewloom.configuration import ConfigurationBook
+from yewloom.configuration import ConfigurationState
 
 CONFIRMATION_FRACTION = 0.76
 """Fraction of the key revocation time for which a confirmation of the configuration is valid.
@@ -25,23 +25,23 @@
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        configuration_state: ConfigurationState,
         key_revocation_s: float,
         configuration_apply_s: float,
         needs_proof: bool,
     ) -> None:
-        self._book = book
+        self._configuration_state = configuration_state
         self._confirmation_ttl_s = key_revocation_s * CONFIRMATION_FRACTION
         self._configuration_apply_s = configuration_apply_s
         self._needs_proof = needs_proof
 
     def may_accept(self, now_s: float) -> bool:
         """Return whether a known key may be accepted."""
-        if self._book.age_s(now_s) <= self._confirmation_ttl_s:
+        if self._configuration_state.age_s(now_s) <= self._confirmation_ttl_s:
             return True
-        return not self._needs_proof and not self._book.is_outdated
+        return not self._needs_proof and not self._configuration_state.is_outdated
 
-    def may_refuse(self, now_s: float) -> bool:
+    def may_refuse_permanently(self, now_s: float) -> bool:
         """Return whether an unknown route or key may be refused permanently."""
-        is_late = self._book.age_s(now_s) > self._configuration_apply_s
-        return not is_late and not self._book.is_outdated
+        is_late = self._configuration_state.age_s(now_s) > self._configuration_apply_s
+        return not is_late and not self._configuration_state.is_outdated
--- a/yewloom/limit_messages.py
+++ b/yewloom/limit_messages.py
@@ -13,15 +13,15 @@
     def __init__(self, limits: EndpointLimits) -> None:
         self._limits = limits
 
-    def write(self, state: EntryState, now_s: float) -> None:
+    def add_fields(self, state: EntryState, now_s: float) -> None:
         """Add the recently announced limits to a message; usually there are none."""
         if self._limits.has_any:
             state.limits.extend(_to_message(report) for report in self._limits.reports(now_s))
 
-    def take(self, state: EntryState, came_s: float, now_s: float) -> None:
-        """Apply a message that was received no earlier than ``came_s``."""
+    def process(self, state: EntryState, arrived_s: float, now_s: float) -> None:
+        """Apply a message that was received no earlier than ``arrived_s``."""
         for message in state.limits:
-            self._limits.apply(_from_message(message), came_s)
+            self._limits.apply(_from_message(message), arrived_s)
 
 
 def _to_message(report: LimitReport) -> NamedLimit:
--- a/yewloom/limits.py
+++ b/yewloom/limits.py
@@ -31,7 +31,7 @@
 """Fraction of the unused capacity that a host lends per request for a loan."""
 
 
-def part_of(limit: int, data_centre: DataCentreId, data_centres: Sequence[str]) -> int:
+def data_centre_share(limit: int, data_centre: DataCentreId, data_centres: Sequence[str]) -> int:
     """Return a data centre's share of a limit; the shares add up to the limit."""
     if data_centre not in data_centres:
         return 0
@@ -45,7 +45,7 @@
     until_s: float
 
 
-class ShareBook:
+class LocalShares:
     """The capacity that one entry host may use: its shares, minus loans given, plus loans taken."""
 
     def __init__(self, instance: str, loan_s: float) -> None:
@@ -57,7 +57,7 @@
         self._obeyed_generation = 0
 
     @property
-    def shares(self) -> Shares:
+    def record(self) -> Shares:
         """The newest known record."""
         return self._shares
 
@@ -68,7 +68,7 @@
         self._shares = shares
         return True
 
-    def usable(self, customer: CustomerId, now_s: float) -> int:
+    def capacity(self, customer: CustomerId, now_s: float) -> int:
         """Return how many requests of a customer may be in progress here."""
         remaining = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)
         return max(0, remaining) + _sum_current(self._borrowed, customer, now_s)
@@ -95,7 +95,7 @@
         self, demand: Mapping[CustomerId, int], now_s: float
     ) -> Iterable[CustomerDemand]:
         for customer, needed in demand.items():
-            usable = self.usable(customer, now_s)
+            usable = self.capacity(customer, now_s)
             shortfall = max(needed, MIN_USABLE) - usable
             if shortfall > 0:
                 yield CustomerDemand(customer=customer, demand=shortfall)
@@ -119,10 +119,10 @@
                 loans.append(Loan(customer=customer, amount=amount, duration_ms=duration_ms))
         return loans
 
-    def borrow(self, loans: Iterable[Loan], asked_s: float) -> None:
-        """Add the loans of a peer; ``asked_s`` is a time before they were requested."""
+    def add_loans(self, loans: Iterable[Loan], requested_s: float) -> None:
+        """Add the loans of a peer; ``requested_s`` is a time before they were requested."""
         for loan in loans:
-            active_loan = _ActiveLoan(loan.amount, asked_s + loan.duration_ms / 1000)
+            active_loan = _ActiveLoan(loan.amount, requested_s + loan.duration_ms / 1000)
             self._borrowed.setdefault(CustomerId(loan.customer), []).append(active_loan)
 
     def _own_limit(self, customer: CustomerId) -> int:
--- a/yewloom/listed_endpoints.py
+++ b/yewloom/listed_endpoints.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from yewloom.directory import Endpoint, GroupKey, Membership, MemberState
+from yewloom.directory import Endpoint, GroupKey, GroupMembership, MemberState
 from yewloom.ids import DataCentreId, GroupId, HostId, ModelName, ServiceName
 from yewloom.schema.entry_pb2 import EndpointChanges, EndpointMembership, ListedEndpoint
 from yewloom.values import value_class
@@ -70,7 +70,7 @@
     )
 
 
-def _encode_membership(member: Membership) -> EndpointMembership:
+def _encode_membership(member: GroupMembership) -> EndpointMembership:
     return EndpointMembership(
         group_id=member.key.group_id,
         generation=member.key.generation,
@@ -79,6 +79,6 @@
     )
 
 
-def _decode_membership(message: EndpointMembership) -> Membership:
+def _decode_membership(message: EndpointMembership) -> GroupMembership:
     key = GroupKey(GroupId(message.group_id), message.generation)
-    return Membership(key, message.rank, MemberState(message.state))
+    return GroupMembership(key, message.rank, MemberState(message.state))
--- a/yewloom/log.py
+++ b/yewloom/log.py
@@ -6,7 +6,7 @@
 import structlog
 
 
-def set_up(level: str = "info") -> None:
+def configure_logs(level: str = "info") -> None:
     """Configure structlog to write events at or above a level to standard error as JSON lines."""
     structlog.configure(
         processors=[
--- a/yewloom/log_sink.py
+++ b/yewloom/log_sink.py
@@ -55,7 +55,7 @@
                 self._pending.appendleft(remainder)
 
 
-def set_up_logs(level: str, sink: LogSink, host: str = "") -> None:
+def configure_logs(level: str, sink: LogSink, host: str = "") -> None:
     """Configure structlog to write events at or above a level to a sink, with the host's name."""
 
     def add_host(
--- a/yewloom/loop_lateness.py
+++ b/yewloom/loop_delay.py
@@ -35,7 +35,7 @@
     ended_s: float
 
 
-class LoopLateness(trio.abc.Instrument):
+class LoopDelayMonitor(trio.abc.Instrument):
     """Measures how long the event loop was blocked."""
 
     def __init__(self, clock_s: Callable[[], float] = boot_s) -> None:
@@ -44,7 +44,7 @@
         self._wait_began_s = 0.0
         self._blocked_periods: deque[_BlockedPeriod] = deque()  # May still be catching up.
 
-    def watch_this_run(self) -> None:
+    def start(self) -> None:
         """Start measuring the loop of the current trio run, until its end."""
         self._pass_began_s = self._clock_s()
         trio.lowlevel.add_instrument(self)
@@ -66,7 +66,7 @@
             self._blocked_periods.clear()
         self._pass_began_s = now_s
 
-    def late_s(self) -> float:
+    def delay_s(self) -> float:
         """Return how old data that is read now may be; 0 unless the loop was blocked."""
         now_s = self._clock_s()
         while self._blocked_periods and now_s - self._blocked_periods[0].ended_s > CATCH_UP_S:
--- a/yewloom/membership.py
+++ b/yewloom/membership.py
@@ -30,32 +30,32 @@
     heartbeat after which a member is considered dead.
     """
 
-    def __init__(self, me: Member, dead_after_s: float) -> None:
-        self._me = me
+    def __init__(self, own_member: Member, dead_after_s: float) -> None:
+        self._own_member = own_member
         self._dead_after_s = dead_after_s
         self._known: dict[EntryHostId, _KnownMember] = {}
 
     @property
-    def me(self) -> Member:
+    def own_member(self) -> Member:
         """This entry host's own entry."""
-        return self._me
+        return self._own_member
 
     def increment_heartbeat(self) -> None:
         """Increment this entry host's heartbeat counter."""
-        self._me.heartbeat += 1
+        self._own_member.heartbeat += 1
 
     def start_leaving(self) -> None:
         """Announce that this entry host is about to stop."""
-        self._me.leaving = True
+        self._own_member.leaving = True
 
-    def set_cut_off(self, is_cut_off: bool) -> None:
+    def set_platform_unreachable(self, is_cut_off: bool) -> None:
         """Announce whether the platform is unreachable from this entry host."""
-        self._me.is_cut_off = is_cut_off
+        self._own_member.is_cut_off = is_cut_off
 
     def merge(self, members: Iterable[Member], now_s: float) -> None:
         """Merge the members known to another entry host."""
         for member in members:
-            if member.id == self._me.id:
+            if member.id == self._own_member.id:
                 self._supersede(member)
                 continue
             known = self._known.get(EntryHostId(member.id))
@@ -66,7 +66,7 @@
     def alive(self, now_s: float) -> list[Member]:
         """Return the live members, this one included, sorted by id."""
         live = [known.member for known in self._known.values() if self._is_alive(known, now_s)]
-        return sorted([self._me, *live], key=lambda member: member.id)
+        return sorted([self._own_member, *live], key=lambda member: member.id)
 
     def alive_in(self, data_centre: DataCentreId, now_s: float) -> list[Member]:
         """Return the live members of one data centre."""
@@ -77,7 +77,7 @@
 
         Members that cannot reach the platform are not chosen, unless no member can.
         """
-        members = self.alive_in(DataCentreId(self._me.data_centre), now_s)
+        members = self.alive_in(DataCentreId(self._own_member.data_centre), now_s)
         connected = [member for member in members if not member.is_cut_off]
         return self._is_chosen(duty, count, connected or members)
 
@@ -86,21 +86,21 @@
 
         Only live members of the same data centre that are not leaving are chosen.
         """
-        members = self.alive_in(DataCentreId(self._me.data_centre), now_s)
+        members = self.alive_in(DataCentreId(self._own_member.data_centre), now_s)
         return self._is_chosen(duty, count, members)
 
     def _is_chosen(self, duty: str, count: int, members: Iterable[Member]) -> bool:
         candidates = [member for member in members if not member.leaving]
         chosen = sorted(candidates, key=lambda m: _weight(duty, m.id), reverse=True)[:count]
-        return any(member.id == self._me.id for member in chosen)
+        return any(member.id == self._own_member.id for member in chosen)
 
     def _supersede(self, reported: Member) -> None:
         """Raise the own incarnation above that of an earlier process of this host.
 
         The earlier incarnation may be higher if the clock ran faster then.
         """
-        if reported.incarnation > self._me.incarnation:
-            self._me.incarnation = reported.incarnation + 1
+        if reported.incarnation > self._own_member.incarnation:
+            self._own_member.incarnation = reported.incarnation + 1
 
     def _is_alive(self, known: _KnownMember, now_s: float) -> bool:
         return now_s - known.advanced_s < self._dead_after_s
--- a/yewloom/metrics.py
+++ b/yewloom/metrics.py
@@ -16,7 +16,7 @@
             ["customer", "outcome"],
             registry=self.registry,
         )
-        self.sheds = Counter(
+        self.rejected_requests = Counter(
             "yewloom_sheds", "Requests turned away.", ["customer"], registry=self.registry
         )
         self.retries = Counter(
--- a/yewloom/model_reserves.py
+++ b/yewloom/model_reserves.py
@@ -38,7 +38,7 @@
             since_s = self._state.abandoned_since_s.setdefault(group_key(group), now_s)
             if now_s - since_s <= RESERVE_TIMEOUT_S:
                 members += listed_members(group, self._directory)
-        return [e for e in members if not e.is_leaving and not self._state.is_silent(e.id)]
+        return [e for e in members if not e.is_leaving and not self._state.is_unresponsive(e.id)]
 
     def reserved_for(
         self,
@@ -57,4 +57,4 @@
 
 
 def _prepared(endpoints: Iterable[Endpoint], model: ModelName) -> list[Endpoint]:
-    return [endpoint for endpoint in endpoints if endpoint.is_prepared_for(model)]
+    return [endpoint for endpoint in endpoints if endpoint.can_join_without_load(model)]
--- a/yewloom/node.py
+++ b/yewloom/node.py
@@ -5,12 +5,12 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from yewloom.admission import Admission
+from yewloom.admission import AdmissionController
 from yewloom.experiments import ExperimentRecord
 from yewloom.fleet import Fleet
 from yewloom.ids import DataCentreId, EntryHostId
-from yewloom.limits import ShareBook
-from yewloom.loop_lateness import LoopLateness
+from yewloom.limits import LocalShares
+from yewloom.loop_delay import LoopDelayMonitor
 from yewloom.membership import Membership
 from yewloom.metrics import Metrics
 from yewloom.prefixes import PrefixIndex
@@ -18,7 +18,7 @@
 from yewloom.schema.settings_pb2 import Settings
 from yewloom.states import Phase
 from yewloom.tables import Table
-from yewloom.work import Work
+from yewloom.work import WorkTracker
 
 WATCH_DUTY = "watch"
 """Duty of watching the platform for a data centre."""
@@ -30,7 +30,7 @@
 """Entry hosts of a data centre that monitor the coordinator's lease; one of them holds it."""
 
 
-def unix_ms() -> int:
+def unix_now_ms() -> int:
     """Return the wall-clock time in Unix milliseconds, for records that outlive the process."""
     return time.time_ns() // 1_000_000
 
@@ -44,12 +44,12 @@
     table: Table
     fleet: Fleet
     prefixes: PrefixIndex
-    admission: Admission
-    shares: ShareBook
+    admission: AdmissionController
+    shares: LocalShares
     metrics: Metrics
     rng: random.Random
-    work: Work = field(default_factory=Work)
-    lateness: LoopLateness = field(default_factory=LoopLateness)
+    work: WorkTracker = field(default_factory=WorkTracker)
+    loop_delay: LoopDelayMonitor = field(default_factory=LoopDelayMonitor)
     has_table: bool = False
     experiments: defaultdict[str, ExperimentRecord] = field(
         default_factory=lambda: defaultdict(ExperimentRecord)
@@ -69,7 +69,7 @@
     @property
     def instance(self) -> str:
         """Name of this process: the entry host's id and incarnation."""
-        return self.instance_of(self.membership.me)
+        return self.instance_of(self.membership.own_member)
 
     @staticmethod
     def instance_of(member: Member) -> str:
@@ -78,7 +78,7 @@
 
     def share_state(self, now_s: float) -> ShareState:
         """Return the use of shares on this host, for its peers."""
-        demand = dict.fromkeys(self.table.customers(), 0) | self.admission.take_demand()
+        demand = dict.fromkeys(self.table.customers(), 0) | self.admission.read_and_reset_demand()
         return self.shares.state(self.admission.in_flight_by_customer(), demand, now_s)
 
     @property
@@ -107,7 +107,7 @@
 def build_node(settings: Settings, rng: random.Random, incarnation: int) -> Node:
     """Return the initial state of an entry host."""
     host = settings.host
-    me = Member(
+    own_member = Member(
         id=host.id,
         incarnation=incarnation,
         data_centre=host.data_centre,
@@ -115,12 +115,12 @@
     )
     return Node(
         settings=settings,
-        membership=Membership(me, settings.peers.dead_after_ms / 1000),
+        membership=Membership(own_member, settings.peers.dead_after_ms / 1000),
         table=Table(),
         fleet=Fleet(settings.groups.freshness_ms / 1000, settings.groups.give_up_ms / 1000),
         prefixes=PrefixIndex(),
-        admission=Admission(0, settings.requests.max_queued),
-        shares=ShareBook(Node.instance_of(me), settings.limits.loan_ms / 1000),
+        admission=AdmissionController(0, settings.requests.max_queued),
+        shares=LocalShares(Node.instance_of(own_member), settings.limits.loan_ms / 1000),
         metrics=Metrics(),
         rng=rng,
     )
--- a/yewloom/observers.py
+++ b/yewloom/observers.py
@@ -16,7 +16,7 @@
 from yewloom.schema.records_pb2 import Group, GroupMember, HostReport, ServiceEndpoint
 
 
-class Observer:
+class EndpointProber:
     """Probes the endpoints that are assigned to this entry host."""
 
     def __init__(self, node: Node, endpoints: Endpoints) -> None:
@@ -41,7 +41,7 @@
             for endpoint in services:
                 nursery.start_soon(self._probe_service, endpoint)
         for group in groups:
-            self._node.fleet.sum_up(group, trio.current_time())
+            self._node.fleet.aggregate_probes(group, trio.current_time())
             self._apply_cache_events(group)
 
     async def probe_members(self, members: Iterable[GroupMember]) -> None:
--- a/yewloom/operations.py
+++ b/yewloom/operations.py
@@ -7,14 +7,14 @@
 from google.protobuf import json_format
 from result import Err, Ok, Result
 
-from yewloom.http_calls import HttpCaller, HttpCallError
+from yewloom.http_calls import HttpCallError, HttpClient
 from yewloom.ids import AttemptId, RowName
 from yewloom.platforms import Platform, StoredObject
 from yewloom.schema.table_pb2 import Row, RowChange, VersionedRow
 from yewloom.tables import TABLE_PREFIX, TableError, contains_attempt, delete_row, edit_row
 from yewloom.values import value_class
 from yewloom.watchers import parse_row
-from yewloom.writes import RecordError, WriteConflict, WriteError, write_settled
+from yewloom.writes import RecordError, WriteConflict, WriteError, write_until_settled
 
 _WRITE_TIMEOUT_S = 10.0
 
@@ -23,11 +23,11 @@
 class OperationError:
     """Why an operation failed; ``is_conflict`` means that the row was changed by another edit."""
 
-    sentence: str
+    message: str
     is_conflict: bool = False
 
     def __str__(self) -> str:
-        return self.sentence
+        return self.message
 
 
 @value_class
@@ -96,7 +96,7 @@
     )
     match _edited_row(edit, current, change):
         case Err(table_error):
-            return Err(OperationError(table_error.sentence))
+            return Err(OperationError(table_error.message))
         case Ok(row):
             return await _write(platform, edit.name, row, version)
 
@@ -115,7 +115,7 @@
     platform: Platform, name: RowName, row: Row, version: int
 ) -> Result[VersionedRow, OperationError]:
     attempt = AttemptId(row.history[-1].attempt_id)
-    written = await write_settled(
+    written = await write_until_settled(
         platform,
         f"{TABLE_PREFIX}{name}",
         row,
@@ -156,10 +156,10 @@
     """Format the cells of a row as ``cell=value`` pairs."""
     if row.row.deleted:
         return "deleted"
-    return " ".join(f"{name}={value}" for name, value in flat_cells(row).items())
+    return " ".join(f"{name}={value}" for name, value in cells_by_path(row).items())
 
 
-def flat_cells(row: VersionedRow) -> dict[str, Any]:
+def cells_by_path(row: VersionedRow) -> dict[str, Any]:
     """Return the cells of a row by their dotted names."""
     kind = row.row.WhichOneof("cells")
     if kind is None:
@@ -183,7 +183,7 @@
 
 
 async def read_entry_host(
-    caller: HttpCaller, url: str, path: str = "/status"
+    caller: HttpClient, url: str, path: str = "/status"
 ) -> Result[dict[str, Any], OperationError]:
     """Read the status of one entry host, or another of its JSON pages."""
     try:
--- a/yewloom/order_counts.py
+++ b/yewloom/order_counts.py
@@ -7,7 +7,7 @@
 
 from yewloom.directory import GroupKey
 from yewloom.ids import HostId
-from yewloom.process_starts import is_same_process
+from yewloom.process_starts import may_be_same_process
 from yewloom.replica_orders import (
     EngineOrder,
     EngineReport,
@@ -17,7 +17,7 @@
 )
 from yewloom.values import value_class
 
-_ACCEPTED = (OrderAnswer.BEGUN, OrderAnswer.HOLDS)
+_ACCEPTED = (OrderAnswer.STARTED, OrderAnswer.UNCHANGED)
 
 
 @value_class
@@ -28,7 +28,7 @@
     """
 
     started_unix_ms: int
-    sequence: int
+    order_count: int
     group: GroupKey | None
 
 
@@ -45,15 +45,15 @@
     def get(self, engine: HostId, started_unix_ms: int) -> KnownCount | None:
         """Return the known count of a process (0 for any process), or None if unknown."""
         known = self._counts_by_engine.get(engine)
-        if known is None or not is_same_process(known.started_unix_ms, started_unix_ms):
+        if known is None or not may_be_same_process(known.started_unix_ms, started_unix_ms):
             return None
         return known
 
     def record_report(self, engine: HostId, report: EngineReport) -> KnownCount:
         """Record a report unless an answer is more recent; return the current count."""
         known = self.get(engine, report.started_unix_ms)
-        if known is None or report.sequence > known.sequence:
-            known = KnownCount(report.started_unix_ms, report.sequence, report.group)
+        if known is None or report.order_count > known.order_count:
+            known = KnownCount(report.started_unix_ms, report.order_count, report.group)
             self._counts_by_engine[engine] = known
         return known
 
@@ -61,26 +61,28 @@
         self,
         engine: HostId,
         order: EngineOrder,
-        expected_sequence: int | None,
+        expected_order_count: int | None,
         answer: OrderAnswer,
     ) -> None:
         """Record an answer to an order, which named the expected count or None.
 
-        ``BEGUN`` means that the count was incremented. ``HOLDS`` means that nothing changed, except
-        for a leave: it completes immediately, so it incremented the count if the engine was in the
-        named group. Without an expected count, the engine may have been in a state other than the
-        known one.
+        ``STARTED`` means that the count was incremented. ``UNCHANGED`` means that nothing changed,
+        except for a leave: it completes immediately, so it incremented the count if the engine was
+        in the named group. Without an expected count, the engine may have been in a state other
+        than the known one.
         """
         known = self._counts_by_engine.pop(engine, None)
         if known is None:
             return
-        is_proof = answer is OrderAnswer.BEGUN or expected_sequence is not None
+        is_proof = answer is OrderAnswer.STARTED or expected_order_count is not None
         if answer not in _ACCEPTED or not is_proof:
             return
         is_departure = isinstance(order, LeaveGroup) and known.group == order.key
-        is_incremented = answer is OrderAnswer.BEGUN or is_departure
+        is_incremented = answer is OrderAnswer.STARTED or is_departure
         self._counts_by_engine[engine] = KnownCount(
-            known.started_unix_ms, known.sequence + is_incremented, _group_after(order, known.group)
+            known.started_unix_ms,
+            known.order_count + is_incremented,
+            _group_after(order, known.group),
         )
 
 
--- a/yewloom/order_delivery.py
+++ b/yewloom/order_delivery.py
@@ -16,7 +16,7 @@
 from yewloom.ids import HostId
 from yewloom.order_counts import KnownCount, OrderCounts
 from yewloom.plan_state import Departure, PlannedOrder, PlanState
-from yewloom.process_starts import is_same_process
+from yewloom.process_starts import may_be_same_process
 from yewloom.replica_orders import (
     REPORT_TIMEOUT_S,
     EngineOrders,
@@ -30,7 +30,7 @@
 logger = structlog.get_logger(__name__)
 
 _UNANSWERED = (OrderAnswer.UNREACHABLE, OrderAnswer.UNKNOWN)
-_HAS_LEFT = (OrderAnswer.BEGUN, OrderAnswer.HOLDS, OrderAnswer.OTHER_ENGINE)
+_HAS_LEFT = (OrderAnswer.STARTED, OrderAnswer.UNCHANGED, OrderAnswer.WRONG_ENGINE)
 """Answers to an order to leave after which the engine no longer belongs to the group."""
 
 STALE_PAUSES_S = (0.1, 0.2, 0.4)
@@ -60,11 +60,11 @@
         self._metrics = metrics
         self._counts = OrderCounts()
 
-    def forget_sequences(self) -> None:
+    def clear_order_counts(self) -> None:
         """Discard the known order counts, as another coordinator may have sent orders."""
         self._counts.clear()
 
-    def give(self, orders: Iterable[PlannedOrder], tasks: BackgroundTasks) -> None:
+    def send_all(self, orders: Iterable[PlannedOrder], tasks: BackgroundTasks) -> None:
         """Send all orders concurrently without waiting for the answers.
 
         An order to an engine that is still processing another one is left to the next plan.
@@ -81,7 +81,7 @@
             self._state.reschedule(planned)
             return
         answer = await self._send(planned, sequence)
-        if answer is OrderAnswer.OUT_OF_DATE and isinstance(planned.order, LeaveGroup):
+        if answer is OrderAnswer.REFUSED and isinstance(planned.order, LeaveGroup):
             # Leaving affects no other group, so it is safe to send without a count.
             await self._send(planned, None)
 
@@ -116,7 +116,7 @@
                 return await self._sequence_to_load(planned)
             case LeaveGroup(key=key):
                 known = self._counts.get(planned.engine, planned.started_unix_ms)
-                return known.sequence if known is not None and known.group == key else None
+                return known.order_count if known is not None and known.group == key else None
         return None
 
     async def _sequence_to_load(self, planned: PlannedOrder) -> int | None:
@@ -128,7 +128,7 @@
         """
         known = self._counts.get(planned.engine, planned.started_unix_ms)
         if known is not None:
-            return known.sequence
+            return known.order_count
         try:
             report = await self._report(planned, REPORT_TIMEOUT_S)
         except _NoReportError:
@@ -136,7 +136,7 @@
         if report.is_busy:
             self._state.record_busy(planned.engine, trio.current_time())
             raise _OrderNotSentError("engine is executing another order")
-        return self._counts.record_report(planned.engine, report).sequence
+        return self._counts.record_report(planned.engine, report).order_count
 
     async def _sequence_to_join(self, planned: PlannedOrder, key: GroupKey) -> int:
         """Return the count of an engine, after making sure that it is in no group but ``key``.
@@ -148,13 +148,13 @@
         """
         current = await self._fresh_count(planned)
         if current.group is None or current.group == key:
-            return current.sequence
+            return current.order_count
         leave = LeaveGroup(current.group)
-        answer = await self._send(replace(planned, order=leave), current.sequence)
+        answer = await self._send(replace(planned, order=leave), current.order_count)
         after_leave = self._counts.get(planned.engine, planned.started_unix_ms)
         if after_leave is None or after_leave.group is not None:
             raise _OrderNotSentError(f"engine did not leave {current.group}: {answer.value}")
-        return after_leave.sequence
+        return after_leave.order_count
 
     async def _fresh_count(self, planned: PlannedOrder) -> KnownCount:
         """Query an engine until its report is at least as recent as its answers to orders."""
@@ -174,13 +174,13 @@
         report = await self._engine_orders.read_report(planned.address, timeout_s)
         if report is None:
             raise _NoReportError("engine does not answer")
-        if not is_same_process(planned.started_unix_ms, report.started_unix_ms):
+        if not may_be_same_process(planned.started_unix_ms, report.started_unix_ms):
             raise _OrderNotSentError("engine process was restarted")
         return report
 
     def _record_acceptance(self, planned: PlannedOrder, answer: OrderAnswer) -> None:
         """Record whether an engine accepted an order; a refused order is scheduled again."""
-        if answer is OrderAnswer.OUT_OF_DATE:
+        if answer is OrderAnswer.REFUSED:
             self._state.record_refused(planned, trio.current_time())
         else:
             self._state.record_accepted(planned)
--- a/yewloom/own_state.py
+++ b/yewloom/own_state.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Callable, Sequence
 
-from yewloom.configuration import ConfigurationBook
-from yewloom.follow_duty import Standing
+from yewloom.configuration import ConfigurationState
+from yewloom.follow_duty import FollowStatus
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import DataCentreId, EntryHostId
 from yewloom.peer_topics import PeerTopic
@@ -15,7 +15,7 @@
 
 
 @value_class
-class EntryIdentity:
+class EntryHostProcess:
     """Identifies one process of an entry host; successive processes differ in their start time."""
 
     host_id: EntryHostId
@@ -23,32 +23,32 @@
     started_unix_ms: int
 
 
-class OwnState:
+class OwnStateBuilder:
     """Collects this host's state, with sequence numbers by which peers recognise the latest one."""
 
     def __init__(
         self,
-        me: EntryIdentity,
-        book: ConfigurationBook,
+        me: EntryHostProcess,
+        configuration_state: ConfigurationState,
         selector: Selector,
         stalls: StallDetector,
         followed_endpoints: FollowedPosition,
-        standing: Callable[[], Standing],
+        status: Callable[[], FollowStatus],
         topics: Sequence[PeerTopic],
     ) -> None:
         self._topics = topics
         self._me = me
-        self._book = book
+        self._configuration_state = configuration_state
         self._selector = selector
         self._stalls = stalls
         self._followed_endpoints = followed_endpoints
-        self._standing = standing
+        self._status = status
         self._sequence = 0
 
     def next_state(self, now_s: float) -> EntryState:
         """Return the state at ``now_s`` with the next sequence number."""
         self._sequence += 1
-        configuration, standing = self._book.current, self._standing()
+        configuration, status = self._configuration_state.current, self._status()
         state = EntryState(
             host_id=self._me.host_id,
             data_centre=self._me.data_centre,
@@ -56,21 +56,21 @@
             sequence=self._sequence,
             sent_ms=int(now_s * 1000),
             configuration_version=configuration.version if configuration is not None else 0,
-            configuration_age_ms=self._book.stated_age_ms(now_s),
+            configuration_age_ms=self._configuration_state.reported_age_ms(now_s),
             loads=[
                 EndpointLoad(endpoint=endpoint, running=running)
-                for endpoint, running in self._selector.running().items()
+                for endpoint, running in self._selector.running_here().items()
             ],
-            stalled=self._stalls.reported(now_s),
+            stalled=self._stalls.reported_stalled(now_s),
             unreachable=self._stalls.reported_unreachable(now_s),
             moving=[
                 GroupMovement(leader=leader, age_ms=math.ceil(age_s * 1000))
-                for leader, age_s in self._stalls.moving(now_s).items()
+                for leader, age_s in self._stalls.progressing(now_s).items()
             ],
-            can_follow=standing.can_follow,
-            is_coordinator=standing.is_coordinator,
+            can_follow=status.can_follow,
+            is_coordinator=status.is_coordinator,
             listing=self._followed_endpoints.report(now_s),
         )
         for topic in self._topics:
-            topic.write(state, now_s)
+            topic.add_fields(state, now_s)
         return state
--- a/yewloom/peer_configurations.py
+++ b/yewloom/peer_configurations.py
@@ -14,8 +14,8 @@
 import trio
 from google.protobuf.message import DecodeError
 
-from yewloom.caller_messages import CallerRequest, Reply
-from yewloom.configuration import ConfigurationBook
+from yewloom.caller_messages import CallerRequest, ResponseWriter
+from yewloom.configuration import ConfigurationState
 from yewloom.endpoint_calls import (
     CONNECT_TIMEOUT_S,
     ExchangeError,
@@ -57,39 +57,40 @@
 class PeerConfigurations:
     """Sends the configuration to peers on request, and requests it from them.
 
-    ``addresses_knowing`` returns the addresses of the peers that have at least a given version.
+    ``addresses_with_version`` returns the addresses of the peers that have at least a given
+    version.
     """
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        configuration_state: ConfigurationState,
         receiver: ConfigurationReceiver,
-        addresses_knowing: Callable[[int], Iterable[str]],
+        addresses_with_version: Callable[[int], Iterable[str]],
     ) -> None:
-        self._book = book
+        self._configuration_state = configuration_state
         self._receiver = receiver
-        self._addresses_knowing = addresses_knowing
+        self._addresses_with_version = addresses_with_version
 
-    async def answer(self, request: CallerRequest, reply: Reply) -> None:
+    async def answer(self, request: CallerRequest, reply: ResponseWriter) -> None:
         """Answer a peer's request with the configuration in its stored form."""
         stored = self._receiver.latest
         if stored is None:
-            await reply.send_whole(NOT_FOUND, [], b"")
+            await reply.send_complete(NOT_FOUND, [], b"")
             return
         shared = SharedObject(key=stored.key, version=stored.version, value=stored.value)
-        await reply.send_whole(OK, [], shared.SerializeToString())
+        await reply.send_complete(OK, [], shared.SerializeToString())
 
     async def run(self) -> None:
         """Until cancelled, get newer configurations from peers if the store does not send them."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
-            if self._book.is_outdated:
+            if self._configuration_state.is_outdated:
                 await trio.sleep(STORE_HEAD_START_S)
                 await self._fetch_from_peers()
 
     async def _fetch_from_peers(self) -> None:
-        for address in self._addresses_knowing(self._book.newest_version):
-            if not self._book.is_outdated:
+        for address in self._addresses_with_version(self._configuration_state.newest_version):
+            if not self._configuration_state.is_outdated:
                 return
             await self._fetch(address)
 
@@ -112,6 +113,6 @@
     """Return a peer's configuration; None if it has none."""
     async with open_exchange(address, CONNECT_TIMEOUT_S) as exchange:
         await exchange.send(_REQUEST)
-        head = await exchange.head()
-        body = await exchange.whole_body()
+        head = await exchange.read_head()
+        body = await exchange.read_body()
     return SharedObject.FromString(body) if head.status == OK else None
--- a/yewloom/peer_intake.py
+++ b/yewloom/peer_intake.py
@@ -4,8 +4,8 @@
 
 import structlog
 
-from yewloom.configuration import ConfigurationBook
-from yewloom.entry_states import ConfirmedConfiguration, PeerBoard
+from yewloom.configuration import ConfigurationState
+from yewloom.entry_states import ConfirmedConfiguration, PeerStates
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import HostId
 from yewloom.listed_endpoints import ChangedEndpoints, decode_changes
@@ -24,8 +24,8 @@
 
     def __init__(
         self,
-        board: PeerBoard,
-        book: ConfigurationBook,
+        peer_states: PeerStates,
+        configuration_state: ConfigurationState,
         followed_endpoints: FollowedPosition,
         apply_changes: Callable[[ChangedEndpoints], None],
         reports: PeerReports,
@@ -33,8 +33,8 @@
         topics: Sequence[PeerTopic],
     ) -> None:
         self._topics = topics
-        self._board = board
-        self._book = book
+        self._peer_states = peer_states
+        self._configuration_state = configuration_state
         self._followed_endpoints = followed_endpoints
         self._apply_changes = apply_changes
         self._reports = reports
@@ -53,7 +53,7 @@
                 self._process_endpoint_changes(message.changes)
 
     def _process_state(self, state: EntryState, now_s: float, arrived_s: float) -> None:
-        confirmed = self._board.take(state, now_s)
+        confirmed = self._peer_states.update(state, now_s)
         if confirmed.configuration is not None:
             self._process_configuration(confirmed.configuration)
         if confirmed.listing is not None:
@@ -67,15 +67,15 @@
         for group in state.moving:
             self._reports.on_progress(HostId(group.leader), group.age_ms / 1000, arrived_s)
         for topic in self._topics:
-            topic.take(state, arrived_s, now_s)
+            topic.process(state, arrived_s, now_s)
 
     def _process_configuration(self, confirmed: ConfirmedConfiguration) -> None:
-        current = self._book.current
-        self._book.note_version(confirmed.version)
+        current = self._configuration_state.current
+        self._configuration_state.record_version(confirmed.version)
         if current is None:
             return
         if confirmed.version == current.version:
-            self._book.confirm(confirmed.confirmed_s)
+            self._configuration_state.confirm(confirmed.confirmed_s)
         elif confirmed.version > max(current.version, self._requested_version):
             self._requested_version = confirmed.version
             logger.info("peer has a newer configuration", version=confirmed.version)
--- a/yewloom/peer_topics.py
+++ b/yewloom/peer_topics.py
@@ -8,10 +8,10 @@
 class PeerTopic(Protocol):
     """A component's part of the messages sent to peers and received from them."""
 
-    def write(self, state: EntryState, now_s: float) -> None:
+    def add_fields(self, state: EntryState, now_s: float) -> None:
         """Add this topic's fields to an outgoing message."""
         ...
 
-    def take(self, state: EntryState, came_s: float, now_s: float) -> None:
-        """Process a peer's message read at ``now_s`` that arrived at ``came_s`` at the earliest."""
+    def process(self, state: EntryState, arrived_s: float, now_s: float) -> None:
+        """Process a message read at ``now_s`` that arrived no earlier than ``arrived_s``."""
         ...
--- a/yewloom/peers.py
+++ b/yewloom/peers.py
@@ -42,13 +42,13 @@
         self, request: ExchangeRequest, context: object
     ) -> ExchangeResponse:
         """Return this entry host's state to a peer."""
-        return exchange.answer(self._node, request, trio.current_time())
+        return exchange.build_response(self._node, request, trio.current_time())
 
     async def FetchRows(  # noqa: N802 - name given by the schema
         self, request: FetchRowsRequest, context: object
     ) -> FetchRowsResponse:
         """Return the rows that a peer lacks."""
-        return exchange.answer_rows(self._node, request)
+        return exchange.build_rows_response(self._node, request)
 
 
 class PeerExchange:
@@ -106,10 +106,10 @@
         asked_s = trio.current_time()
         stub = peer_pb2_grpc.PeerStub(self._channel(address))  # type: ignore[no-untyped-call]
         try:
-            request = exchange.ask(self._node, asked_s, wants_members)
+            request = exchange.build_request(self._node, asked_s, wants_members)
             response = await self._call(stub.Exchange, request)
-            if exchange.take_in(self._node, response, asked_s, trio.current_time()):
-                rows = await self._call(stub.FetchRows, exchange.ask_rows(self._node))
+            if exchange.apply_response(self._node, response, asked_s, trio.current_time()):
+                rows = await self._call(stub.FetchRows, exchange.build_rows_request(self._node))
                 exchange.apply_rows(self._node, rows.rows, f"peer {response.responder.id}")
         except grpc.aio.AioRpcError as error:
             logger.debug("exchange failed", peer=address, reason=error.details())
@@ -172,8 +172,8 @@
     server = grpc.aio.server()
     servicer = PeerServicer(node)
     peer_pb2_grpc.add_PeerServicer_to_server(servicer, server)  # type: ignore[no-untyped-call]
-    port = _bind(server, node.membership.me.peer_address, node.settings.tls)
-    node.membership.me.peer_address = f"{node.settings.host.listen_ip}:{port}"
+    port = _bind(server, node.membership.own_member.peer_address, node.settings.tls)
+    node.membership.own_member.peer_address = f"{node.settings.host.listen_ip}:{port}"
     await trio_asyncio.aio_as_trio(server.start)()
     task_status.started()
     try:
--- a/yewloom/placement.py
+++ b/yewloom/placement.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from yewloom.drafts import Draft, Plan
+from yewloom.drafts import Draft, PlacementPlan
 from yewloom.formation import form_groups
 from yewloom.groups import GroupObservation, HostObservation
 from yewloom.ids import AttemptId, EntryHostId, GroupId, HostId, PolicyName
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Planner:
+class PlacementPlanner:
     """Plans the next placement.
 
     Its only state is when each group was first seen loading or idle, and each host free. A host
@@ -56,10 +56,12 @@
     _idle_since_s: dict[GroupId, float] = field(default_factory=dict)
     _free_since_s: dict[HostId, float] = field(default_factory=dict)
 
-    def plan(self, current: Placement, fleet: FleetState, now_s: float, attempt: AttemptId) -> Plan:
+    def plan(
+        self, current: Placement, fleet: FleetState, now_s: float, attempt: AttemptId
+    ) -> PlacementPlan:
         """Return the placement that should follow the current one."""
         if not _has_fresh_observation(fleet, now_s, self.timing.freshness_s):
-            return Plan(None)
+            return PlacementPlan(None)
         draft = Draft(current, self.writer, attempt)
         self._retire_groups(draft, fleet, now_s)
         if fleet.listed is not None:
--- a/yewloom/plan_state.py
+++ b/yewloom/plan_state.py
@@ -90,7 +90,7 @@
 
     ``transition_since_s``: since when a group has been forming or draining.
     ``abandoned_since_s``: when an abandoned group was first seen.
-    ``due_s``: when an order may be sent again; ``refusals``: how often it was refused.
+    ``next_send_s``: when an order may be sent again; ``refusals``: how often it was refused.
     ``busy_until_s``: until when an engine is assumed to execute another coordinator's order.
     ``leaving_since_s``: since when a serving group has had a leaving member.
     ``departures``: departures from groups that engines confirmed.
@@ -99,16 +99,17 @@
     ``unresponsive``: hosts whose latest order had no answer.
     ``suspects``: listed hosts that did not answer a query.
     ``unlisted_since_s``: since when a recorded member has been missing from listings.
-    ``answered_s``: when a host that is not listed last answered.
+    ``last_answer_s``: when a host that is not listed last answered.
     ``stalled_s``: when a group was last reported as stalled.
-    ``staging``: loads in progress; ``load_times_s``: when recent loads were started.
+    ``loads_in_progress``: loads that were ordered and have not finished.
+    ``recent_load_starts_s``: when recent loads were started.
     ``known_hosts``: hosts listed so far; ``last_new_host_s``: when the last of them appeared.
     ``started_unix_ms``: start of the engine process that was last listed for a host.
     """
 
     transition_since_s: dict[GroupKey, float] = field(default_factory=dict)
     abandoned_since_s: dict[GroupKey, float] = field(default_factory=dict)
-    due_s: dict[OrderId, float] = field(default_factory=dict)
+    next_send_s: dict[OrderId, float] = field(default_factory=dict)
     refusals: Counter[OrderId] = field(default_factory=Counter)
     busy_until_s: dict[HostId, float] = field(default_factory=dict)
     leaving_since_s: dict[GroupKey, float] = field(default_factory=dict)
@@ -116,12 +117,12 @@
     ended_groups: set[GroupKey] = field(default_factory=set)
     leader_seen_joined: set[GroupKey] = field(default_factory=set)
     unresponsive: set[HostId] = field(default_factory=set)
-    staging: dict[HostId, Staging] = field(default_factory=dict)
+    loads_in_progress: dict[HostId, Staging] = field(default_factory=dict)
     unlisted_since_s: dict[HostId, float] = field(default_factory=dict)
-    answered_s: dict[HostId, float] = field(default_factory=dict)
+    last_answer_s: dict[HostId, float] = field(default_factory=dict)
     stalled_s: dict[GroupKey, float] = field(default_factory=dict)
     suspects: set[HostId] = field(default_factory=set)
-    load_times_s: list[float] = field(default_factory=list)
+    recent_load_starts_s: list[float] = field(default_factory=list)
     known_hosts: set[HostId] = field(default_factory=set)
     last_new_host_s: float = 0.0
     started_unix_ms: dict[HostId, int] = field(default_factory=dict)
@@ -133,7 +134,12 @@
         self.started_unix_ms[host] = started_unix_ms
         self.suspects.discard(host)
         self.unresponsive.discard(host)
-        for known in (self.staging, self.busy_until_s, self.unlisted_since_s, self.answered_s):
+        for known in (
+            self.loads_in_progress,
+            self.busy_until_s,
+            self.unlisted_since_s,
+            self.last_answer_s,
+        ):
             known.pop(host, None)
 
     def clear_observations(self) -> None:
@@ -141,7 +147,7 @@
         for observations in (
             self.transition_since_s,
             self.abandoned_since_s,
-            self.due_s,
+            self.next_send_s,
             self.refusals,
             self.busy_until_s,
             self.leaving_since_s,
@@ -150,7 +156,7 @@
             self.leader_seen_joined,
             self.unresponsive,
             self.unlisted_since_s,
-            self.answered_s,
+            self.last_answer_s,
             self.stalled_s,
             self.suspects,
         ):
@@ -160,32 +166,32 @@
         """Return whether an engine confirmed that it left a group."""
         return Departure(host, key) in self.departures
 
-    def is_silent(self, host: HostId) -> bool:
+    def is_unresponsive(self, host: HostId) -> bool:
         """Return whether an engine recently failed to answer.
 
         This is a reason to query other engines, but no proof that the engine has failed.
         """
         return host in self.suspects or host in self.unresponsive
 
-    def may_order(self, planned: PlannedOrder, now_s: float) -> bool:
+    def mark_sent_if_due(self, planned: PlannedOrder, now_s: float) -> bool:
         """Return whether an order is due, and if so record it as sent."""
-        name = order_name(planned)
-        if now_s < self.due_s.get(name, float("-inf")):
+        name = order_id(planned)
+        if now_s < self.next_send_s.get(name, float("-inf")):
             return False
-        self.due_s[name] = now_s + ORDER_REPEAT_S
+        self.next_send_s[name] = now_s + ORDER_REPEAT_S
         return True
 
     def reschedule(self, planned: PlannedOrder, due_s: float = float("-inf")) -> None:
-        """Record that an order had no effect, so that it may be sent again from ``due_s`` on."""
-        self.due_s[order_name(planned)] = due_s
+        """Record that an order had no effect; it may be sent again from ``next_send_s`` on."""
+        self.next_send_s[order_id(planned)] = due_s
         if isinstance(planned.order, StageModel):
-            staging = self.staging.pop(planned.engine, None)
-            if staging is not None and staging.since_s in self.load_times_s:
-                self.load_times_s.remove(staging.since_s)
+            staging = self.loads_in_progress.pop(planned.engine, None)
+            if staging is not None and staging.since_s in self.recent_load_starts_s:
+                self.recent_load_starts_s.remove(staging.since_s)
 
     def record_refused(self, planned: PlannedOrder, now_s: float) -> None:
         """Record that an engine refused an order, which becomes due again after a pause."""
-        name = order_name(planned)
+        name = order_id(planned)
         pause_s = min(REFUSED_PAUSE_S * 2 ** self.refusals[name], ORDER_REPEAT_S)
         self.refusals[name] += 1
         self.reschedule(planned, now_s + pause_s)
@@ -194,7 +200,7 @@
 
     def record_accepted(self, planned: PlannedOrder) -> None:
         """Record that an engine accepted an order."""
-        self.refusals.pop(order_name(planned), None)
+        self.refusals.pop(order_id(planned), None)
 
     def record_busy(self, engine: HostId, now_s: float) -> None:
         """Record that an engine is executing another order and cannot load weights."""
@@ -210,7 +216,7 @@
     return GroupKey(GroupId(group.id), group.generation)
 
 
-def order_name(planned: PlannedOrder) -> OrderId:
+def order_id(planned: PlannedOrder) -> OrderId:
     """Return the identity under which an order is recorded."""
     order = planned.order
     return OrderId(planned.engine, type(order).__name__, getattr(order, "key", None))
--- a/yewloom/planned_stop.py
+++ b/yewloom/planned_stop.py
@@ -49,15 +49,15 @@
         self._requested_s = math.inf
         self.stops_accepting_s = math.inf
         """When the host stops accepting requests."""
-        self.ends_s = math.inf
+        self.finish_by_s = math.inf
         """When the last requests without a response must get one."""
         self.exit_s = math.inf
         """When the process exits, whatever is still open."""
 
     @property
-    def is_begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Return whether the stop has begun."""
-        return self.ends_s < math.inf
+        return self.finish_by_s < math.inf
 
     def begin(self, requested_s: float, unnoticed_s: float = 0.0) -> None:
         """Compute the times from when the stop was requested; only the first request counts.
@@ -66,7 +66,7 @@
         readiness checks have failed since then, so the deregistration delay starts then, too.
         Requests keep their full time.
         """
-        if self.is_begun:
+        if self.has_begun:
             return
         self._requested_s = requested_s
         deregistration_s = min(DEREGISTRATION_DELAY_S, self._grace_s * MAX_DEREGISTRATION_SHARE)
@@ -75,7 +75,7 @@
 
     def add_delay(self, late_s: float) -> None:
         """Record a scheduling delay of the process; after long delays it exits earlier."""
-        if self.is_begun:
+        if self.has_begun:
             max_s = self._grace_s * (1 - PROTECTED_WORK_SHARE) - FINAL_RESPONSES_MARGIN_S
             self._reserve_for_exit(min(late_s * EXIT_DELAY_FACTOR, MAX_EXIT_MARGIN_S, max_s))
 
@@ -83,17 +83,17 @@
         """Reserve time for the exit of the process; a smaller margin than before has no effect."""
         final_responses_s = margin_s + FINAL_RESPONSES_MARGIN_S
         self.exit_s = min(self.exit_s, self._requested_s + max(0.0, self._grace_s - margin_s))
-        self.ends_s = min(
-            self.ends_s, self._requested_s + max(0.0, self._grace_s - final_responses_s)
+        self.finish_by_s = min(
+            self.finish_by_s, self._requested_s + max(0.0, self._grace_s - final_responses_s)
         )
 
     def cut_off_s(self, open_requests: int) -> float:
         """Return when to start cutting off open requests so that all have ended in time."""
-        max_s = max(0.0, self.ends_s - self.stops_accepting_s) * MAX_CUT_OFF_SHARE
-        cut_off_s = self.ends_s - min(open_requests * CUT_OFF_TIME_PER_REQUEST_S, max_s)
+        max_s = max(0.0, self.finish_by_s - self.stops_accepting_s) * MAX_CUT_OFF_SHARE
+        cut_off_s = self.finish_by_s - min(open_requests * CUT_OFF_TIME_PER_REQUEST_S, max_s)
         work_ends_s = self._requested_s + self._grace_s * PROTECTED_WORK_SHARE
-        return min(self.ends_s, max(cut_off_s, work_ends_s))
+        return min(self.finish_by_s, max(cut_off_s, work_ends_s))
 
-    def has_time_for(self, usual_s: float, now_s: float) -> bool:
-        """Return whether work that usually takes ``usual_s`` would finish before the stop does."""
-        return now_s + usual_s <= self.ends_s
+    def has_time_for(self, duration_s: float, now_s: float) -> bool:
+        """Return whether work that takes ``duration_s`` would finish before the stop does."""
+        return now_s + duration_s <= self.finish_by_s
--- a/yewloom/platform/__main__.py
+++ b/yewloom/platform/__main__.py
@@ -22,11 +22,11 @@
     gc.disable()  # Objects created by the imports live as long as the process.
     from pathlib import Path
 
-    from yewloom.early_listener import open_early
+    from yewloom.early_listener import open_early_listener
     from yewloom.platform.names import DEADLINE_HEADER
 
     settings = Path(os.environ.get(SETTINGS_VARIABLE, ""))
-    listener = open_early(settings, DEADLINE_HEADER)
+    listener = open_early_listener(settings, DEADLINE_HEADER)
     if listener is not None:
         listener.start()
     from yewloom.platform.program import main
--- a/yewloom/platform/engines.py
+++ b/yewloom/platform/engines.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from yewloom.directory import GroupKey
-from yewloom.http_calls import HttpCaller, HttpCallError, HttpFailure
+from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure
 from yewloom.ids import HostId
 from yewloom.platform.bodies import read_body
 from yewloom.platform.records import DECODE_ERRORS, membership_of, process_start_unix_ms
@@ -25,34 +25,39 @@
 """Time-out for an engine's answer to an order: engines answer within milliseconds or not at all."""
 
 _ANSWERS_BY_STATUS = {
-    200: OrderAnswer.HOLDS,
-    202: OrderAnswer.BEGUN,
-    400: OrderAnswer.OUT_OF_DATE,
-    409: OrderAnswer.OUT_OF_DATE,
-    412: OrderAnswer.OUT_OF_DATE,
-    421: OrderAnswer.OTHER_ENGINE,
+    200: OrderAnswer.UNCHANGED,
+    202: OrderAnswer.STARTED,
+    400: OrderAnswer.REFUSED,
+    409: OrderAnswer.REFUSED,
+    412: OrderAnswer.REFUSED,
+    421: OrderAnswer.WRONG_ENGINE,
 }
 
 
-class HttpEngineOrders:
+class HttpEngineClient:
     """Sends orders to engines, and reads their reports, over HTTP."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, caller: HttpClient) -> None:
         self._caller = caller
 
     async def send(
-        self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
+        self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
-        """Send an order; the engine rejects it if its sequence is not ``expected_sequence``."""
+        """Send an order; an engine with another order count than the expected rejects it."""
         fields = order_fields(order)
-        if expected_sequence is not None:
+        if expected_order_count is not None:
             # The wire's "expectedRev" is the number of orders that the engine has accepted.
-            fields["expectedRev"] = expected_sequence
+            fields["expectedRev"] = expected_order_count
         headers = {"content-type": "application/json", "yewloom-expect-instance": engine}
         url = f"http://{address}/order"
         try:
             answer = await self._caller.call(
-                "POST", url, ORDER_TIMEOUT_S, json.dumps(fields).encode(), headers, fresh=True
+                "POST",
+                url,
+                ORDER_TIMEOUT_S,
+                json.dumps(fields).encode(),
+                headers,
+                new_connection=True,
             )
         except HttpCallError as error:
             may_be_sent = error.failure is not HttpFailure.NOT_SENT
@@ -65,7 +70,7 @@
         """Read the report of an engine; return None without a valid answer in time."""
         url = f"http://{address}/report"
         try:
-            answer = await self._caller.call("GET", url, timeout_s, fresh=True)
+            answer = await self._caller.call("GET", url, timeout_s, new_connection=True)
             fields = read_body(answer.body)
             member = membership_of(fields)
             group = member.key if member is not None else None
--- a/yewloom/platform/headers.py
+++ b/yewloom/platform/headers.py
@@ -3,8 +3,14 @@
 import re
 from collections.abc import Sequence
 
-from yewloom.caller_headers import AnswerMarks, HeaderError, NamedLimit, RequestMarks, Sending
-from yewloom.endpoint_calls import AnswerHead, Header
+from yewloom.caller_headers import (
+    AnnouncedLimit,
+    ForwardingMetadata,
+    HeaderError,
+    RequestMetadata,
+    ResponseMetadata,
+)
+from yewloom.endpoint_calls import Header, ResponseHead
 from yewloom.ids import ModelName, RequestId
 from yewloom.platform.names import DEADLINE_HEADER
 
@@ -36,15 +42,15 @@
 _MAX_LOGGED_BYTES = 40
 
 
-class WireHeaders:
+class HttpHeaderCodec:
     """Translates the headers of requests from callers and of answers from endpoints."""
 
-    def decode_request(self, headers: Sequence[Header]) -> RequestMarks:
+    def decode_request(self, headers: Sequence[Header]) -> RequestMetadata:
         """Decode the headers of a request; raise HeaderError if one is invalid."""
         found = dict(headers)
         key = found.get(b"authorization")
         model = found.get(_MODEL)
-        return RequestMarks(
+        return RequestMetadata(
             request_id=RequestId(found.get(_REQUEST_ID, b"").decode("latin-1")),
             host=found.get(b"host", b"").decode("latin-1").partition(":")[0],
             api_key=_api_key(key) if key is not None else None,
@@ -53,7 +59,9 @@
             last_event_id=_integer_header(found, _LAST_EVENT_ID) or 0,
         )
 
-    def outgoing_headers(self, headers: Sequence[Header], sending: Sending) -> list[Header]:
+    def request_headers(
+        self, headers: Sequence[Header], sending: ForwardingMetadata
+    ) -> list[Header]:
         """Return the headers of a request to forward to an endpoint."""
         dropped = _listed_in_connection(headers) | _HOP_BY_HOP | _SET_BY_ENTRY_HOST
         if sending.last_event_id is not None:
@@ -67,36 +75,36 @@
             forwarded.append((_LAST_EVENT_ID, str(sending.last_event_id).encode()))
         return forwarded
 
-    def decode_answer(self, head: AnswerHead) -> AnswerMarks:
+    def decode_response(self, head: ResponseHead) -> ResponseMetadata:
         """Decode the headers of an answer."""
         request_id = head.get(_REQUEST_ID)
         is_not_run = head.get(_NOT_RUN) is not None or head.status == _MISDIRECTED_STATUS
-        return AnswerMarks(
+        return ResponseMetadata(
             request_id=RequestId(request_id.decode("latin-1")) if request_id else None,
             is_not_run=is_not_run,
             limit=_limit(head),
         )
 
-    def returned_headers(self, head: AnswerHead) -> list[Header]:
+    def response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the headers of an answer to forward to the caller, without framing headers."""
         dropped = _listed_in_connection(head.headers) | _HOP_BY_HOP | {b"content-length"}
         return [header for header in head.headers if header[0] not in dropped]
 
 
-def _limit(head: AnswerHead) -> NamedLimit:
+def _limit(head: ResponseHead) -> AnnouncedLimit:
     """Return the limit that an answer states.
 
     A misdirected request was answered by another process, whose limit says nothing about the
     endpoint.
     """
     if head.status == _MISDIRECTED_STATUS:
-        return NamedLimit(is_told=False)
+        return AnnouncedLimit(is_announced=False)
     text = head.get(_SERVER_LIMIT)
     if text is None:
-        return NamedLimit()
+        return AnnouncedLimit()
     if not _DECIMAL.fullmatch(text):
-        return NamedLimit(is_told=False, unreadable=repr(text[:_MAX_LOGGED_BYTES]))
-    return NamedLimit(float(text))
+        return AnnouncedLimit(is_announced=False, invalid_text=repr(text[:_MAX_LOGGED_BYTES]))
+    return AnnouncedLimit(float(text))
 
 
 def _api_key(value: bytes) -> str:
--- a/yewloom/platform/program.py
+++ b/yewloom/platform/program.py
@@ -17,13 +17,13 @@
 from yewloom.entry_host import EntryHost
 from yewloom.follow_times import follow_times
 from yewloom.forward_metrics import ForwardMetrics
-from yewloom.http_calls import HttpCaller
-from yewloom.log_sink import LogSink, set_up_logs
-from yewloom.loop_lateness import LoopLateness
-from yewloom.platform.engines import HttpEngineOrders
-from yewloom.platform.headers import WireHeaders
-from yewloom.platform.records import StoreRecords
-from yewloom.platform.store import ObjectStore
+from yewloom.http_calls import HttpClient
+from yewloom.log_sink import LogSink, configure_logs
+from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.platform.engines import HttpEngineClient
+from yewloom.platform.headers import HttpHeaderCodec
+from yewloom.platform.records import StoreRecordDecoder
+from yewloom.platform.store import StoreClient
 from yewloom.platform_parts import PlatformParts
 from yewloom.process_signals import ProcessSignals
 from yewloom.schema.entry_pb2 import EntrySettings
@@ -46,28 +46,28 @@
     settings: EntrySettings,
     rng: random.Random,
     metrics: ForwardMetrics,
-    lateness: LoopLateness,
+    loop_delay: LoopDelayMonitor,
 ) -> PlatformParts:
     """Create the parts of an entry host that depend on the platform."""
     store, watch_s = settings.store, follow_times(settings).watch_s
-    caller = HttpCaller(CONNECT_TIMEOUT_S, keep_alive_s=STORE_KEEP_ALIVE_S)
+    caller = HttpClient(CONNECT_TIMEOUT_S, keep_alive_s=STORE_KEEP_ALIVE_S)
     open_store = partial(
-        ObjectStore,
+        StoreClient,
         caller,
         store.address,
         store.timeout_ms / 1000,
         rng,
         on_call=metrics.on_store_call,
-        late_s=lateness.late_s,
+        loop_delay_s=loop_delay.delay_s,
     )
     return PlatformParts(
         configuration=open_store(watch_s=watch_s),
         endpoints=open_store(watch_s=watch_s),
         records_store=open_store(),
         stale_store=open_store(allows_stale=True),
-        records=StoreRecords(),
-        codec=WireHeaders(),
-        orders=HttpEngineOrders(caller),
+        records=StoreRecordDecoder(),
+        codec=HttpHeaderCodec(),
+        orders=HttpEngineClient(caller),
     )
 
 
@@ -87,16 +87,16 @@
     sink = LogSink(sys.stdout.fileno(), metrics.on_log_line_lost)
     match read_entry_settings(path):
         case Err(error):
-            set_up_logs("info", sink)
+            configure_logs("info", sink)
             logger.error("invalid settings", reason=str(error))
             return 2
         case Ok(settings):
             pass
-    set_up_logs(settings.host.log_level, sink, settings.host.id)
+    configure_logs(settings.host.log_level, sink, settings.host.id)
     rng = random.Random()
-    lateness = LoopLateness()
-    parts = build_parts(settings, rng, metrics, lateness)
-    host = EntryHost(settings, parts, metrics, rng, listener, lateness)
+    loop_delay = LoopDelayMonitor()
+    parts = build_parts(settings, rng, metrics, loop_delay)
+    host = EntryHost(settings, parts, metrics, rng, listener, loop_delay)
     _enable_garbage_collection()
 
     def end_process() -> None:
--- a/yewloom/platform/records.py
+++ b/yewloom/platform/records.py
@@ -11,7 +11,7 @@
     ReplicaModel,
     Service,
 )
-from yewloom.directory import Endpoint, GroupKey, Membership, MemberState
+from yewloom.directory import Endpoint, GroupKey, GroupMembership, MemberState
 from yewloom.ids import CustomerId, DataCentreId, GroupId, HostId, ModelName, RouteName, ServiceName
 from yewloom.platform.bodies import REPLACEMENT_CHARACTER
 from yewloom.platforms import StoredObject
@@ -37,7 +37,7 @@
 """Greatest generation of a group or rank of a member that messages to peers can carry."""
 
 
-class StoreRecords:
+class StoreRecordDecoder:
     """Decodes the objects that operators and endpoints write."""
 
     configuration_kind = "config"
@@ -156,13 +156,13 @@
     return ModelName(_check_text(item["name"] if isinstance(item, dict) else item))
 
 
-def membership_of(fields: Any) -> Membership | None:
+def membership_of(fields: Any) -> GroupMembership | None:
     """Decode the group membership of an endpoint, None without one; raise one of DECODE_ERRORS."""
     group = fields.get("group")
     if not group or not group.get("name"):
         return None
     key = GroupKey(GroupId(_check_text(group["name"])), _check_number(group["epoch"]))
-    return Membership(key, _check_number(group["rank"]), MemberState(group["state"]))
+    return GroupMembership(key, _check_number(group["rank"]), MemberState(group["state"]))
 
 
 def process_start_unix_ms(fields: Any) -> int:
--- a/yewloom/platform/standin_engine.py
+++ b/yewloom/platform/standin_engine.py
@@ -14,15 +14,15 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from yewloom.platform.standin_store import StandinStore
+from yewloom.platform.standin_store import StoreStandIn
 
 JOIN_DURATION_S = 0.1
 """Time to join a group; the users' engines take some seconds."""
 
-EVENT_S = 0.02
+DEFAULT_EVENT_INTERVAL_S = 0.02
 """Default time between two events of an answer."""
 
-EVENTS = 5
+DEFAULT_EVENT_COUNT = 5
 """Default number of events of an answer."""
 
 FIRST_START_UNIX_MS = 1_790_000_000_000
@@ -36,21 +36,24 @@
 
 
 @dataclass
-class StandinEngine:
+class UserEngineStandIn:
     """One engine, with switches for failures and callbacks for tests.
 
-    Switches: while ``moves`` is not set, its streams stall, as after the loss of a group member.
-    With ``is_lost``, it sends no reports and does not update the store; with ``is_unlisted``, only
-    the store is not updated. With ``is_loading``, it is loading weights.
+    Switches: while ``progress_enabled`` is not set, its streams stall, as after the loss of a group
+    member. With ``is_silent``, it sends no reports and does not update the store; with
+    ``is_cut_off_from_store``, only the store is not updated. With ``is_loading``, it is loading
+    weights.
 
-    Records: ``was_ready`` holds the groups, with their members, in which it has been ready, and
-    ``left_behind`` the names and generations of the groups of its earlier processes.
+    Records: ``groups_made_ready`` holds the groups, with their members, in which it has been ready,
+    and ``groups_of_earlier_processes`` the names and generations of the groups of its earlier
+    processes.
 
     Callbacks: ``on_run`` gets each request, with its body, before it runs; ``on_join`` each order
-    to join before it is carried out; ``on_whole`` each request whose answer is complete; and
-    ``on_left`` is called after each departure from a group.
+    to join before it is carried out; ``on_complete_answer`` each request whose answer is complete;
+    and ``on_group_left`` is called after each departure from a group.
 
-    ``events`` returns the number of events of an answer, and ``event_s`` is the time between two.
+    ``event_count`` returns the number of events of an answer, and ``event_interval_s`` is
+    the time between two.
     """
 
     name: str
@@ -58,26 +61,26 @@
     service: str
     domain: str
     zone: str
-    store: StandinStore
+    store: StoreStandIn
     staged: list[str] = field(default_factory=list)
     models: list[str] = field(default_factory=list)
     group: dict[str, Any] | None = None
     members: list[str] = field(default_factory=list)
     sequence: int = 0
-    is_lost: bool = False
-    is_unlisted: bool = False
+    is_silent: bool = False
+    is_cut_off_from_store: bool = False
     is_loading: bool = False
     started_unix_ms: int = FIRST_START_UNIX_MS
-    left_behind: set[tuple[str, int]] = field(default_factory=set)
-    moves: trio.Event = field(default_factory=_set_event)
+    groups_of_earlier_processes: set[tuple[str, int]] = field(default_factory=set)
+    progress_enabled: trio.Event = field(default_factory=_set_event)
     orders: list[dict[str, Any]] = field(default_factory=list)
-    was_ready: set[tuple[str, int, tuple[str, ...]]] = field(default_factory=set)
-    on_run: Callable[["StandinEngine", Request, bytes], None] | None = None
-    on_whole: Callable[[Request], None] | None = None
-    on_join: Callable[["StandinEngine", dict[str, Any]], None] | None = None
-    on_left: Callable[["StandinEngine"], None] | None = None
-    events: Callable[[Request], int] = lambda request: EVENTS
-    event_s: float = EVENT_S
+    groups_made_ready: set[tuple[str, int, tuple[str, ...]]] = field(default_factory=set)
+    on_run: Callable[["UserEngineStandIn", Request, bytes], None] | None = None
+    on_complete_answer: Callable[[Request], None] | None = None
+    on_join: Callable[["UserEngineStandIn", dict[str, Any]], None] | None = None
+    on_group_left: Callable[["UserEngineStandIn"], None] | None = None
+    event_count: Callable[[Request], int] = lambda request: DEFAULT_EVENT_COUNT
+    event_interval_s: float = DEFAULT_EVENT_INTERVAL_S
 
     def application(self) -> Starlette:
         """Return the ASGI application."""
@@ -88,10 +91,10 @@
         ]
         return Starlette(routes=routes)
 
-    def start_again(self, clock_step_ms: int) -> None:
+    def restart(self, clock_step_ms: int) -> None:
         """Restart as a new process under the same name, without the state of the previous one."""
         if self.group is not None:
-            self.left_behind.add((self.group["name"], self.group["epoch"]))
+            self.groups_of_earlier_processes.add((self.group["name"], self.group["epoch"]))
         self.started_unix_ms += clock_step_ms
         self.group, self.members, self.models = None, [], []
         self.sequence = 0
@@ -99,7 +102,7 @@
 
     def publish(self) -> None:
         """Write the engine's object to the store, unless it is lost or cut off from the store."""
-        if self.is_lost or self.is_unlisted:
+        if self.is_silent or self.is_cut_off_from_store:
             return
         spec = {
             "service": self.service,
@@ -135,7 +138,7 @@
     async def _join(self, order: dict[str, Any]) -> Response:
         if self.on_join is not None:
             self.on_join(self, order)
-        self.moves = _set_event()
+        self.progress_enabled = _set_event()
         self.members = order["members"]
         rank = self.members.index(self.name)
         self.group = {"name": order["group"], "epoch": order["epoch"], "rank": rank}
@@ -144,7 +147,7 @@
         await trio.sleep(JOIN_DURATION_S)
         self.models = self.staged = [order["model"]]
         self.group = {**self.group, "state": "ready"}
-        self.was_ready.add((order["group"], order["epoch"], tuple(order["members"])))
+        self.groups_made_ready.add((order["group"], order["epoch"], tuple(order["members"])))
         return self._accept_order()
 
     def _load(self, model: str) -> Response:
@@ -170,8 +173,8 @@
 
     def _leave_group(self) -> None:
         self.group = None
-        if self.on_left is not None:
-            self.on_left(self)
+        if self.on_group_left is not None:
+            self.on_group_left(self)
 
     def break_group(self) -> None:
         """Stop serving the group, as after a stall."""
@@ -185,7 +188,7 @@
         return Response(status_code=202)
 
     async def _report(self, request: Request) -> Response:
-        if self.is_lost:
+        if self.is_silent:
             return Response(status_code=503)
         report = {"phase": "both", "sequence": self.sequence, "queued": 0, "active": 0}
         report |= {"utilization": self.is_loading}
@@ -207,10 +210,10 @@
         )
 
     async def _events(self, request: Request, last_event_id: int) -> AsyncIterator[bytes]:
-        events = self.events(request)
+        events = self.event_count(request)
         for number in range(last_event_id + 1, events + 1):
-            await self.moves.wait()
+            await self.progress_enabled.wait()
             yield b"id: %d\ndata: %d\n\n" % (number, number)
-            await trio.sleep(self.event_s)
-        if self.on_whole is not None:
-            self.on_whole(request)
+            await trio.sleep(self.event_interval_s)
+        if self.on_complete_answer is not None:
+            self.on_complete_answer(request)
--- a/yewloom/platform/standin_store.py
+++ b/yewloom/platform/standin_store.py
@@ -35,7 +35,7 @@
     loses_answers: bool = False
 
 
-class StandinStore:
+class StoreStandIn:
     """Objects by kind and name, with one revision counter for all of them."""
 
     def __init__(self) -> None:
@@ -87,7 +87,7 @@
         """Return the names of all objects of a kind."""
         return sorted(self._objects[kind])
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history, so that watches from an earlier position get status 410."""
         self._history.clear()
         self._oldest_position = self._revision
--- a/yewloom/platform/standins.py
+++ b/yewloom/platform/standins.py
@@ -8,8 +8,8 @@
 import typer
 from hypercorn.config import Config
 
-from yewloom.platform.standin_engine import StandinEngine
-from yewloom.platform.standin_store import StandinStore
+from yewloom.platform.standin_engine import UserEngineStandIn
+from yewloom.platform.standin_store import StoreStandIn
 from yewloom.standins.server import serve
 
 SERVICE = "engines"
@@ -46,12 +46,12 @@
 
 async def run(address: str, first_engine_port: int, engines: int) -> None:
     """Serve a store and engines until a signal arrives."""
-    store = StandinStore()
+    store = StoreStandIn()
     store.put("config", "main", CONFIGURATION)
     tasks = []
     for number in range(engines):
         engine_address = f"127.0.0.1:{first_engine_port + number}"
-        engine = StandinEngine(
+        engine = UserEngineStandIn(
             f"engine-{number}", engine_address, SERVICE, "rack-1", "hall-a", store
         )
         engine.publish()
@@ -59,7 +59,7 @@
     await serve(store.application(), address, *tasks)
 
 
-async def _serve_engine(engine: StandinEngine) -> None:
+async def _serve_engine(engine: UserEngineStandIn) -> None:
     config = Config()
     config.bind = [engine.address]
     config.errorlog = None
--- a/yewloom/platform/store.py
+++ b/yewloom/platform/store.py
@@ -12,11 +12,11 @@
 import trio
 from result import Err, Ok, Result
 
-from yewloom.http_calls import HttpAnswer, HttpCaller, HttpCallError, HttpFailure
+from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure, HttpResponse
 from yewloom.ids import DataCentreId
 from yewloom.platform.bodies import read_body
 from yewloom.platforms import (
-    FAILURES_TO_BE_DOWN,
+    DOWN_AFTER_FAILURES,
     Listing,
     PlatformError,
     PlatformFailure,
@@ -60,22 +60,22 @@
 """Called after each call with the kind of call, the kind of object, and the status or ``none``."""
 
 
-class ObjectStore:
+class StoreClient:
     """The store over HTTP. With ``allows_stale``, reads are cheaper but may be seconds old."""
 
     def __init__(
         self,
-        caller: HttpCaller,
+        caller: HttpClient,
         address: str,
         timeout_s: float,
         rng: random.Random,
         watch_s: float = 1.0,
         allows_stale: bool = False,
         on_call: OnCall = lambda call, kind, answer: None,
-        late_s: Callable[[], float] = lambda: 0.0,
+        loop_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Initialize; ``late_s`` returns how long ago an answer read now may have arrived."""
-        self._late_s = late_s
+        """Initialize; ``loop_delay_s`` returns how long ago an answer read now may have arrived."""
+        self._loop_delay_s = loop_delay_s
         self._on_call = on_call
         self._caller = caller
         self._url = f"http://{address}/objects/"
@@ -90,7 +90,7 @@
     @property
     def is_down(self) -> bool:
         """Tell whether the latest calls failed, so that another call is likely to fail as well."""
-        return self._consecutive_failures >= FAILURES_TO_BE_DOWN
+        return self._consecutive_failures >= DOWN_AFTER_FAILURES
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Read one object; return None if it does not exist."""
@@ -127,7 +127,7 @@
         has failed or missed a change, so the other open connections may be broken as well.
         """
         if not self._read_options:
-            await self._caller.renew(self._url)
+            await self._caller.renew_connections(self._url)
         started_s = trio.current_time()
         objects: list[StoredObject] = []
         position: int | None = None
@@ -167,10 +167,10 @@
         removed = [f"{prefix}/{name}" for name, e in latest.items() if e["tombstone"]]
         objects = [_decode_object(prefix, item) for item in changed]
         # A watch that ended early proves nothing about the time after its start.
-        duration_s = trio.current_time() - self._late_s() - sent_s
+        duration_s = trio.current_time() - self._loop_delay_s() - sent_s
         has_elapsed_unchanged = not latest and duration_s >= wait_s
-        proved_after_s = wait_s if has_elapsed_unchanged else 0.0
-        return Ok(Listing(objects, int(fields["storeRevision"]), removed, proved_after_s))
+        confirmed_after_s = wait_s if has_elapsed_unchanged else 0.0
+        return Ok(Listing(objects, int(fields["storeRevision"]), removed, confirmed_after_s))
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
         """Return no hosts: on this platform, endpoints are objects and are listed as such."""
@@ -198,7 +198,7 @@
         self._on_call(_call_kind(method, path, query), _kind_from_key(path), str(answer.status))
         return self._check(answer)
 
-    def _check(self, answer: HttpAnswer) -> Result["_Answer", PlatformError]:
+    def _check(self, answer: HttpResponse) -> Result["_Answer", PlatformError]:
         self._consecutive_failures = self._consecutive_failures + 1 if answer.status >= 500 else 0
         if answer.status in (200, 201, 202):
             try:
--- a/yewloom/platforms.py
+++ b/yewloom/platforms.py
@@ -14,14 +14,14 @@
 from google.protobuf import json_format
 from result import Err, Ok, Result
 
-from yewloom.http_calls import HttpAnswer, HttpCaller, HttpCallError, HttpFailure
+from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure, HttpResponse
 from yewloom.ids import DataCentreId
 from yewloom.schema.records_pb2 import Host, HostList
 from yewloom.values import value_class
 
 _WATCH_SLACK_S = 2.0
 
-FAILURES_TO_BE_DOWN = 2
+DOWN_AFTER_FAILURES = 2
 """Consecutive calls without an answer after which the platform is considered down."""
 
 T = TypeVar("T")
@@ -63,7 +63,7 @@
 class Listing:
     """Objects, and the position in the platform's history from which to watch for changes.
 
-    ``removed`` contains the keys that a watch reports as deleted. ``proved_after_s`` is the time
+    ``removed`` contains the keys that a watch reports as deleted. ``confirmed_after_s`` is the time
     after sending the call up to which the answer is known to be complete: the duration of a watch
     that ended without changes, otherwise 0.
     """
@@ -71,7 +71,7 @@
     objects: Sequence[StoredObject]
     position: int
     removed: Sequence[str] = ()
-    proved_after_s: float = 0.0
+    confirmed_after_s: float = 0.0
 
 
 class Platform(Protocol):
@@ -110,7 +110,7 @@
 
     def __init__(
         self,
-        caller: HttpCaller,
+        caller: HttpClient,
         url: str,
         timeout_s: float,
         watch_timeout_s: float,
@@ -127,12 +127,12 @@
     @property
     def is_down(self) -> bool:
         """Return whether the latest calls got no answer, so that another call is likely to fail."""
-        return self._failures >= FAILURES_TO_BE_DOWN
+        return self._failures >= DOWN_AFTER_FAILURES
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Read one object; None if there is none."""
         match await self._call("get", "GET", f"/v1/objects/{quote(key)}"):
-            case Ok(HttpAnswer(status=404)):
+            case Ok(HttpResponse(status=404)):
                 return Ok(None)
             case Ok(answer):
                 return _decode(answer, _stored_object)
@@ -199,7 +199,7 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
         timeout_s: float | None = None,
-    ) -> Result[HttpAnswer, PlatformError]:
+    ) -> Result[HttpResponse, PlatformError]:
         self.calls[kind] += 1
         try:
             answer = await self._caller.call(
@@ -218,7 +218,7 @@
         return _check_status(answer)
 
 
-def _check_status(answer: HttpAnswer) -> Result[HttpAnswer, PlatformError]:
+def _check_status(answer: HttpResponse) -> Result[HttpResponse, PlatformError]:
     if answer.status in (200, 201, 404):
         return Ok(answer)
     if answer.status in (409, 412):
@@ -233,7 +233,7 @@
     return Err(PlatformError(failure, f"status {answer.status}"))
 
 
-def _decode(answer: HttpAnswer, build: Callable[[Any], T]) -> Result[T, PlatformError]:
+def _decode(answer: HttpResponse, build: Callable[[Any], T]) -> Result[T, PlatformError]:
     try:
         return Ok(build(answer.json()))
     except (ValueError, KeyError, TypeError, json_format.ParseError) as error:
--- a/yewloom/prefixes.py
+++ b/yewloom/prefixes.py
@@ -84,7 +84,9 @@
             cache.blocks.clear()
             cache.sequence = sequence
 
-    def expect(self, group_id: GroupId, generation: int, hashes: Iterable[int]) -> None:
+    def add_expected_blocks(
+        self, group_id: GroupId, generation: int, hashes: Iterable[int]
+    ) -> None:
         """Add the blocks of a request just sent, which its engine has yet to report as cached."""
         self._cache(group_id, generation).expect(hashes)
 
@@ -104,7 +106,7 @@
             cache = self._caches[group_id] = _EngineCache(generation)
         return cache
 
-    def keep_only(self, present: Iterable[GroupId]) -> None:
+    def retain_groups(self, present: Iterable[GroupId]) -> None:
         """Drop all groups but these."""
         for group_id in self._caches.keys() - set(present):
             del self._caches[group_id]
--- a/yewloom/problems.py
+++ b/yewloom/problems.py
@@ -50,17 +50,17 @@
         return Response(self.to_json(), self.status, headers, media_type=_MEDIA_TYPE)
 
 
-def bad_request(detail: str, status: int = 400) -> Problem:
+def bad_request_problem(detail: str, status: int = 400) -> Problem:
     """Return the problem for an invalid request, which has not run."""
     titles = {401: "Unauthorized", 404: "Not Found", 413: "Content Too Large"}
     return Problem(status, titles.get(status, "Bad Request"), detail, Outcome.NOT_RUN)
 
 
-def unavailable(detail: str, outcome: Outcome, retry_after_s: float = 1.0) -> Problem:
+def unavailable_problem(detail: str, outcome: Outcome, retry_after_s: float = 1.0) -> Problem:
     """Return the problem for a request that failed and may be retried later."""
     return Problem(503, "Service Unavailable", detail, outcome, retry_after_s)
 
 
-def overloaded(detail: str, retry_after_s: float) -> Problem:
+def overloaded_problem(detail: str, retry_after_s: float) -> Problem:
     """Return the problem for a request that was rejected because of overload before it ran."""
     return Problem(OVERLOADED_STATUS, "Too Many Requests", detail, Outcome.NOT_RUN, retry_after_s)
--- a/yewloom/progress.py
+++ b/yewloom/progress.py
@@ -16,7 +16,7 @@
     """The state of one model request while it is dispatched.
 
     ``pending_tokens`` have been received but not yet passed to the caller, ``delivered`` have. The
-    request has failed on the groups in ``avoid``. Times are in seconds of Trio's clock.
+    request has failed on the groups in ``failed_groups``. Times are in seconds of Trio's clock.
     """
 
     request: ModelRequest
@@ -26,7 +26,7 @@
     arrived_s: float
     pending_tokens: list[str] = field(default_factory=list)
     delivered: list[str] = field(default_factory=list)
-    avoid: set[GroupId] = field(default_factory=set)
+    failed_groups: set[GroupId] = field(default_factory=set)
     group: Group | None = None
     is_resuming: bool = False
     experiment: str = ""
@@ -36,7 +36,7 @@
 
     def should_flush(self, now_s: float, coalesce_s: float) -> bool:
         """Return whether the pending tokens should go to the caller now."""
-        if self.assembler.is_whole:
+        if self.assembler.is_complete:
             return True
         if not self.pending_tokens:
             return False
--- a/yewloom/quarantine.py
+++ b/yewloom/quarantine.py
@@ -19,8 +19,8 @@
 
 import structlog
 
-from yewloom.fingerprints import fingerprint_text
-from yewloom.hashing import turn_among
+from yewloom.fingerprints import format_fingerprint
+from yewloom.hashing import rendezvous_rank
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.values import value_class
 
@@ -78,11 +78,11 @@
 
     def __init__(
         self,
-        me: EntryHostId,
+        own_id: EntryHostId,
         known_hosts: Callable[[], Iterable[EntryHostId]],
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self._me = me
+        self._own_id = own_id
         self._known_hosts = known_hosts
         self._on_change = on_change
         self._entries: dict[Fingerprint, _Entry] = {}
@@ -111,13 +111,13 @@
         self._store(fingerprint, _Entry(entry.count, True, entry.since_s))
         return True
 
-    def apply(self, report: QuarantineReport, received_s: float) -> None:
-        """Apply a report of a peer, which was received no earlier than ``received_s``."""
+    def apply(self, report: QuarantineReport, arrived_s: float) -> None:
+        """Apply a report of a peer, which was received no earlier than ``arrived_s``."""
         current = self._entries.get(report.fingerprint)
         if current is None or (report.count, report.is_lifted) > (current.count, current.is_lifted):
             self._store(
                 report.fingerprint,
-                _Entry(report.count, report.is_lifted, received_s - report.age_s),
+                _Entry(report.count, report.is_lifted, arrived_s - report.age_s),
             )
 
     def reports(self, now_s: float, max_count: int = MAX_ENTRIES) -> list[QuarantineReport]:
@@ -151,14 +151,14 @@
             )
         return max(0.0, due_s - now_s)
 
-    def note_trial(self, fingerprint: Fingerprint, now_s: float) -> None:
+    def record_trial(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Record a trial of a quarantined request, which delays the next trial on this host."""
         if self.is_quarantined(fingerprint):
             self._entries[fingerprint].next_trial_s = now_s + TRIAL_INTERVAL_S
 
     def _hosts_before(self, fingerprint: Fingerprint) -> int:
         """Return how many hosts may try a request before this one."""
-        return turn_among(str(fingerprint), self._me, self._known_hosts())
+        return rendezvous_rank(str(fingerprint), self._own_id, self._known_hosts())
 
     def _store(self, fingerprint: Fingerprint, entry: _Entry) -> None:
         self.change_count += 1
@@ -168,7 +168,7 @@
             del self._entries[first_to_end]
         logger.warning(
             "request let go" if entry.is_lifted else "request quarantined",
-            fingerprint=fingerprint_text(fingerprint),
+            fingerprint=format_fingerprint(fingerprint),
             count=entry.count,
             hold_s=round(entry.ends_s - entry.since_s),
         )
--- a/yewloom/quarantine_page.py
+++ b/yewloom/quarantine_page.py
@@ -8,8 +8,8 @@
 
 import trio
 
-from yewloom.caller_messages import CallerRequest, Reply
-from yewloom.fingerprints import fingerprint_text
+from yewloom.caller_messages import CallerRequest, ResponseWriter
+from yewloom.fingerprints import format_fingerprint
 from yewloom.ids import Fingerprint
 from yewloom.quarantine import Quarantine
 
@@ -26,21 +26,21 @@
     def __init__(self, quarantine: Quarantine) -> None:
         self._quarantine = quarantine
 
-    def answers(self, request: CallerRequest) -> bool:
+    def handles(self, request: CallerRequest) -> bool:
         """Return whether the path of a request belongs to this page."""
         return request.path == PATH or request.path.startswith(f"{PATH}/")
 
-    async def answer(self, request: CallerRequest, reply: Reply) -> None:
+    async def answer(self, request: CallerRequest, reply: ResponseWriter) -> None:
         """Answer with the list, or lift the quarantine of a request."""
         if request.method == b"GET" and request.path == PATH:
-            await reply.send_whole(200, _JSON, self._list_as_json())
+            await reply.send_complete(200, _JSON, self._list_as_json())
             return
         fingerprint = _fingerprint_to_lift(request)
         if request.method != b"POST" or fingerprint is None:
-            await reply.send_whole(404, [], b"")
+            await reply.send_complete(404, [], b"")
             return
         is_lifted = self._quarantine.lift(fingerprint)
-        await reply.send_whole(200 if is_lifted else 404, [], b"")
+        await reply.send_complete(200 if is_lifted else 404, [], b"")
 
     def _list_as_json(self) -> bytes:
         now_s = trio.current_time()
@@ -48,7 +48,7 @@
         return json.dumps(
             [
                 {
-                    "fingerprint": fingerprint_text(report.fingerprint),
+                    "fingerprint": format_fingerprint(report.fingerprint),
                     "count": report.count,
                     "age_s": round(report.age_s),
                     "wait_s": round(self._quarantine.wait_s(report.fingerprint, now_s)),
--- a/yewloom/quarantine_store.py
+++ b/yewloom/quarantine_store.py
@@ -13,7 +13,7 @@
 import trio
 from result import Err, Ok
 
-from yewloom.hashing import turn_among
+from yewloom.hashing import rendezvous_rank
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.platforms import Platform, StoredObject
 from yewloom.quarantine import MAX_HOLD_S, Quarantine, QuarantineReport
@@ -23,7 +23,7 @@
 
 logger = structlog.get_logger(__name__)
 
-KEY = "yewloom-quarantine/requests"
+STORE_KEY = "yewloom-quarantine/requests"
 
 POLL_INTERVAL_S = 1.0
 """Interval between checks for changes, and between the turns of hosts that may write them."""
@@ -51,14 +51,14 @@
 
     def __init__(
         self,
-        me: EntryHostId,
+        own_id: EntryHostId,
         known_hosts: Callable[[], Iterable[EntryHostId]],
         quarantine: Quarantine,
         platform: Platform,
         stale_platform: Platform,
         unix_s: Callable[[], float] = time.time,
     ) -> None:
-        self._me = me
+        self._own_id = own_id
         self._known_hosts = known_hosts
         self._quarantine = quarantine
         self._platform = platform
@@ -75,7 +75,7 @@
             change_count = self._quarantine.change_count
             if change_count == written_count:
                 continue
-            turn = turn_among(KEY, self._me, self._known_hosts())
+            turn = rendezvous_rank(STORE_KEY, self._own_id, self._known_hosts())
             if turn >= MAX_WRITERS:
                 written_count = change_count
                 continue
@@ -85,7 +85,7 @@
 
     async def _read(self, platform: Platform) -> _StoredRecord | None:
         """Read the stored record and apply it; return None if the store does not answer."""
-        match await platform.get(KEY):
+        match await platform.get(STORE_KEY):
             case Ok(stored):
                 current = _StoredRecord(
                     self._decode(stored), stored.version if stored is not None else 0
@@ -104,7 +104,7 @@
         record = self._record()
         if _content(record) == _content(current.record):
             return True
-        match await self._platform.update(KEY, to_json(record), current.version):
+        match await self._platform.update(STORE_KEY, to_json(record), current.version):
             case Ok(_):
                 logger.info("wrote quarantine", count=len(record.requests))
                 return True
--- a/yewloom/recovery.py
+++ b/yewloom/recovery.py
@@ -5,7 +5,7 @@
 
 from yewloom.endpoints import EndpointError
 from yewloom.metrics import Metrics
-from yewloom.problems import unavailable
+from yewloom.problems import unavailable_problem
 from yewloom.requests import ModelRequest, ServiceRequest
 from yewloom.retries import AttemptTracker, NextStep
 
@@ -29,6 +29,6 @@
         reason=str(error),
     )
     if step is NextStep.GIVE_UP:
-        raise unavailable(f"The request was given up ({error}).", tracker.outcome)
+        raise unavailable_problem(f"The request was given up ({error}).", tracker.outcome)
     metrics.retries.labels(step.value).inc()
     return step
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -13,7 +13,7 @@
 import trio
 
 from yewloom.background import BackgroundTasks
-from yewloom.configuration import ConfigurationBook, EngineProfile, Service
+from yewloom.configuration import ConfigurationState, EngineProfile, Service
 from yewloom.coordinator_records import LeaseRecord, PlacementRecord
 from yewloom.directory import EndpointDirectory
 from yewloom.forward_metrics import ForwardMetrics
@@ -43,27 +43,29 @@
         self,
         settings: EntrySettings,
         parts: PlatformParts,
-        book: ConfigurationBook,
+        configuration_state: ConfigurationState,
         directory: EndpointDirectory,
         stalls: StallDetector,
         selector: Selector,
         metrics: ForwardMetrics,
         is_before_traffic: Callable[[], bool],
-        may_lead: Callable[[], bool],
-        late_s: Callable[[], float] = lambda: 0.0,
+        may_coordinate: Callable[[], bool],
+        loop_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._data_centre = DataCentreId(settings.host.data_centre)
-        self._book = book
+        self._configuration_state = configuration_state
         self._directory = directory
         self._selector = selector
         self._is_before_traffic = is_before_traffic
-        self._may_lead = may_lead
+        self._may_coordinate = may_coordinate
         self._state = PlanState()
         self._demand = DemandMeter()
         self._lease = LeaseRecord(settings, parts.records_store, parts.stale_store)
         self._placement = PlacementRecord(self._data_centre, parts.records_store)
         self._delivery = OrderDelivery(parts.orders, self._state, metrics)
-        self._stalled_groups = StalledGroups(directory, stalls, parts.orders, self._state, late_s)
+        self._stalled_groups = StalledGroups(
+            directory, stalls, parts.orders, self._state, loop_delay_s
+        )
         self._is_holding = False
         self._data_centres = 1
         self.is_leaving = False
@@ -86,7 +88,7 @@
         if self.is_leaving:
             self._set_holding(False, tasks)
             await self._lease.release()
-        elif self._is_holding or self._may_lead():
+        elif self._is_holding or self._may_coordinate():
             await self._lease.run_due_action()
             # The host may have begun to stop while the store call was in progress.
             self._set_holding(self._lease.holds() and not self.is_leaving, tasks)
@@ -102,19 +104,19 @@
         self._is_holding = holds
         self._placement.forget()
         self._state.clear_observations()
-        self._delivery.forget_sequences()
+        self._delivery.clear_order_counts()
 
     async def _step(self, tasks: BackgroundTasks) -> None:
         """Plan once and execute the plan, for the first engine service."""
-        configuration = self._book.current
-        if configuration is None or not self._directory.is_known:
+        configuration = self._configuration_state.current
+        if configuration is None or not self._directory.is_loaded:
             return
         services = configuration.engine_services()
         if not services:
             return
         self._demand.sample(self._running_by_model(), trio.current_time())
         if self._placement.current is not None:
-            self._stalled_groups.look(self._placement.current.groups, tasks)
+            self._stalled_groups.start_probes(self._placement.current.groups, tasks)
         await self._step_service(services[0], tasks)
 
     async def _step_service(self, service: Service, tasks: BackgroundTasks) -> None:
@@ -131,7 +133,7 @@
             if not await self._write_placement(plan.record):
                 return
             orders = [*orders, *self._orders_to_form(planner, plan.record, record)]
-        self._delivery.give(orders, tasks)
+        self._delivery.send_all(orders, tasks)
 
     def _planner(self, service: Service, engine: EngineProfile) -> ReplicaPlanner:
         return ReplicaPlanner(
@@ -149,7 +151,7 @@
 
         It never decreases, as a data centre that is not visible continues to load weights.
         """
-        engines = self._directory.of_service(service.name)
+        engines = self._directory.endpoints_of(service.name)
         listed = {self._data_centre, *(engine.data_centre for engine in engines)}
         self._data_centres = max(self._data_centres, len(listed))
 
@@ -188,7 +190,7 @@
             if group.id not in known:
                 orders += planner.join_orders(group)
         for order in orders:
-            self._state.may_order(order, now_s)
+            self._state.mark_sent_if_due(order, now_s)
         return orders
 
 
--- a/yewloom/replica_lifecycle.py
+++ b/yewloom/replica_lifecycle.py
@@ -13,10 +13,10 @@
 from collections.abc import Container, Sequence
 
 from yewloom.configuration import EngineProfile
-from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.ids import HostId, ModelName
 from yewloom.plan_state import EndedGroup, EndEvidence, PlannedOrder, PlanState, group_key
-from yewloom.process_starts import is_same_process
+from yewloom.process_starts import may_be_same_process
 from yewloom.replica_orders import CloseGroup, EngineOrder, JoinGroup, LeaveGroup, OpenGroup
 from yewloom.schema.records_pb2 import Group, GroupMember
 from yewloom.states import GroupIntent
@@ -95,7 +95,7 @@
             return None
         if self._is_listed_elsewhere(listed, key):
             return EndEvidence.LEADER_LISTED_OUTSIDE
-        if listed.membership == Membership(key, 0, MemberState.BROKEN):
+        if listed.membership == GroupMembership(key, 0, MemberState.BROKEN):
             return EndEvidence.LEADER_BROKEN  # A final state, even if the listing is outdated.
         return None
 
@@ -107,7 +107,7 @@
         data centre once only its unlisted leader would remain.
         """
         leader, *others = group.members
-        if not self._state.is_silent(HostId(leader.host_id)):
+        if not self._state.is_unresponsive(HostId(leader.host_id)):
             return None
         key = group_key(group)
         remaining = [m for m in others if self._is_still_in(HostId(m.host_id), key)]
@@ -210,7 +210,7 @@
 
     def _answered_recently(self, host: HostId, now_s: float) -> bool:
         since_s = self._state.unlisted_since_s.setdefault(host, now_s)
-        last_s = max(since_s, self._state.answered_s.get(host, float("-inf")))
+        last_s = max(since_s, self._state.last_answer_s.get(host, float("-inf")))
         return now_s - last_s <= UNLISTED_GRACE_S
 
     def _order_to_join(self, group: Group, joined: Container[HostId], now_s: float) -> None:
@@ -265,7 +265,7 @@
         self._schedule(PlannedOrder(engine, address, order), now_s)
 
     def _schedule(self, planned: PlannedOrder, now_s: float) -> None:
-        if self._state.may_order(planned, now_s):
+        if self._state.mark_sent_if_due(planned, now_s):
             self.orders.append(planned)
 
 
@@ -281,4 +281,4 @@
 
 def _is_replaced(member: GroupMember, listed: Endpoint) -> bool:
     """Return whether a process other than the one recorded as a member is listed."""
-    return not is_same_process(member.started_unix_ms, listed.started_unix_ms)
+    return not may_be_same_process(member.started_unix_ms, listed.started_unix_ms)
--- a/yewloom/replica_orders.py
+++ b/yewloom/replica_orders.py
@@ -55,16 +55,16 @@
 class OrderAnswer(Enum):
     """Outcome of an order.
 
-    ``BEGUN``: the engine is changing its state. ``HOLDS``: the state was already as ordered.
-    ``OUT_OF_DATE``: the order does not match the engine's state or its order count.
-    ``OTHER_ENGINE``: the address now belongs to another endpoint. ``UNREACHABLE``: nothing was
+    ``STARTED``: the engine is changing its state. ``UNCHANGED``: the state was already as ordered.
+    ``REFUSED``: the order does not match the engine's state or its order count.
+    ``WRONG_ENGINE``: the address now belongs to another endpoint. ``UNREACHABLE``: nothing was
     sent. ``UNKNOWN``: the order may have been accepted, or may still be executed.
     """
 
-    BEGUN = "begun"
-    HOLDS = "holds"
-    OUT_OF_DATE = "out_of_date"
-    OTHER_ENGINE = "other_engine"
+    STARTED = "begun"
+    UNCHANGED = "holds"
+    REFUSED = "out_of_date"
+    WRONG_ENGINE = "other_engine"
     UNREACHABLE = "unreachable"
     UNKNOWN = "unknown"
 
@@ -73,12 +73,12 @@
 class EngineReport:
     """An engine's report of its own state, which is a few hundred milliseconds old.
 
-    ``sequence`` is the number of orders that it has accepted, ``started_unix_ms`` the start of its
-    process (0 if unknown), and ``group`` the group that it belongs to, if any. ``is_busy`` means
-    that it is executing an order.
+    ``order_count`` is the number of orders that it has accepted, ``started_unix_ms`` the start of
+    its process (0 if unknown), and ``group`` the group that it belongs to, if any. ``is_busy``
+    means that it is executing an order.
     """
 
-    sequence: int
+    order_count: int
     started_unix_ms: int = 0
     group: GroupKey | None = None
     is_busy: bool = False
@@ -88,9 +88,9 @@
     """Sends orders to engines."""
 
     async def send(
-        self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
+        self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
-        """Send one order; it takes effect only if the engine's count is ``expected_sequence``.
+        """Send one order; it takes effect only if the engine's count is ``expected_order_count``.
 
         None sends the order unconditionally.
         """
--- a/yewloom/replica_plan.py
+++ b/yewloom/replica_plan.py
@@ -44,7 +44,7 @@
 
     def plan(self, record: Placement, now_s: float) -> ReplicaPlan:
         """Return the plan that follows the given record; a planner is used for one plan only."""
-        for endpoint in self._directory.of_service(self._service):
+        for endpoint in self._directory.endpoints_of(self._service):
             self._state.record_process(endpoint.id, endpoint.started_unix_ms)
         draft = Placement()
         draft.CopyFrom(record)
--- a/yewloom/replica_supply.py
+++ b/yewloom/replica_supply.py
@@ -119,7 +119,7 @@
 
     def _is_awaiting_hosts(self, now_s: float) -> bool:
         """Return whether to wait for more hosts before the first request, to fill domains."""
-        ids = {endpoint.id for endpoint in self._directory.of_service(self._service)}
+        ids = {endpoint.id for endpoint in self._directory.endpoints_of(self._service)}
         if not ids <= self._state.known_hosts:
             self._state.known_hosts |= ids
             self._state.last_new_host_s = now_s
@@ -164,7 +164,7 @@
         return None
 
     def _can_join(self, endpoint: Endpoint, model: ReplicaModel) -> bool:
-        return self._bounds.is_unlimited or endpoint.is_prepared_for(model.name)
+        return self._bounds.is_unlimited or endpoint.can_join_without_load(model.name)
 
     def _load_for_domain(
         self, endpoints: Sequence[Endpoint], need: ModelNeed, now_s: float
@@ -172,8 +172,10 @@
         model = _model_to_load(endpoints, need)
         loading = [e for e in endpoints if self._loads.is_loading(e, now_s)]
         wanted = min(model.group_size, len(endpoints))
-        wanted -= sum(e.is_prepared_for(model.name) or e in loading for e in endpoints)
-        idle = [e for e in endpoints if e not in loading and not e.is_prepared_for(model.name)]
+        wanted -= sum(e.can_join_without_load(model.name) or e in loading for e in endpoints)
+        idle = [
+            e for e in endpoints if e not in loading and not e.can_join_without_load(model.name)
+        ]
         for endpoint in sorted(idle, key=lambda e: (bool(e.staged), e.id))[: max(0, wanted)]:
             self._loads.load(endpoint, model, now_s)
 
@@ -215,7 +217,7 @@
     """
     by_need = need.models_by_need()
     for model in by_need:
-        is_begun = any(endpoint.is_prepared_for(model.name) for endpoint in endpoints)
+        is_begun = any(endpoint.can_join_without_load(model.name) for endpoint in endpoints)
         if model.group_size <= len(endpoints) or is_begun:
             return model
     return by_need[0]
--- a/yewloom/request_admission.py
+++ b/yewloom/request_admission.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from yewloom.attempts import AttemptRecord
-from yewloom.caller_headers import HeaderCodec, HeaderError, RequestMarks
-from yewloom.caller_messages import CallerRequest, Reply
-from yewloom.configuration import Configuration, ConfigurationBook
+from yewloom.caller_headers import HeaderCodec, HeaderError, RequestMetadata
+from yewloom.caller_messages import CallerRequest, ResponseWriter
+from yewloom.configuration import Configuration, ConfigurationState
 from yewloom.early_listener import NOT_READY_RETRY_AFTER_S
 from yewloom.event_stream import StreamCursor
 from yewloom.forward_request import ForwardRequest, Refusal
@@ -16,14 +16,14 @@
 from yewloom.routes import Route
 from yewloom.selection import EndpointRequirements, Selector
 
-ANSWER_MARGIN_S = 0.04
+RESPONSE_MARGIN_S = 0.04
 """Time before the caller's deadline at which a request is ended, so that the final response still
 arrives in time."""
 
 DEFAULT_DEADLINE_MS = 60000
 """Time for a request whose caller sets no deadline; the route's time limit is usually shorter."""
 
-AT_ONCE_S = 0.0
+READ_TOO_LATE_RETRY_AFTER_S = 0.0
 """Retry-After for a request whose deadline had passed when it was read: zero, as this host has
 caught up with its work by then and the caller may still be waiting."""
 
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        book: ConfigurationBook,
+        configuration_state: ConfigurationState,
         codec: HeaderCodec,
         selector: Selector,
         key_trust: KeyTrust,
@@ -44,29 +44,31 @@
         quarantine: Quarantine,
     ) -> None:
         self._quarantine = quarantine
-        self._book = book
+        self._configuration_state = configuration_state
         self._codec = codec
         self._selector = selector
         self._key_trust = key_trust
         self._is_ready = is_ready
 
-    def marks(self, source: CallerRequest) -> RequestMarks:
+    def decode_metadata(self, source: CallerRequest) -> RequestMetadata:
         """Return the decoded headers of a request, or raise Refusal."""
         try:
             return self._codec.decode_request(source.headers)
         except HeaderError as error:
             raise Refusal(400, str(error)) from error
 
-    def admit(self, source: CallerRequest, reply: Reply, marks: RequestMarks) -> ForwardRequest:
+    def admit(
+        self, source: CallerRequest, reply: ResponseWriter, metadata: RequestMetadata
+    ) -> ForwardRequest:
         """Return a request with its route and customer, or raise Refusal."""
-        configuration = self._book.current
+        configuration = self._configuration_state.current
         if configuration is None or not self._is_ready():
             raise Refusal(503, "no configuration yet", NOT_READY_RETRY_AFTER_S)
-        route = self._find_route(configuration, marks.host, source)
+        route = self._find_route(configuration, metadata.host, source)
         customer = None
-        if configuration.asks_for_keys and not route.is_open:
-            customer = self._find_customer(configuration, marks.api_key or "", source)
-        return self._build(source, reply, marks, configuration, route, customer)
+        if configuration.requires_keys and not route.is_open:
+            customer = self._find_customer(configuration, metadata.api_key or "", source)
+        return self._build(source, reply, metadata, configuration, route, customer)
 
     def check_quarantine(self, request: ForwardRequest) -> None:
         """Raise Refusal if a request is known to crash endpoints, unless a trial is due."""
@@ -77,7 +79,7 @@
         if wait_s > 0:
             raise Refusal(503, QUARANTINED, math.ceil(wait_s))
         request.quarantine_count = self._quarantine.count_of(fingerprint)
-        self._quarantine.note_trial(fingerprint, now_s)
+        self._quarantine.record_trial(fingerprint, now_s)
 
     def _find_route(self, configuration: Configuration, host: str, source: CallerRequest) -> Route:
         route = configuration.routes.find(host, source.path)
@@ -97,47 +99,47 @@
 
     def _unknown_refusal(self, status: int, reason: str, source: CallerRequest) -> Refusal:
         """Return a permanent refusal, or a temporary one if this configuration may be outdated."""
-        if self._key_trust.may_refuse(source.read_s):
+        if self._key_trust.may_refuse_permanently(source.read_s):
             return Refusal(status, reason)
         return self._stale_refusal(f"{reason}; configuration", source)
 
     def _stale_refusal(self, subject: str, source: CallerRequest) -> Refusal:
-        age_s = self._book.age_s(source.read_s)
+        age_s = self._configuration_state.age_s(source.read_s)
         return Refusal(503, f"{subject} {age_s:.1f} s old", NOT_READY_RETRY_AFTER_S)
 
     def _build(
         self,
         source: CallerRequest,
-        reply: Reply,
-        marks: RequestMarks,
+        reply: ResponseWriter,
+        metadata: RequestMetadata,
         configuration: Configuration,
         route: Route,
         customer: CustomerId | None,
     ) -> ForwardRequest:
-        deadline_s = _deadline_s(source, marks, route)
+        deadline_s = _deadline_s(source, metadata, route)
         if source.arrived_s < source.read_s and deadline_s <= source.read_s:
-            raise Refusal(503, "read too late", AT_ONCE_S)
-        requirements = EndpointRequirements(self._selector.choose_service(route), marks.model)
+            raise Refusal(503, "read too late", READ_TOO_LATE_RETRY_AFTER_S)
+        requirements = EndpointRequirements(self._selector.choose_service(route), metadata.model)
         return ForwardRequest(
             source=source,
             reply=reply,
-            marks=marks,
+            metadata=metadata,
             configuration=configuration,
             route=route,
             requirements=requirements,
             customer=customer,
             deadline_s=deadline_s,
             record=AttemptRecord(route),
-            cursor=StreamCursor(marks.last_event_id),
+            cursor=StreamCursor(metadata.last_event_id),
         )
 
 
-def _deadline_s(source: CallerRequest, marks: RequestMarks, route: Route) -> float:
+def _deadline_s(source: CallerRequest, metadata: RequestMetadata, route: Route) -> float:
     """Return when a request is ended.
 
     The route's time limit excludes the time for which this host waited for the caller to take an
     earlier response on the same connection; the caller's deadline includes it.
     """
-    deadline_ms = marks.deadline_ms if marks.deadline_ms is not None else DEFAULT_DEADLINE_MS
-    route_deadline_s = source.kept_waiting_s + route.timeout_ms / 1000
-    return source.arrived_s + min(deadline_ms / 1000, route_deadline_s) - ANSWER_MARGIN_S
+    deadline_ms = metadata.deadline_ms if metadata.deadline_ms is not None else DEFAULT_DEADLINE_MS
+    route_deadline_s = source.send_blocked_s + route.timeout_ms / 1000
+    return source.arrived_s + min(deadline_ms / 1000, route_deadline_s) - RESPONSE_MARGIN_S
--- a/yewloom/requests.py
+++ b/yewloom/requests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from yewloom.admission import Arrival
+from yewloom.admission import AdmissionRequest
 from yewloom.endpoints import ServiceCall
 from yewloom.ids import CustomerId, ModelName, RequestId
 from yewloom.schema.table_pb2 import CustomerRow
@@ -42,7 +42,7 @@
 
 
 @value_class
-class Tokens:
+class TokenBatch:
     """Consecutive tokens, and the position in the stream after them.
 
     ``finish_reason`` is set on the last tokens of an answer only.
@@ -53,11 +53,11 @@
     finish_reason: str = ""
 
 
-def to_arrival(
+def to_admission_request(
     request: ModelRequest | ServiceRequest, cost: float, share: int, now_s: float
-) -> Arrival:
+) -> AdmissionRequest:
     """Convert a request to the form that admission control uses."""
-    return Arrival(
+    return AdmissionRequest(
         request_id=request.request_id,
         customer=request.customer,
         weight=request.customer_row.weight,
--- a/yewloom/responses.py
+++ b/yewloom/responses.py
@@ -8,7 +8,7 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.types import Send
 
-from yewloom.problems import Problem, bad_request
+from yewloom.problems import Problem, bad_request_problem
 
 _CLIENT_CLOSED_REQUEST = 499
 
@@ -51,4 +51,4 @@
 
 async def respond_unknown_path(request: Request, error: Exception) -> Response:
     """Return the response to a request for an unknown path."""
-    return bad_request(f"There is nothing at {request.url.path}.", 404).to_response()
+    return bad_request_problem(f"There is nothing at {request.url.path}.", 404).to_response()
--- a/yewloom/retries.py
+++ b/yewloom/retries.py
@@ -28,7 +28,7 @@
     return Outcome.NOT_RUN if failure in _NOT_RUN_FAILURES else Outcome.UNKNOWN
 
 
-def may_repeat(outcome: Outcome, is_unsafe: bool) -> bool:
+def may_retry(outcome: Outcome, is_unsafe: bool) -> bool:
     """Return whether a call with this outcome may be sent again."""
     return outcome is Outcome.NOT_RUN or (outcome is Outcome.UNKNOWN and not is_unsafe)
 
@@ -98,6 +98,6 @@
         if is_broken_stream and self._can_resume and self._resumes < MAX_RESUMES:
             self._resumes += 1
             return NextStep.RESUME
-        if not may_repeat(self.outcome, self._is_unsafe):
+        if not may_retry(self.outcome, self._is_unsafe):
             return NextStep.GIVE_UP
         return NextStep.REROUTE if self._budget.try_spend() else NextStep.GIVE_UP
--- a/yewloom/route_durations.py
+++ b/yewloom/route_durations.py
@@ -5,11 +5,11 @@
 from yewloom.ids import RouteName
 from yewloom.medians import median
 
-KEPT = 16
+MAX_SAMPLES = 16
 """Number of durations that are kept for each route: enough that one outlier does not move the
 median, and few enough to follow a change within a second on a busy route."""
 
-LEAST = 4
+MIN_SAMPLES = 4
 """Number of durations below which a route has no typical duration."""
 
 
@@ -18,14 +18,14 @@
 
     def __init__(self) -> None:
         self._latest_s: defaultdict[RouteName, deque[float]] = defaultdict(
-            lambda: deque(maxlen=KEPT)
+            lambda: deque(maxlen=MAX_SAMPLES)
         )
 
-    def note(self, route: RouteName, took_s: float) -> None:
+    def record(self, route: RouteName, took_s: float) -> None:
         """Record the duration of an answered request."""
         self._latest_s[route].append(took_s)
 
-    def usual_s(self, route: RouteName) -> float:
+    def median_s(self, route: RouteName) -> float:
         """Return the median duration of the latest requests; 0 if there are too few."""
         latest_s = self._latest_s.get(route, ())
-        return median(latest_s) if len(latest_s) >= LEAST else 0.0
+        return median(latest_s) if len(latest_s) >= MIN_SAMPLES else 0.0
--- a/yewloom/routes.py
+++ b/yewloom/routes.py
@@ -54,7 +54,7 @@
         return self.kind is RouteKind.STREAM
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Return whether a request that may have run can be sent to another endpoint."""
         return self.kind is RouteKind.REPEATABLE or self.is_resumable
 
--- a/yewloom/routing.py
+++ b/yewloom/routing.py
@@ -34,14 +34,14 @@
 class RouteRequest:
     """The properties of a request that routing depends on.
 
-    ``avoid`` are groups on which the request has failed. ``entry_hosts`` is the number of entry
-    hosts that receive the same reports and send to the same groups.
+    ``failed_groups`` are groups on which the request has failed. ``entry_hosts`` is the number of
+    entry hosts that receive the same reports and send to the same groups.
     """
 
     model: ModelName
     data_centre: DataCentreId
     prompt_characters: int
-    avoid: frozenset[GroupId] = frozenset()
+    failed_groups: frozenset[GroupId] = frozenset()
     entry_hosts: int = 1
 
 
@@ -49,16 +49,16 @@
 class Candidate:
     """An open group as seen by one entry host.
 
-    ``reported`` is the number of running and waiting requests in the engine's last report, and
-    ``own_unreported`` the number that this entry host has sent since. ``matched_blocks`` is the
+    ``reported_load`` is the number of running and waiting requests in the engine's last report, and
+    ``sent_since_report`` the number that this entry host has sent since. ``matched_blocks`` is the
     number of leading blocks of the prompt that the engine has cached.
     """
 
     group_id: GroupId
     data_centre: DataCentreId
-    reported: int
+    reported_load: int
     capacity: int
-    own_unreported: int
+    sent_since_report: int
     matched_blocks: int
 
     def load(self, entry_hosts: int) -> int:
@@ -66,7 +66,7 @@
 
         Assumes that every other entry host has sent as many unreported requests as this one.
         """
-        return self.reported + self.own_unreported * entry_hosts
+        return self.reported_load + self.sent_since_report * entry_hosts
 
 
 @value_class
@@ -84,7 +84,7 @@
     return routing
 
 
-class TurnCounter:
+class RoundRobinCounter:
     """The counter of round-robin routing."""
 
     def __init__(self) -> None:
@@ -101,13 +101,13 @@
     request: RouteRequest,
     candidates: Sequence[Candidate],
     rng: random.Random,
-    turns: TurnCounter,
+    turns: RoundRobinCounter,
 ) -> Route | None:
     """Choose a group for a request; return None if there are no candidates.
 
     Groups on which the request has failed are chosen only if there is no other.
     """
-    fresh = [c for c in candidates if c.group_id not in request.avoid]
+    fresh = [c for c in candidates if c.group_id not in request.failed_groups]
     usable = sorted(fresh or candidates, key=lambda candidate: candidate.group_id)
     return _choose(policy, request, usable, rng, turns) if usable else None
 
@@ -118,7 +118,7 @@
     request: RouteRequest,
     candidates: Sequence[Candidate],
     rng: random.Random,
-    turns: TurnCounter,
+    turns: RoundRobinCounter,
 ) -> Route:
     raise TypeError(f"no routing for {type(policy).__name__}")
 
@@ -129,7 +129,7 @@
     request: RouteRequest,
     candidates: Sequence[Candidate],
     rng: random.Random,
-    turns: TurnCounter,
+    turns: RoundRobinCounter,
 ) -> Route:
     chosen = candidates[turns.next_turn() % len(candidates)]
     return Route(chosen.group_id, "round robin")
@@ -141,10 +141,10 @@
     request: RouteRequest,
     candidates: Sequence[Candidate],
     rng: random.Random,
-    turns: TurnCounter,
+    turns: RoundRobinCounter,
 ) -> Route:
-    chosen = min(candidates, key=lambda c: (c.reported / max(c.capacity, 1), c.group_id))
-    return Route(chosen.group_id, f"least reported load {chosen.reported}/{chosen.capacity}")
+    chosen = min(candidates, key=lambda c: (c.reported_load / max(c.capacity, 1), c.group_id))
+    return Route(chosen.group_id, f"least reported load {chosen.reported_load}/{chosen.capacity}")
 
 
 @_choose.register
@@ -153,7 +153,7 @@
     request: RouteRequest,
     candidates: Sequence[Candidate],
     rng: random.Random,
-    turns: TurnCounter,
+    turns: RoundRobinCounter,
 ) -> Route:
     compared = _sample(policy, candidates, request.data_centre, rng)
     scored = [(estimate_first_token_s(policy, request, c), c.group_id, c) for c in compared]
--- a/yewloom/selection.py
+++ b/yewloom/selection.py
@@ -7,8 +7,8 @@
 from yewloom.configuration import Configuration, EngineProfile
 from yewloom.directory import Endpoint, EndpointDirectory, MemberState
 from yewloom.endpoint_limits import EndpointLimits
-from yewloom.entry_states import PeerBoard
-from yewloom.event_paces import EventIntervals
+from yewloom.entry_states import PeerStates
+from yewloom.event_intervals import EventIntervals
 from yewloom.ids import DataCentreId, HostId, ModelName, ServiceName
 from yewloom.reachability import Reachability
 from yewloom.routes import Route
@@ -56,7 +56,7 @@
         self,
         directory: EndpointDirectory,
         data_centre: DataCentreId,
-        peers: PeerBoard,
+        peers: PeerStates,
         rng: random.Random,
         reachability: Reachability,
         limits: EndpointLimits,
@@ -78,7 +78,7 @@
         weights = [share.weight for share in route.services]
         return self._rng.choices(route.services, weights)[0].service
 
-    def choose(
+    def select(
         self,
         requirements: EndpointRequirements,
         configuration: Configuration,
@@ -135,7 +135,7 @@
         self._avoid_until_s.pop(endpoint, None)
         self.event_intervals.forget(endpoint)
 
-    def running(self) -> Mapping[HostId, int]:
+    def running_here(self) -> Mapping[HostId, int]:
         """Return how many requests this host has running at each endpoint."""
         return self._running
 
@@ -151,7 +151,7 @@
     def _candidates(
         self, requirements: EndpointRequirements, engine: EngineProfile | None
     ) -> Iterator[tuple[Endpoint, float]]:
-        find = self._directory.of_service if engine is None else self._directory.leaders_of
+        find = self._directory.endpoints_of if engine is None else self._directory.leaders_of
         for endpoint in find(requirements.service):
             if endpoint.is_leaving:
                 continue
@@ -169,7 +169,7 @@
 
     def _membership_penalty(self, leader: Endpoint, engine: EngineProfile) -> float:
         assert leader.membership is not None
-        members = self._directory.members(leader.membership.key)
+        members = self._directory.members_of(leader.membership.key)
         sizes = [engine.models[m].group_size for m in leader.models if m in engine.models]
         if len(members) < max(sizes, default=1):
             return INCOMPLETE_PENALTY
--- a/yewloom/service_dispatch.py
+++ b/yewloom/service_dispatch.py
@@ -4,14 +4,14 @@
 import trio
 
 from yewloom.endpoints import EndpointError, Endpoints
-from yewloom.http_calls import HttpAnswer
+from yewloom.http_calls import HttpResponse
 from yewloom.ids import HostId
 from yewloom.node import Node
-from yewloom.places import Places
-from yewloom.problems import unavailable
+from yewloom.problems import unavailable_problem
 from yewloom.recovery import next_step
-from yewloom.requests import ServiceRequest, ShareLookup, to_arrival
+from yewloom.requests import ServiceRequest, ShareLookup, to_admission_request
 from yewloom.retries import AttemptTracker, RetryBudget
+from yewloom.slots import SlotPool
 from yewloom.states import Outcome
 
 logger = structlog.get_logger(__name__)
@@ -23,22 +23,22 @@
     def __init__(
         self,
         node: Node,
-        places: Places,
+        slots: SlotPool,
         endpoints: Endpoints,
         share_of: ShareLookup,
         budget: RetryBudget,
     ) -> None:
         self._node = node
-        self._places = places
+        self._slots = slots
         self._endpoints = endpoints
         self._share_of = share_of
         self._budget = budget
 
-    async def call_service(self, request: ServiceRequest) -> HttpAnswer:
+    async def call_service(self, request: ServiceRequest) -> HttpResponse:
         """Return a plain service's answer; raise Problem if there is none."""
         share = self._share_of(request.customer, request.customer_row)
-        arrival = to_arrival(request, 1.0, share, trio.current_time())
-        async with self._places.hold(arrival):
+        arrival = to_admission_request(request, 1.0, share, trio.current_time())
+        async with self._slots.acquire(arrival):
             tracker = AttemptTracker(request.is_unsafe, can_resume=False, budget=self._budget)
             avoid: set[HostId] = set()
             while True:
@@ -66,7 +66,7 @@
         usable = [entry for entry in open_endpoints if entry[1].host_id not in avoid]
         local = [entry for entry in usable if entry[0] == self._node.data_centre]
         if not usable:
-            raise unavailable(f"No endpoint of {request.service} is open now.", outcome)
+            raise unavailable_problem(f"No endpoint of {request.service} is open now.", outcome)
         _, endpoint = self._node.rng.choice(local or usable)
         logger.info(
             "routed",
--- a/yewloom/settings.py
+++ b/yewloom/settings.py
@@ -25,10 +25,10 @@
 class SettingsError:
     """Why a settings file can't be used and how to fix it, in one sentence."""
 
-    sentence: str
+    message: str
 
     def __str__(self) -> str:
-        return self.sentence
+        return self.message
 
 
 def read_settings(path: Path) -> Result[Settings, SettingsError]:
@@ -159,5 +159,5 @@
         return Err(SettingsError(f"{path} can't be read ({error}); give an INI file in UTF-8."))
 
 
-def _error(source: str, sentence: str) -> Err[SettingsError]:
-    return Err(SettingsError(f"{source}: {sentence}"))
+def _error(source: str, message: str) -> Err[SettingsError]:
+    return Err(SettingsError(f"{source}: {message}"))
--- a/yewloom/share_balancer.py
+++ b/yewloom/share_balancer.py
@@ -7,13 +7,13 @@
 from result import Err, Ok
 
 from yewloom.ids import AttemptId, CustomerId
-from yewloom.limits import part_of, plan_shares
+from yewloom.limits import data_centre_share, plan_shares
 from yewloom.node import Node
 from yewloom.platforms import Platform
 from yewloom.schema.peer_pb2 import Member
 from yewloom.schema.records_pb2 import Host, Shares
 from yewloom.watchers import SHARES_PREFIX, parse_shares
-from yewloom.writes import write_settled
+from yewloom.writes import write_until_settled
 
 logger = structlog.get_logger(__name__)
 
@@ -57,7 +57,7 @@
         if next_shares is None:
             return
         attempt = next_shares.attempt_id
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             self._key,
             next_shares,
@@ -80,7 +80,7 @@
     def _local_limits(self) -> dict[CustomerId, int]:
         places = self._node.settings.limits.data_centres.split()
         return {
-            name: part_of(row.max_in_flight, self._node.data_centre, places)
+            name: data_centre_share(row.max_in_flight, self._node.data_centre, places)
             for name, row in self._node.table.customers().items()
         }
 
--- a/yewloom/shutdown.py
+++ b/yewloom/shutdown.py
@@ -28,7 +28,7 @@
 
     activity: CallerActivity
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more connections or requests; open requests continue."""
         ...
 
@@ -36,7 +36,7 @@
 class OpenRequests(Protocol):
     """The requests that a planned stop may have to cut off."""
 
-    def end_open(self, at_most: int) -> bool:
+    def end_oldest(self, max_requests: int) -> bool:
         """Send final responses to the oldest requests; return whether any were open."""
         ...
 
@@ -77,9 +77,9 @@
         )
         self._plan.begin(requested_s, unnoticed_s)
         self._alarm.start(lambda: self._plan.exit_s - trio.current_time(), self._plan.add_delay)
-        self._activity.start_leaving()
+        self._activity.begin_stop()
         await trio.sleep_until(self._plan.stops_accepting_s)
-        self._server.stop_taking()
+        self._server.stop_accepting()
         await self._wait_for_open_requests()
         with trio.move_on_at(self._plan.exit_s):
             await self._cut_off_open_requests()
@@ -97,7 +97,7 @@
         """Send final responses to the remaining requests, after forwarding received data."""
         for _ in range(FINAL_PASSES):
             await trio.lowlevel.checkpoint()
-        while self._requests.end_open(CUT_OFF_BATCH_SIZE):
+        while self._requests.end_oldest(CUT_OFF_BATCH_SIZE):
             await trio.lowlevel.checkpoint()
         with trio.move_on_after(FINAL_RESPONSES_S):
             await self._activity.wait_until_idle()
--- a/yewloom/places.py
+++ b/yewloom/slots.py
@@ -5,24 +5,32 @@
 
 import trio
 
-from yewloom.admission import Admission, Admitted, Arrival, Decision, Queued, Shed, ShedReason
+from yewloom.admission import (
+    AdmissionController,
+    AdmissionRequest,
+    Admitted,
+    Decision,
+    Queued,
+    Shed,
+    ShedReason,
+)
 from yewloom.ids import RequestId
-from yewloom.problems import Problem, overloaded, unavailable
+from yewloom.problems import Problem, overloaded_problem, unavailable_problem
 from yewloom.states import Outcome
 
 
-class Places:
+class SlotPool:
     """The slots of one entry host and the tasks that wait for them."""
 
-    def __init__(self, admission: Admission) -> None:
+    def __init__(self, admission: AdmissionController) -> None:
         self.admission = admission
         self._decided_events: dict[RequestId, trio.Event] = {}
         self._decisions: dict[RequestId, Decision] = {}
 
     @asynccontextmanager
-    async def hold(self, arrival: Arrival) -> AsyncIterator[None]:
+    async def acquire(self, arrival: AdmissionRequest) -> AsyncIterator[None]:
         """Hold a slot; raise Problem as soon as the request is rejected."""
-        decision = self.admission.offer(arrival, trio.current_time())
+        decision = self.admission.submit(arrival, trio.current_time())
         if isinstance(decision, Queued):
             decision = await self._wait(arrival)
         if isinstance(decision, Shed):
@@ -32,17 +40,17 @@
         finally:
             self._apply_decisions(self.admission.release(arrival.request_id, trio.current_time()))
 
-    def stop_by(self, stops_s: float) -> None:
+    def set_stop_time(self, stops_s: float) -> None:
         """Reject requests that are not expected to finish by ``stops_s``, from now on."""
-        self.admission.stop_by(stops_s)
+        self.admission.set_stop_time(stops_s)
         self._apply_decisions(self.admission.advance(trio.current_time()))
 
-    def refill(self, slots: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """Set the number of slots and start waiting requests in new ones."""
         self.admission.set_slots(slots)
         self._apply_decisions(self.admission.advance(trio.current_time()))
 
-    async def _wait(self, arrival: Arrival) -> Decision:
+    async def _wait(self, arrival: AdmissionRequest) -> Decision:
         decided = self._decided_events[arrival.request_id] = trio.Event()
         try:
             with trio.move_on_at(min(arrival.deadline_s, arrival.start_by_s)):
@@ -75,5 +83,5 @@
 def _problem_for(shed: Shed) -> Problem:
     detail = f"The request was turned away: {shed.reason.value}."
     if shed.reason is ShedReason.STOPPING:
-        return unavailable(detail, Outcome.NOT_RUN)
-    return overloaded(detail, shed.retry_after_s)
+        return unavailable_problem(detail, Outcome.NOT_RUN)
+    return overloaded_problem(detail, shed.retry_after_s)
--- a/yewloom/socket_ages.py
+++ b/yewloom/socket_ages.py
@@ -42,17 +42,17 @@
     """How long ago data that is read now may have arrived.
 
     Uses the age reported by the operating system, if any, plus the duration of system suspensions
-    since then, which its clock excludes; otherwise ``late_s``, which returns how long the reader
-    was blocked.
+    since then, which its clock excludes; otherwise ``loop_delay_s``, which returns how long the
+    reader was blocked.
     """
 
     def __init__(
         self,
-        late_s: Callable[[], float] = lambda: 0.0,
+        loop_delay_s: Callable[[], float] = lambda: 0.0,
         suspensions: SuspensionTracker | None = None,
     ) -> None:
         self._suspensions = suspensions or SuspensionTracker()
-        self._late_s = late_s
+        self._loop_delay_s = loop_delay_s
         self._is_reported_by_system = False
 
     def of(self, stream: object) -> float:
@@ -65,5 +65,5 @@
         return (
             age_s + self._suspensions.suspended_since_s(age_s)
             if self._is_reported_by_system
-            else self._late_s()
+            else self._loop_delay_s()
         )
--- a/yewloom/stalled_groups.py
+++ b/yewloom/stalled_groups.py
@@ -11,7 +11,7 @@
 from yewloom.directory import EndpointDirectory
 from yewloom.ids import HostId
 from yewloom.plan_state import PlanState, group_key
-from yewloom.process_starts import is_same_process
+from yewloom.process_starts import may_be_same_process
 from yewloom.replica_orders import REPORT_TIMEOUT_S, EngineOrders, EngineReport
 from yewloom.schema.records_pb2 import Group, GroupMember
 from yewloom.stalls import StallDetector
@@ -20,7 +20,7 @@
 
 logger = structlog.get_logger(__name__)
 
-PROBE_AFTER_STALL_S = 2.0
+PROBE_INTERVAL_S = 2.0
 """Minimum pause between two probes of a suspect or of the members of a stalled group."""
 
 SUSPECT_REPORT_TIMEOUT_S = 1.8
@@ -76,17 +76,17 @@
         stalls: StallDetector,
         engine_orders: EngineOrders,
         state: PlanState,
-        late_s: Callable[[], float] = lambda: 0.0,
+        loop_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Initialize; ``late_s`` returns a non-zero value if this process was just delayed."""
-        self._late_s = late_s
+        """Initialize; ``loop_delay_s`` returns non-zero if this process was just delayed."""
+        self._loop_delay_s = loop_delay_s
         self._directory = directory
         self._stalls = stalls
         self._engine_orders = engine_orders
         self._state = state
         self._last_probe_s: dict[HostId, float] = {}
 
-    def look(self, groups: Iterable[Group], tasks: BackgroundTasks) -> None:
+    def start_probes(self, groups: Iterable[Group], tasks: BackgroundTasks) -> None:
         """Start probes of suspects, of stalled groups and of members that are not listed.
 
         This does not wait for the answers; their results are used by later plans.
@@ -98,7 +98,7 @@
             if group.intent != GroupIntent.ACTIVE.value or not group.members:
                 continue
             leader = HostId(group.members[0].host_id)
-            if leader in stalled and self._is_probe_due(leader, now_s, PROBE_AFTER_STALL_S):
+            if leader in stalled and self._is_probe_due(leader, now_s, PROBE_INTERVAL_S):
                 self._state.stalled_s[group_key(group)] = now_s
                 self._probe_members(group, tasks)
             self._probe_unlisted(group, now_s, tasks)
@@ -109,7 +109,7 @@
             endpoint = self._directory.by_id.get(suspect)
             if endpoint is None:
                 self._state.suspects.discard(suspect)
-            elif self._is_probe_due(suspect, now_s, PROBE_AFTER_STALL_S):
+            elif self._is_probe_due(suspect, now_s, PROBE_INTERVAL_S):
                 probe = _MemberProbe(
                     suspect,
                     endpoint.address,
@@ -130,8 +130,10 @@
     async def _probe_unlisted_member(self, member: GroupMember) -> None:
         """Probe a member; an answer counts only if it is from the process in the group."""
         report = await self._engine_orders.read_report(member.address)
-        if report is not None and is_same_process(report.started_unix_ms, member.started_unix_ms):
-            self._state.answered_s[HostId(member.host_id)] = trio.current_time()
+        if report is not None and may_be_same_process(
+            report.started_unix_ms, member.started_unix_ms
+        ):
+            self._state.last_answer_s[HostId(member.host_id)] = trio.current_time()
 
     def _is_probe_due(self, host: HostId, now_s: float, pause_s: float) -> bool:
         """Return whether a probe is due, and if so record it as started."""
@@ -161,10 +163,12 @@
         """
         sent_s, group_probe = trio.current_time(), probe.group_probe
         report = await self._query_report(probe)
-        if report is not None and is_same_process(report.started_unix_ms, probe.started_unix_ms):
+        if report is not None and may_be_same_process(
+            report.started_unix_ms, probe.started_unix_ms
+        ):
             self._state.suspects.discard(probe.member)
             return
-        has_progress = group_probe is not None and self._stalls.moved_since(
+        has_progress = group_probe is not None and self._stalls.has_progress_since(
             group_probe.leader, sent_s
         )
         if report is None and has_progress:
@@ -188,7 +192,7 @@
             return report
         if group_probe is not None and group_probe.is_unanswered:
             return await self._engine_orders.read_report(probe.address, SUSPECT_REPORT_TIMEOUT_S)
-        if self._late_s():
+        if self._loop_delay_s():
             # The answer may have arrived while this process was delayed.
             return await self._engine_orders.read_report(probe.address, probe.timeout_s)
         return None
--- a/yewloom/stalls.py
+++ b/yewloom/stalls.py
@@ -12,16 +12,16 @@
 
 from yewloom.ids import HostId
 
-QUIET_S = 0.45
+STALL_TIMEOUT_S = 0.45
 """Time without events on any stream of a group after which the group counts as stalled: the
 duration of several events and of the prefill of a long prompt between two of them."""
 
-AVOID_STALLED_S = 2.0
+STALLED_AVOIDANCE_S = 2.0
 """Longest time for which a stalled group gets no new requests. Within half a second the coordinator
 queries the members, and dissolves the group if one does not answer; otherwise the group was only
 slow."""
 
-REPORT_S = 1.0
+REPORT_TTL_S = 1.0
 """Time for which a report that a group has stalled is valid."""
 
 PEER_REPORTED_QUIET_S = 0.2
@@ -35,11 +35,11 @@
 CHECK_INTERVAL_S = 0.1
 """Interval between checks for a stall: half the interval between two messages of a peer."""
 
-MOVING_S = 0.2
+RECENT_EVENT_S = 0.2
 """Time for which an event of a group is reported to peers: the interval between messages to them.
 """
 
-READ_LATE_S = 0.1
+MAX_MESSAGE_DELAY_S = 0.1
 """Longest delay until a peer's message is read if the event loop was not delayed: network latency
 and other work on a slow host."""
 
@@ -60,11 +60,11 @@
     @property
     def quiet_limit_s(self) -> float:
         """Return the time without events after which the group counts as stalled."""
-        return QUIET_S if self.has_events else FIRST_EVENT_TIMEOUT_S
+        return STALL_TIMEOUT_S if self.has_events else FIRST_EVENT_TIMEOUT_S
 
 
 class _RecentReports:
-    """Times at which leaders were reported; a report expires after ``REPORT_S``."""
+    """Times at which leaders were reported; a report expires after ``REPORT_TTL_S``."""
 
     def __init__(self) -> None:
         self._reported_s: dict[HostId, float] = {}
@@ -77,7 +77,7 @@
 
     def has(self, leader: HostId, now_s: float) -> bool:
         """Return whether a leader was reported recently."""
-        return now_s - self._reported_s.get(leader, float("-inf")) < REPORT_S
+        return now_s - self._reported_s.get(leader, float("-inf")) < REPORT_TTL_S
 
     def drop(self, leader: HostId) -> None:
         """Drop the report of a leader."""
@@ -85,7 +85,7 @@
 
     def recent(self, now_s: float) -> list[HostId]:
         """Return the leaders that were reported recently, and forget the others."""
-        self._reported_s = {h: s for h, s in self._reported_s.items() if now_s - s < REPORT_S}
+        self._reported_s = {h: s for h, s in self._reported_s.items() if now_s - s < REPORT_TTL_S}
         return list(self._reported_s)
 
 
@@ -103,30 +103,34 @@
         self._stalled_by_peers, self._unreachable_by_peers = _RecentReports(), _RecentReports()
         self._arrived_by_peers_s: dict[HostId, float] = {}
 
-    def on_begin(self, leader: HostId, now_s: float) -> None:
+    def on_stream_start(self, leader: HostId, now_s: float) -> None:
         """Record that a stream was opened."""
         activity = self._activity[leader]
         if not activity.streams:
             activity.last_read_s, activity.arrived_s, activity.has_events = now_s, now_s, False
         activity.streams += 1
 
-    def on_event(self, leader: HostId, now_s: float, late_s: float = 0.0) -> None:
-        """Record an event that is read now and arrived up to ``late_s`` ago.
+    def on_event(self, leader: HostId, now_s: float, max_age_s: float = 0.0) -> None:
+        """Record an event that is read now and arrived up to ``max_age_s`` ago.
 
         The time without events is counted from the reading. As evidence that the group works, the
         event counts only for the earliest time at which it may have arrived.
         """
         activity = self._activity[leader]
-        activity.last_read_s, activity.arrived_s, activity.has_events = now_s, now_s - late_s, True
+        activity.last_read_s, activity.arrived_s, activity.has_events = (
+            now_s,
+            now_s - max_age_s,
+            True,
+        )
 
-    def on_end(self, leader: HostId) -> None:
+    def on_stream_end(self, leader: HostId) -> None:
         """Record that a stream has ended."""
         activity = self._activity[leader]
         activity.streams -= 1
         if not activity.streams:
             del self._activity[leader]
 
-    def report(self, leader: HostId, now_s: float) -> None:
+    def report_stalled(self, leader: HostId, now_s: float) -> None:
         """Record that a group has stalled or dropped a connection.
 
         Streams without a first event may just be queued at a full engine, so they are not reported
@@ -141,35 +145,37 @@
         if self._unreachable.add(leader, now_s):
             self._on_report()
 
-    def report_by_peer(self, leader: HostId, now_s: float) -> None:
+    def on_peer_stall_report(self, leader: HostId, now_s: float) -> None:
         """Record that another entry host reported a group as stalled."""
         if self._stalled_by_peers.add(leader, now_s):
             self._dispute_report(leader, now_s)
 
-    def report_unreachable_by_peer(self, leader: HostId, now_s: float) -> None:
+    def on_peer_unreachable_report(self, leader: HostId, now_s: float) -> None:
         """Record that another entry host could not reach a leader."""
         if self._unreachable_by_peers.add(leader, now_s):
             self._dispute_report(leader, now_s)
 
     def _dispute_report(self, leader: HostId, now_s: float) -> None:
         """Notify peers soon if a group that one of them suspects still delivers events here."""
-        if self._has_event_since(leader, now_s - MOVING_S):
+        if self._has_event_since(leader, now_s - RECENT_EVENT_S):
             self._on_report()
 
-    def move_by_peer(self, leader: HostId, age_s: float, now_s: float) -> None:
+    def on_peer_progress(self, leader: HostId, age_s: float, now_s: float) -> None:
         """Record that another entry host got an event of a group, ``age_s`` before its message."""
-        arrived_s = now_s - age_s - READ_LATE_S
+        arrived_s = now_s - age_s - MAX_MESSAGE_DELAY_S
         self._arrived_by_peers_s[leader] = max(
             arrived_s, self._arrived_by_peers_s.get(leader, arrived_s)
         )
 
-    def moving(self, now_s: float) -> dict[HostId, float]:
+    def progressing(self, now_s: float) -> dict[HostId, float]:
         """Return the suspected leaders with a recent event on this host, and the event's age."""
         suspected = self.suspected(now_s)
-        moving = [leader for leader in suspected if self._has_event_since(leader, now_s - MOVING_S)]
+        moving = [
+            leader for leader in suspected if self._has_event_since(leader, now_s - RECENT_EVENT_S)
+        ]
         return {leader: now_s - self._activity[leader].arrived_s for leader in moving}
 
-    def moved_since(self, leader: HostId, since_s: float) -> bool:
+    def has_progress_since(self, leader: HostId, since_s: float) -> bool:
         """Return whether this host or a peer got an event of a group after a given time."""
         by_peers_s = self._arrived_by_peers_s.get(leader, float("-inf"))
         return by_peers_s > since_s or self._has_event_since(leader, since_s)
@@ -189,7 +195,7 @@
             reports.drop(leader)
         self._arrived_by_peers_s.pop(leader, None)
 
-    def reported(self, now_s: float) -> list[HostId]:
+    def reported_stalled(self, now_s: float) -> list[HostId]:
         """Return the leaders whose groups this host itself reported recently as stalled."""
         return self._stalled.recent(now_s)
 
@@ -199,7 +205,7 @@
 
     def suspected(self, now_s: float) -> set[HostId]:
         """Return the leaders that any entry host reported recently."""
-        own = {*self.reported(now_s), *self.reported_unreachable(now_s)}
+        own = {*self.reported_stalled(now_s), *self.reported_unreachable(now_s)}
         by_peers = {
             *self._stalled_by_peers.recent(now_s),
             *self._unreachable_by_peers.recent(now_s),
--- a/yewloom/status.py
+++ b/yewloom/status.py
@@ -22,7 +22,7 @@
             for member in node.membership.alive(now_s)
         ],
         "groups": _describe_groups(node, now_s),
-        "shares": {name: node.shares.usable(name, now_s) for name in node.table.customers()},
+        "shares": {name: node.shares.capacity(name, now_s) for name in node.table.customers()},
         "placements": {p.data_centre: p.generation for p in node.fleet.placement_versions()},
     }
 
--- a/yewloom/store_retries.py
+++ b/yewloom/store_retries.py
@@ -35,14 +35,14 @@
     first_pause_s: float
     draw: float
 
-    def pause_s(self, failures: int, has_duty: bool, near_hosts: int) -> float:
+    def pause_s(self, failures: int, has_duty: bool, near_host_count: int) -> float:
         """Return the pause after a number of consecutive failures.
 
-        ``near_hosts`` is the number of hosts in this data centre.
+        ``near_host_count`` is the number of hosts in this data centre.
         """
         jitter = 1 - JITTER / 2 + JITTER * self.draw
         if has_duty:
             factor = min(2.0 ** max(0, failures - 1), MAX_DUTY_FACTOR)
             return self.first_pause_s * factor * jitter
         min_pause_s = self.first_pause_s * MIN_IDLE_FACTOR
-        return max(min_pause_s, near_hosts * IDLE_SPACING_S) * jitter
+        return max(min_pause_s, near_host_count * IDLE_SPACING_S) * jitter
--- a/yewloom/streams.py
+++ b/yewloom/streams.py
@@ -1,6 +1,6 @@
 """Assembles an engine's stream: complete, in order and without duplicates.
 
-Each piece carries the request, the generation and the offset of its first token. The last piece
+Each chunk carries the request, the generation and the offset of its first token. The last chunk
 marks the end, from which the number of tokens follows, so a broken stream is never taken for
 complete.
 """
@@ -9,14 +9,14 @@
 from yewloom.values import value_class
 
 MAX_PENDING_PIECES = 1024
-"""Maximum number of out-of-order pieces before the stream is considered broken."""
+"""Maximum number of out-of-order chunks before the stream is considered broken."""
 
 
 @value_class
-class StreamPiece:
+class StreamChunk:
     """Tokens of one response.
 
-    ``offset`` is the position of the first token; ``is_last`` marks the last piece.
+    ``offset`` is the position of the first token; ``is_last`` marks the last chunk.
     """
 
     request_id: RequestId
@@ -28,18 +28,18 @@
 
 
 class StreamOverflowError(Exception):
-    """Too many pieces are waiting for a missing one."""
+    """Too many chunks are waiting for a missing one."""
 
 
 class StreamAssembler:
-    """Reorders the pieces of one response and drops those of other requests and generations."""
+    """Reorders the chunks of one response and drops those of other requests and generations."""
 
     def __init__(self, request_id: RequestId, generation: int, offset: int = 0) -> None:
         self.request_id = request_id
         self._generation = generation
         self._next_offset = offset
         self._end_offset: int | None = None
-        self._pending: dict[int, StreamPiece] = {}
+        self._pending: dict[int, StreamChunk] = {}
         self.finish_reason = ""
 
     @property
@@ -48,35 +48,35 @@
         return self._next_offset
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all tokens up to the end were released."""
         return self._end_offset is not None and self._next_offset >= self._end_offset
 
-    def move_to(self, generation: int) -> None:
-        """Continue with another replica; pieces of the previous one are dropped from now on."""
+    def switch_replica(self, generation: int) -> None:
+        """Continue with another replica; chunks of the previous one are dropped from now on."""
         self._generation = generation
         self._pending.clear()
         self._end_offset = None
 
-    def accept(self, piece: StreamPiece) -> list[str]:
-        """Add a piece and return the tokens that are now in order."""
-        if piece.request_id != self.request_id or piece.generation != self._generation:
+    def accept(self, chunk: StreamChunk) -> list[str]:
+        """Add a chunk and return the tokens that are now in order."""
+        if chunk.request_id != self.request_id or chunk.generation != self._generation:
             return []
-        if piece.is_last:
-            self._end_offset = piece.offset + len(piece.tokens)
-            self.finish_reason = piece.finish_reason
-        if piece.offset + len(piece.tokens) <= self._next_offset:
+        if chunk.is_last:
+            self._end_offset = chunk.offset + len(chunk.tokens)
+            self.finish_reason = chunk.finish_reason
+        if chunk.offset + len(chunk.tokens) <= self._next_offset:
             return []
-        self._add_pending(piece)
+        self._add_pending(chunk)
         return self._release()
 
-    def _add_pending(self, piece: StreamPiece) -> None:
-        pending = self._pending.get(piece.offset)
-        if pending is None or len(pending.tokens) < len(piece.tokens):
-            self._pending[piece.offset] = piece
+    def _add_pending(self, chunk: StreamChunk) -> None:
+        pending = self._pending.get(chunk.offset)
+        if pending is None or len(pending.tokens) < len(chunk.tokens):
+            self._pending[chunk.offset] = chunk
         if len(self._pending) > MAX_PENDING_PIECES:
             raise StreamOverflowError(
-                f"{len(self._pending)} pieces wait for offset {self._next_offset}"
+                f"{len(self._pending)} chunks wait for offset {self._next_offset}"
             )
 
     def _release(self) -> list[str]:
@@ -85,9 +85,9 @@
             offset = min(self._pending, default=self._next_offset + 1)
             if offset > self._next_offset:
                 return released
-            piece = self._pending.pop(offset)
-            released += piece.tokens[self._next_offset - offset :]
-            self._next_offset = max(self._next_offset, offset + len(piece.tokens))
+            chunk = self._pending.pop(offset)
+            released += chunk.tokens[self._next_offset - offset :]
+            self._next_offset = max(self._next_offset, offset + len(chunk.tokens))
 
 
 @value_class
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -42,10 +42,10 @@
 class TableError:
     """Why an edit is rejected and how to fix it, in one sentence."""
 
-    sentence: str
+    message: str
 
     def __str__(self) -> str:
-        return self.sentence
+        return self.message
 
 
 class Table:
--- a/yewloom/tests/__init__.py
+++ b/yewloom/tests/__init__.py
@@ -9,4 +9,4 @@
 
 settings.register_profile("derandomized", deadline=None, derandomize=True, database=None)
 settings.load_profile("derandomized")
-log.set_up("critical")
+log.configure_logs("critical")
--- a/yewloom/tests/caller_support.py
+++ b/yewloom/tests/caller_support.py
@@ -8,7 +8,7 @@
 
 from yewloom.caller_activity import CallerActivity
 from yewloom.caller_connection import CallerConnection
-from yewloom.caller_messages import CallerGoneError, CallerRequest, Handlers, Reply
+from yewloom.caller_messages import CallerDisconnectedError, CallerRequest, Handlers, ResponseWriter
 from yewloom.configuration import CallerLimits
 from yewloom.planned_stop import DEREGISTRATION_DELAY_S
 from yewloom.socket_ages import ReadAges
@@ -28,12 +28,12 @@
         """Send complete requests without waiting for responses."""
         await self.stream.send_all(b"".join(request_bytes(path) for path in paths))
 
-    async def answers(self, may_be_cut: bool = False) -> list[tuple[int, bytes]]:
+    async def responses(self, allow_truncated: bool = False) -> list[tuple[int, bytes]]:
         """Read until the connection ends; return status and body of each complete response."""
         data = b""
         while part := await self.stream.receive_some(65536):
             data += part
-        return parse_answers(data, may_be_cut)
+        return parse_responses(data, allow_truncated)
 
 
 def request_bytes(path: str) -> bytes:
@@ -41,10 +41,10 @@
     return f"GET {path} HTTP/1.1\r\nhost: x.example\r\n\r\n".encode()
 
 
-def parse_answers(data: bytes, may_be_cut: bool = False) -> list[tuple[int, bytes]]:
+def parse_responses(data: bytes, allow_truncated: bool = False) -> list[tuple[int, bytes]]:
     """Return status and body of each complete response in the bytes of a connection.
 
-    Only with ``may_be_cut`` may the last response be truncated.
+    Only with ``allow_truncated`` may the last response be truncated.
     """
     connection = h11.Connection(h11.CLIENT)
     connection.receive_data(data)
@@ -56,7 +56,7 @@
         assert isinstance(head, h11.Response), head
         while isinstance(event := connection.next_event(), h11.Data):
             body += event.data
-        if event is h11.NEED_DATA and may_be_cut:
+        if event is h11.NEED_DATA and allow_truncated:
             break
         assert isinstance(event, h11.EndOfMessage), "a response was truncated"
         found.append((head.status_code, body))
@@ -91,15 +91,15 @@
         )
         with trio.CancelScope() as scope:
             self._running.add(scope)
-            with suppress(CallerGoneError):
+            with suppress(CallerDisconnectedError):
                 await connection.run()
         self._running.discard(scope)
         await trio.aclose_forcefully(stream)
 
-    async def _handle(self, request: CallerRequest, reply: Reply) -> None:
+    async def _handle(self, request: CallerRequest, reply: ResponseWriter) -> None:
         self.accepted_paths.append(request.path)
         if not request.path.startswith(STREAM):
-            await reply.send_whole(200, [], b"plain")
+            await reply.send_complete(200, [], b"plain")
             return
         await reply.start(200, [], b"a")
         await self.may_end.wait()
@@ -108,12 +108,12 @@
 
     async def begin_stop(self) -> None:
         """Begin a planned stop, and wait until the deregistration delay is over."""
-        self.activity.start_leaving()
+        self.activity.begin_stop()
         await trio.sleep(DEREGISTRATION_DELAY_S)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more requests."""
-        self.activity.stop_taking()
+        self.activity.stop_accepting()
 
     def cancel_all(self) -> None:
         """Cancel the remaining connections, as when the process exits."""
--- a/yewloom/tests/engine_world.py
+++ b/yewloom/tests/engine_world.py
@@ -14,8 +14,8 @@
 import trio.testing
 from result import Err, Ok, Result
 
-from yewloom.configuration import ConfigurationBook
-from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.configuration import ConfigurationState
+from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.ids import GroupId, HostId, ModelName
 from yewloom.platform_parts import PlatformParts
@@ -43,7 +43,7 @@
     is_complete,
     is_in_serving_group,
 )
-from yewloom.tests.entry_support import HALL, SMALL, make_configuration, make_engine
+from yewloom.tests.entry_support import DATA_CENTRE, SMALL, make_configuration, make_engine
 from yewloom.writes import to_json
 
 ORDER_TIMEOUT_S = 0.8
@@ -75,18 +75,18 @@
 
 
 @dataclass
-class WorldEngine(SimulatedEngine):
+class SimulatedListedEngine(SimulatedEngine):
     """A simulated engine.
 
     ``listed_as`` is an outdated entry that listings show instead of the current one.
-    ``is_reached`` means that the coordinator can reach the engine. ``unlisted_from_s`` is when its
-    entry expires. ``loses_answers`` are the types of orders that it executes without an answer.
+    ``is_reachable`` means that the coordinator can reach the engine. ``unlisted_from_s`` is when
+    its entry expires. ``loses_answers`` are the types of orders that it executes without an answer.
     After an order, it returns ``old_report`` until ``reports_old_until_s``.
     """
 
     staged: ModelName | None = SMALL
     unlisted_from_s: float = math.inf
-    is_reached: bool = True
+    is_reachable: bool = True
     loses_answers: tuple[type, ...] = ()
     answers_reports: bool = True
     listed_as: Endpoint | None = None
@@ -101,41 +101,41 @@
         entry = make_engine(self.name, staged=self.staged, model=self.model)
         return replace(entry, membership=self.membership())
 
-    def membership(self) -> Membership | None:
+    def membership(self) -> GroupMembership | None:
         """Return the engine's membership in its group, if any."""
         if self.key is None:
             return None
-        return Membership(self.key, self.members.index(self.name), self.state)
+        return GroupMembership(self.key, self.members.index(self.name), self.state)
 
 
 @dataclass
-class EngineWorld:
+class SimulatedEngines:
     """Simulated engines that execute orders.
 
-    ``taken`` lists joins of engines whose previous group was still serving, and ``refused`` the
-    orders that did not match an engine's order count.
+    ``unsafe_joins`` lists joins of engines whose previous group was still serving, and ``refused``
+    the orders that did not match an engine's order count.
     """
 
-    engines: dict[HostId, WorldEngine] = field(default_factory=dict)
-    taken: list[str] = field(default_factory=list)
+    engines: dict[HostId, SimulatedListedEngine] = field(default_factory=dict)
+    unsafe_joins: list[str] = field(default_factory=list)
     refused: list[str] = field(default_factory=list)
     record: Placement | None = None
 
-    def add(self, *names: str) -> None:
+    def add_free_engines(self, *names: str) -> None:
         """Add engines that are in no group and have the small model's weights."""
         for name in names:
-            self.engines[HostId(name)] = WorldEngine(HostId(name))
+            self.engines[HostId(name)] = SimulatedListedEngine(HostId(name))
 
-    def serve(self, group: str, names: list[str], is_recorded: bool = True) -> GroupKey:
+    def add_serving_group(self, group: str, names: list[str], is_recorded: bool = True) -> GroupKey:
         """Add engines that serve as a group, optionally recorded; the first one is the leader."""
         key = GroupKey(GroupId(group), 1)
-        self.add(*names)
+        self.add_free_engines(*names)
         for name in names:
             engine = self.engines[HostId(name)]
             engine.key, engine.members = key, tuple(HostId(n) for n in names)
             engine.model, engine.state = SMALL, MemberState.READY
         self.engines[HostId(names[0])].state = MemberState.OPEN
-        self.record = Placement(data_centre=HALL, generation=1)
+        self.record = Placement(data_centre=DATA_CENTRE, generation=1)
         if is_recorded:
             recorded = self.record.groups.add(
                 id=group, generation=1, model=SMALL, intent=GroupIntent.ACTIVE.value
@@ -159,14 +159,14 @@
             break_if_stalled(engine, self.engines, now_s)
 
     async def send(
-        self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
+        self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
         """Execute an order, and answer it unless the answer is lost."""
         target = self.engines[engine]
-        if not target.is_reached or not target.is_alive:
+        if not target.is_reachable or not target.is_alive:
             await trio.sleep(ORDER_TIMEOUT_S)
             return OrderAnswer.UNREACHABLE
-        answer = self._answer(target, order, expected_sequence)
+        answer = self._answer(target, order, expected_order_count)
         if isinstance(order, target.loses_answers):
             await trio.sleep(ORDER_TIMEOUT_S)
             return OrderAnswer.UNKNOWN
@@ -177,7 +177,7 @@
     ) -> EngineReport | None:
         """Return an engine's report, which is outdated for ``REPORT_LAG_S`` after an order."""
         engine = self.engines[HostId(address.partition(":")[0])]
-        if not engine.is_reached or not engine.is_alive or not engine.answers_reports:
+        if not engine.is_reachable or not engine.is_alive or not engine.answers_reports:
             await trio.sleep(timeout_s)
             return None
         if trio.current_time() < engine.reports_old_until_s and engine.old_report is not None:
@@ -185,56 +185,60 @@
         return EngineReport(engine.sequence, group=engine.key)
 
     def _answer(
-        self, engine: WorldEngine, order: EngineOrder, expected_sequence: int | None
+        self, engine: SimulatedListedEngine, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
-        if expected_sequence is not None and expected_sequence != engine.sequence:
+        if expected_order_count is not None and expected_order_count != engine.sequence:
             self.refused.append(f"{engine.name}: {order}")
-            return OrderAnswer.OUT_OF_DATE
+            return OrderAnswer.REFUSED
         self._freeze_report(engine)
         key = engine.key
         answer = self._execute(engine, order)
-        if answer is OrderAnswer.BEGUN or engine.key != key:
+        if answer is OrderAnswer.STARTED or engine.key != key:
             engine.sequence += 1
         return answer
 
-    def _freeze_report(self, engine: WorldEngine) -> None:
+    def _freeze_report(self, engine: SimulatedListedEngine) -> None:
         """Make reports show the current state for the next ``REPORT_LAG_S``."""
         now_s = trio.current_time()
         if now_s >= engine.reports_old_until_s:
             engine.old_report = EngineReport(engine.sequence, group=engine.key)
             engine.reports_old_until_s = now_s + REPORT_LAG_S
 
-    def _execute(self, engine: WorldEngine, order: EngineOrder) -> OrderAnswer:
+    def _execute(self, engine: SimulatedListedEngine, order: EngineOrder) -> OrderAnswer:
         match order:
             case JoinGroup(key=key, model=model, members=members):
                 return self._join(engine, key, model, tuple(members))
             case OpenGroup(key=key) if engine.key == key and engine.state is MemberState.READY:
                 engine.state = MemberState.OPEN
-                return OrderAnswer.BEGUN
+                return OrderAnswer.STARTED
             case CloseGroup(key=key) if engine.key == key and engine.state is MemberState.OPEN:
                 engine.state = MemberState.READY
-                return OrderAnswer.BEGUN
+                return OrderAnswer.STARTED
             case LeaveGroup(key=key) if engine.key == key:
                 engine.key, engine.members = None, ()
                 engine.state = MemberState.JOINING
-                return OrderAnswer.HOLDS  # A leave completes immediately and is counted.
+                return OrderAnswer.UNCHANGED  # A leave completes immediately and is counted.
             case StageModel(model=model):
                 engine.staged = model
-                return OrderAnswer.BEGUN
-        return OrderAnswer.HOLDS
+                return OrderAnswer.STARTED
+        return OrderAnswer.UNCHANGED
 
     def _join(
-        self, engine: WorldEngine, key: GroupKey, model: ModelName, members: tuple[HostId, ...]
+        self,
+        engine: SimulatedListedEngine,
+        key: GroupKey,
+        model: ModelName,
+        members: tuple[HostId, ...],
     ) -> OrderAnswer:
         if key == engine.key:
-            return OrderAnswer.HOLDS
+            return OrderAnswer.UNCHANGED
         if engine.key is not None and is_in_serving_group(engine, self.engines):
             old = engine.key.group_id
-            self.taken.append(f"{engine.name} joins {key.group_id} while {old} is open")
+            self.unsafe_joins.append(f"{engine.name} joins {key.group_id} while {old} is open")
         engine.key, engine.model, engine.members = key, model, members
         engine.state, engine.joining_since_s = MemberState.JOINING, trio.current_time()
         engine.incomplete_since_s = None
-        return OrderAnswer.BEGUN
+        return OrderAnswer.STARTED
 
 
 class RecordStore:
@@ -266,7 +270,7 @@
 
 
 class _FakePlatformParts:
-    def __init__(self, store: RecordStore, world: EngineWorld) -> None:
+    def __init__(self, store: RecordStore, world: SimulatedEngines) -> None:
         self.records_store = self.stale_store = cast(Platform, store)
         self.orders = world
 
@@ -279,25 +283,25 @@
         return {}
 
 
-class Played:
+class CoordinatorSimulation:
     """A coordinator that runs against simulated engines and a store.
 
     Tests report stalled groups to ``stalls``.
     """
 
-    def __init__(self, world: EngineWorld) -> None:
+    def __init__(self, world: SimulatedEngines) -> None:
         self.world = world
         self.stalls = StallDetector()
         self._directory = EndpointDirectory()
         self.store = RecordStore()
         if world.record is not None:
-            self.store.put(f"yewloom-placements/{HALL}", to_json(world.record))
-        book = ConfigurationBook()
-        book.apply(make_configuration(), 0.0)
+            self.store.put(f"yewloom-placements/{DATA_CENTRE}", to_json(world.record))
+        configuration_state = ConfigurationState()
+        configuration_state.apply(make_configuration(), 0.0)
         self.coordinator = ReplicaCoordinator(
             parse_entry_settings(SETTINGS, "test").unwrap(),
             cast(PlatformParts, _FakePlatformParts(self.store, world)),
-            book,
+            configuration_state,
             self._directory,
             self.stalls,
             cast(Selector, _IdleSelector()),
@@ -317,11 +321,13 @@
             await trio.sleep(LISTING_S)
 
 
-def play(world: EngineWorld, test: Callable[[Played], Awaitable[None]]) -> None:
+def run_simulation(
+    world: SimulatedEngines, test: Callable[[CoordinatorSimulation], Awaitable[None]]
+) -> None:
     """Run a coordinator against simulated engines for the duration of a test."""
 
     async def main() -> None:
-        played = Played(world)
+        played = CoordinatorSimulation(world)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(played.publish_listings)
             nursery.start_soon(played.coordinator.run)
--- a/yewloom/tests/entry_support.py
+++ b/yewloom/tests/entry_support.py
@@ -3,9 +3,9 @@
 import random
 
 from yewloom.configuration import Configuration, EngineProfile, ReplicaModel, Service
-from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.endpoint_limits import EndpointLimits
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.ids import (
     CustomerId,
     DataCentreId,
@@ -23,8 +23,8 @@
 ENGINES = ServiceName("engines")
 PLAIN = ServiceName("plain")
 LARGE, SMALL = ModelName("large"), ModelName("small")
-HALL = DataCentreId("hall-a")
-ME = EntryHostId("me")
+DATA_CENTRE = DataCentreId("hall-a")
+OWN_HOST = EntryHostId("me")
 
 
 def make_profile(slots: int = 13) -> EngineProfile:
@@ -80,9 +80,9 @@
     name: str,
     domain: str = "d1",
     staged: ModelName | None = None,
-    membership: Membership | None = None,
+    membership: GroupMembership | None = None,
     model: ModelName | None = None,
-    data_centre: DataCentreId = HALL,
+    data_centre: DataCentreId = DATA_CENTRE,
     is_leaving: bool = False,
 ) -> Endpoint:
     """Return a model engine."""
@@ -101,7 +101,7 @@
 
 def make_plain(name: str, address: str = "127.0.0.1:1") -> Endpoint:
     """Return an endpoint of the plain service."""
-    return Endpoint(HostId(name), PLAIN, address, HALL)
+    return Endpoint(HostId(name), PLAIN, address, DATA_CENTRE)
 
 
 def put_group(
@@ -113,30 +113,30 @@
     generation: int = 1,
     domain: str = "d1",
     staged: ModelName | None = None,
-    data_centre: DataCentreId = HALL,
+    data_centre: DataCentreId = DATA_CENTRE,
 ) -> GroupKey:
     """Register engines as the members of a group; the first one leads."""
     key = GroupKey(GroupId(group), generation)
     for rank, name in enumerate(names):
         shown = state if rank == 0 or state is not MemberState.OPEN else MemberState.READY
-        member = Membership(key, rank, shown)
+        member = GroupMembership(key, rank, shown)
         directory.put(make_engine(name, domain, staged or model, member, model, data_centre))
     return key
 
 
 def make_selector(
     directory: EndpointDirectory,
-    board: PeerBoard | None = None,
+    peer_states: PeerStates | None = None,
     reachability: Reachability | None = None,
     limits: EndpointLimits | None = None,
 ) -> Selector:
-    """Return a selector of a host in ``HALL`` with a fixed random seed."""
-    board = board or PeerBoard(ME, HALL)
+    """Return a selector of a host in ``DATA_CENTRE`` with a fixed random seed."""
+    peer_states = peer_states or PeerStates(OWN_HOST, DATA_CENTRE)
     return Selector(
         directory,
-        HALL,
-        board,
+        DATA_CENTRE,
+        peer_states,
         random.Random(1),
         reachability or Reachability(directory),
-        limits or EndpointLimits(ME, directory, board.sharing_hosts),
+        limits or EndpointLimits(OWN_HOST, directory, peer_states.sharing_hosts),
     )
--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -10,24 +10,24 @@
 
 from yewloom.caller_messages import Handlers
 from yewloom.caller_server import CallerServer
-from yewloom.configuration import CallerLimits, Configuration, ConfigurationBook
-from yewloom.crash_parts import CrashParts
+from yewloom.configuration import CallerLimits, Configuration, ConfigurationState
+from yewloom.crash_parts import CrashDetection
 from yewloom.directory import EndpointDirectory
 from yewloom.endpoint_limits import EndpointLimits
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.forward_metrics import ForwardMetrics
-from yewloom.forward_parts import ForwardParts, build_forwarder
-from yewloom.loop_lateness import LoopLateness
+from yewloom.forward_parts import ForwarderComponents, build_forwarder
+from yewloom.loop_delay import LoopDelayMonitor
 from yewloom.planned_stop import PlannedStop
-from yewloom.platform.headers import WireHeaders
+from yewloom.platform.headers import HttpHeaderCodec
 from yewloom.reachability import Reachability
 from yewloom.routes import Route, RouteKind
 from yewloom.schema.entry_pb2 import ServingBounds
 from yewloom.stalls import StallDetector
 from yewloom.tests.entry_support import (
+    DATA_CENTRE,
     ENGINES,
-    HALL,
-    ME,
+    OWN_HOST,
     SMALL,
     make_configuration,
     make_engine,
@@ -152,40 +152,40 @@
         self.is_whole = False
 
 
-class Fixture:
+class ForwarderFixture:
     """The forwarding of an entry host, with scripted endpoints, on localhost."""
 
     def __init__(self, configuration: Configuration | None = None) -> None:
-        self.book = ConfigurationBook()
+        self.configuration_state = ConfigurationState()
         self.directory = EndpointDirectory()
-        self.directory.is_known = True
+        self.directory.is_loaded = True
         reachability = Reachability(self.directory)
-        board = PeerBoard(ME, HALL)
-        self.limits = EndpointLimits(ME, self.directory, board.sharing_hosts)
-        self.selector = make_selector(self.directory, board, reachability, self.limits)
+        peer_states = PeerStates(OWN_HOST, DATA_CENTRE)
+        self.limits = EndpointLimits(OWN_HOST, self.directory, peer_states.sharing_hosts)
+        self.selector = make_selector(self.directory, peer_states, reachability, self.limits)
         self.stop, self.metrics = PlannedStop(GRACE_S), ForwardMetrics()
         self.retries_left = 10.0
-        self.stalls, self.lateness = StallDetector(), LoopLateness()
-        self.crashes = CrashParts(ME, board.known_hosts, self.directory)
+        self.stalls, self.loop_delay = StallDetector(), LoopDelayMonitor()
+        self.crashes = CrashDetection(OWN_HOST, peer_states.known_hosts, self.directory)
         self.forwarder = build_forwarder(
-            ForwardParts(
+            ForwarderComponents(
                 bounds=BOUNDS,
-                codec=WireHeaders(),
+                codec=HttpHeaderCodec(),
                 metrics=self.metrics,
-                book=self.book,
+                configuration_state=self.configuration_state,
                 directory=self.directory,
                 selector=self.selector,
                 stalls=self.stalls,
                 reachability=reachability,
                 stop=self.stop,
-                lateness=self.lateness,
+                loop_delay=self.loop_delay,
                 crashes=self.crashes,
                 limits=self.limits,
                 retry_extra=lambda: self.retries_left,
             )
         )
         self.chooser = self.forwarder._chooser
-        handlers = Handlers(self.forwarder.handle, self.forwarder.refuse)
+        handlers = Handlers(self.forwarder.handle, self.forwarder.reject)
         self.server = CallerServer(handlers, lambda: LIMITS)
         self.configuration = configuration or make_configuration(*ROUTES)
         self._nursery: trio.Nursery | None = None
@@ -194,8 +194,8 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Start to serve callers."""
         self._nursery = nursery
-        self.lateness.watch_this_run()
-        self.book.apply(self.configuration, trio.current_time())
+        self.loop_delay.start()
+        self.configuration_state.apply(self.configuration, trio.current_time())
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.address = listeners[0].socket.getsockname()
         nursery.start_soon(trio.serve_listeners, self.server._serve_connection, listeners)
@@ -209,26 +209,26 @@
         """
         while True:
             await trio.sleep(CONFIRM_INTERVAL_S)
-            self.book.confirm(trio.current_time())
+            self.configuration_state.confirm(trio.current_time())
 
     async def add_plain(
-        self, name: str, endpoint: Endpoint, ends_with_a_request: bool = False
+        self, name: str, endpoint: Endpoint, closes_port_on_request: bool = False
     ) -> None:
         """Add an endpoint of a plain service to the directory.
 
-        With ``ends_with_a_request``, it closes its port when it gets a request, like a process that
-        crashes.
+        With ``closes_port_on_request``, it closes its port when it gets a request, like a process
+        that crashes.
         """
-        address = await self._listen(endpoint, ends_with_a_request)
+        address = await self._listen(endpoint, closes_port_on_request)
         self.directory.put(make_plain(name, address))
 
     async def add_engine(
-        self, name: str, endpoint: Endpoint, ends_with_a_request: bool = False
+        self, name: str, endpoint: Endpoint, closes_port_on_request: bool = False
     ) -> None:
         """Add the leader of a group with the small model to the directory."""
         key = put_group(self.directory, f"group-{name}", SMALL, [name, f"{name}-2"])
-        member = self.directory.members(key)[0].membership
-        address = await self._listen(endpoint, ends_with_a_request)
+        member = self.directory.members_of(key)[0].membership
+        address = await self._listen(endpoint, closes_port_on_request)
         engine = make_engine(name, membership=member, model=SMALL)
         self.directory.put(replace(engine, address=address))
 
@@ -297,13 +297,13 @@
             elif isinstance(h11_event, h11.ConnectionClosed):
                 return answer
 
-    async def _listen(self, endpoint: Endpoint, ends_with_a_request: bool = False) -> str:
+    async def _listen(self, endpoint: Endpoint, closes_port_on_request: bool = False) -> str:
         assert self._nursery is not None
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         [listener] = listeners
 
         async def serve(stream: trio.SocketStream) -> None:
-            if ends_with_a_request:
+            if closes_port_on_request:
                 await listener.aclose()
             await endpoint.serve(stream)
 
@@ -346,11 +346,13 @@
     await endpoint.answer(500, b"oops")
 
 
-def run(test: Callable[[Fixture], Awaitable[None]], routes: tuple[Route, ...] = ROUTES) -> None:
+def run(
+    test: Callable[[ForwarderFixture], Awaitable[None]], routes: tuple[Route, ...] = ROUTES
+) -> None:
     """Run a test with a fixture that serves callers."""
 
     async def main() -> None:
-        fixture = Fixture(make_configuration(*routes))
+        fixture = ForwarderFixture(make_configuration(*routes))
         async with trio.open_nursery() as nursery:
             await fixture.start(nursery)
             with trio.fail_after(20):
--- a/yewloom/tests/free_ports.py
+++ b/yewloom/tests/free_ports.py
@@ -18,7 +18,7 @@
 _reserved: deque[socket.socket] = deque(maxlen=MAX_RESERVED)
 
 
-def free_port() -> int:
+def allocate_port() -> int:
     """Return a port that nothing listens on and that is not allocated to a test of any run."""
     while True:
         port = _random.choice(PORTS)
@@ -27,9 +27,9 @@
             return port
 
 
-def free_address() -> str:
+def allocate_address() -> str:
     """Return an address, as ip:port, that nothing listens on."""
-    return f"127.0.0.1:{free_port()}"
+    return f"127.0.0.1:{allocate_port()}"
 
 
 def _reserve(port: int) -> bool:
