--- a/yewloom/tests/processes.py
+++ b/yewloom/tests/processes.py
@@ -15,7 +15,7 @@
 
 import httpcore
 
-from yewloom.tests.free_ports import free_port
+from yewloom.tests.free_ports import allocate_port
 
 CUSTOMER_KEY = "test-key"
 MODEL = "m"
@@ -25,7 +25,7 @@
 ENTRY_SETTINGS = """
 [host]
 id = {name}
-data_centre = {place}
+data_centre = {data_centre}
 caller_port = {caller_port}
 peer_port = {peer_port}
 [platform]
@@ -88,7 +88,7 @@
 
 
 @dataclass
-class Answer:
+class HttpResponse:
     """A complete HTTP response."""
 
     status: int
@@ -103,7 +103,9 @@
 """At most one TLS context, which verifies entry hosts while a test sets it."""
 
 
-def call(method: str, url: str, body: Any = None, headers: dict[str, str] | None = None) -> Answer:
+def call(
+    method: str, url: str, body: Any = None, headers: dict[str, str] | None = None
+) -> HttpResponse:
     """Make one HTTP call on its own connection."""
     content = json.dumps(body).encode() if body is not None else b""
     all_headers = [(b"connection", b"close")]
@@ -114,7 +116,7 @@
             method, url, headers=all_headers, content=content, extensions={"timeout": timeouts}
         )
     names = {name.decode().lower(): value.decode() for name, value in response.headers}
-    return Answer(response.status, names, response.content)
+    return HttpResponse(response.status, names, response.content)
 
 
 def authorized(**headers: str) -> dict[str, str]:
@@ -162,10 +164,10 @@
     def start(self) -> None:
         """Start everything and wait until a group serves in each data centre."""
         places = sorted({*self.entries.values(), "a", "b"})
-        self.platform_ports = {place: free_port() for place in places}
+        self.platform_ports = {place: allocate_port() for place in places}
         self._start_engines()
         self._start_platform()
-        seeds = {name: free_port() for name in self.entries}
+        seeds = {name: allocate_port() for name in self.entries}
         self._seeds = " ".join(f"127.0.0.1:{port}" for port in list(seeds.values())[:3])
         for name, peer_port in seeds.items():
             self.start_entry(name, self.entries[name], peer_port)
@@ -177,15 +179,15 @@
         wait_for(lambda: len(self.open_groups(name)) >= groups, f"groups at {name}")
         wait_for(lambda: self.service(name, "GET", "x").status == 200, f"the service at {name}")
 
-    def start_entry(self, name: str, place: str, peer_port: int | None = None) -> None:
+    def start_entry(self, name: str, data_centre: str, peer_port: int | None = None) -> None:
         """Start one entry host."""
-        caller_port = free_port()
+        caller_port = allocate_port()
         text = self.settings.format(
             name=name,
-            place=place,
+            data_centre=data_centre,
             caller_port=caller_port,
-            peer_port=peer_port or free_port(),
-            platform_port=self.platform_ports[place],
+            peer_port=peer_port or allocate_port(),
+            platform_port=self.platform_ports[data_centre],
             seeds=self._seeds,
         )
         path = self.folder / f"{name}.ini"
@@ -197,7 +199,7 @@
         names = [f"a{i}" for i in range(self.members_a)]
         names += [f"b{i}" for i in range(self.members_b)]
         for name in names:
-            port = free_port()
+            port = allocate_port()
             address = f"127.0.0.1:{port}"
             place, rack = name[0], f"rack-{name[0]}"
             hosts.append(
@@ -207,7 +209,7 @@
                 name, port, "yewloom.standins.engine", "--address", address, "--host-id", name
             )
         for place in "ab":
-            name, port = f"s{place}", free_port()
+            name, port = f"s{place}", allocate_port()
             address = f"127.0.0.1:{port}"
             hosts.append(f"[{name}]\naddress={address}\ndata_centre={place}\nservice=s\n")
             self._run(
@@ -271,9 +273,9 @@
     def open_groups(self, entry: str) -> list[Any]:
         return [group for group in self.groups(entry) if group["is_open"]]
 
-    def list_entry(self, name: str, state: str, place: str = "a") -> None:
+    def list_entry(self, name: str, state: str, data_centre: str = "a") -> None:
         """Change an entry host in the platform's list; ``gone`` removes it."""
-        fields = {"id": name, "state": state, "data_centre": place, "is_entry_host": True}
+        fields = {"id": name, "state": state, "data_centre": data_centre, "is_entry_host": True}
         call("POST", f"{self.url('platform')}/control/hosts", fields)
 
     def runs(self, *names: str) -> dict[str, int]:
@@ -284,11 +286,11 @@
                 total[key] = total.get(key, 0) + count
         return total
 
-    def service(self, entry: str, method: str, path: str, **headers: str) -> Answer:
+    def service(self, entry: str, method: str, path: str, **headers: str) -> HttpResponse:
         url = f"{self.url(entry)}/services/s/{path}"
         return call(method, url, headers=authorized(**headers))
 
-    def chat(self, entry: str, prompt: str, max_tokens: int = 8, **headers: str) -> Answer:
+    def chat(self, entry: str, prompt: str, max_tokens: int = 8, **headers: str) -> HttpResponse:
         """Send a chat request that is not streamed."""
         body = {
             "model": MODEL,
--- a/yewloom/tests/soak/endpoints.py
+++ b/yewloom/tests/soak/endpoints.py
@@ -10,8 +10,8 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from yewloom.platform.standin_engine import StandinEngine
-from yewloom.platform.standin_store import StandinStore
+from yewloom.platform.standin_engine import UserEngineStandIn
+from yewloom.platform.standin_store import StoreStandIn
 from yewloom.tests.soak.ledger import EndpointRun, Ledger
 
 PLAIN_WORK_S = 0.03
@@ -52,11 +52,11 @@
 class EngineWatch:
     """Checks at each run that the group is complete, and at each join that no host is in two."""
 
-    def __init__(self, ledger: Ledger, engines: Sequence[StandinEngine]) -> None:
+    def __init__(self, ledger: Ledger, engines: Sequence[UserEngineStandIn]) -> None:
         self._ledger = ledger
         self._engines = engines
 
-    def on_run(self, engine: StandinEngine, request: Request, body: bytes) -> None:
+    def on_run(self, engine: UserEngineStandIn, request: Request, body: bytes) -> None:
         """Record a run, and check that every member has been ready in this group.
 
         The same members in an earlier generation of the group do not count.
@@ -68,7 +68,7 @@
         by_name = {other.name: other for other in self._engines}
         for name in engine.members:
             member = by_name.get(name)
-            if member is not None and not member.is_lost and key not in member.was_ready:
+            if member is not None and not member.is_silent and key not in member.groups_made_ready:
                 detail = f"{name} was never ready in {key}"
                 self._ledger.record_violation("partial", run.request_id, detail)
 
@@ -78,20 +78,20 @@
             request.headers["yewloom-request-id"], trio.current_time()
         )
 
-    def on_join(self, engine: StandinEngine, order: dict[str, object]) -> None:
+    def on_join(self, engine: UserEngineStandIn, order: dict[str, object]) -> None:
         """Check that an engine may join a group.
 
         An earlier process of the engine must not have been in the group, and the leader of the
         group that the engine leaves by joining must no longer serve.
         """
-        if (order["group"], order["epoch"]) in engine.left_behind:
+        if (order["group"], order["epoch"]) in engine.groups_of_earlier_processes:
             detail = f"{engine.name} joins {order['group']}, which an earlier process was in"
             self._ledger.record_violation("joined again", "", detail)
         old = engine.group
         if old is None or _group_key(old) == (order["group"], order["epoch"]):
             return
         leader = next((e for e in self._engines if engine.members[:1] == [e.name]), None)
-        if leader is None or leader.is_lost or leader.group is None:
+        if leader is None or leader.is_silent or leader.group is None:
             return
         is_same_group = _group_key(leader.group) == _group_key(old)
         if is_same_group and leader.group["state"] in _SERVING_STATES:
@@ -108,7 +108,7 @@
     """An endpoint of a plain service: answers, rejects or fails requests, and records runs."""
 
     def __init__(
-        self, name: str, service: str, store: StandinStore, ledger: Ledger, rng: random.Random
+        self, name: str, service: str, store: StoreStandIn, ledger: Ledger, rng: random.Random
     ) -> None:
         self.name = name
         self._service = service
--- a/yewloom/tests/soak/fault_play.py
+++ b/yewloom/tests/soak/fault_play.py
@@ -213,7 +213,7 @@
     store = fleet.store
     if fault.kind is StoreFault.FORGET:
         with ledger.disturbing([entry.name for entry in fleet.entries]):
-            store.forget_history()
+            store.drop_history()
         return
     store.faults.status = 503 if fault.kind is StoreFault.REFUSE else 0
     store.faults.loses_answers = fault.kind is StoreFault.LOSE_ANSWERS
@@ -263,13 +263,13 @@
 
 def _unlist(engines: Sequence[SoakEngine], fleet: Fleet) -> None:
     for engine in (soak_engine.engine for soak_engine in engines):
-        engine.is_unlisted = True
+        engine.is_cut_off_from_store = True
         fleet.store.remove("servers", engine.name)
 
 
 def _relist(engines: Sequence[SoakEngine]) -> None:
     for engine in (soak_engine.engine for soak_engine in engines):
-        engine.is_unlisted = False
+        engine.is_cut_off_from_store = False
         engine.publish()
 
 
@@ -278,7 +278,7 @@
     if not fleet.engines:
         return  # All engines are lost already; new ones will be added.
     lost = fleet.engines.pop(fault.number % len(fleet.engines))
-    lost.engine.is_lost = True
+    lost.engine.is_silent = True
     lost.link.fault = LinkFault.SILENT
     _stall_group_of(lost, fleet)
     await trio.sleep(fault.for_s / 2)
@@ -291,7 +291,7 @@
     """Stall the group that a lost engine was a member of."""
     for engine in (other.engine for other in fleet.engines):
         if lost.engine.name in engine.members and engine.members[0] == engine.name:
-            engine.moves = trio.Event()
+            engine.progress_enabled = trio.Event()
 
 
 @apply_fault.register
--- a/yewloom/tests/soak/fleet.py
+++ b/yewloom/tests/soak/fleet.py
@@ -18,10 +18,10 @@
 
 from yewloom.addresses import split_address
 from yewloom.entry_addresses import ADDRESS_KIND
-from yewloom.platform.standin_engine import StandinEngine
-from yewloom.platform.standin_store import StandinStore
+from yewloom.platform.standin_engine import UserEngineStandIn
+from yewloom.platform.standin_store import StoreStandIn
 from yewloom.tests.engine_rules import STALL_S
-from yewloom.tests.free_ports import free_address, free_port
+from yewloom.tests.free_ports import allocate_address, allocate_port
 from yewloom.tests.soak.endpoints import EngineWatch, PlainEndpoint, requested_events
 from yewloom.tests.soak.ledger import Ledger
 from yewloom.tests.soak.proxy import FirstBytesCallback, Link, PeerLink
@@ -175,12 +175,12 @@
     An entry host reaches the engine through its own link and then ``link``.
     """
 
-    engine: StandinEngine
+    engine: UserEngineStandIn
     link: Link
     entry_links: list[Link]
 
 
-async def _break_after_stall(leader: StandinEngine, group: dict[str, Any] | None) -> None:
+async def _break_after_stall(leader: UserEngineStandIn, group: dict[str, Any] | None) -> None:
     """Break a group after the stall time, unless its leader is in another group by then."""
     await trio.sleep(STALL_S)
     if group is not None and leader.group is not None and leader.group["name"] == group["name"]:
@@ -195,13 +195,13 @@
     ledger: Ledger
     rng: random.Random
     nursery: trio.Nursery
-    store: StandinStore = field(default_factory=StandinStore)
+    store: StoreStandIn = field(default_factory=StoreStandIn)
     entries: list[EntryProcess] = field(default_factory=list)
     engines: list[SoakEngine] = field(default_factory=list)
     plain_links: list[Link] = field(default_factory=list)
     version: int = 1
     data_centres: tuple[str, ...] = ("hall-a",)
-    _known_engines: list[StandinEngine] = field(default_factory=list)
+    _known_engines: list[UserEngineStandIn] = field(default_factory=list)
     _entry_links: dict[str, list[Link]] = field(default_factory=dict)
     _entry_count: int = 0
 
@@ -255,11 +255,11 @@
         """Start a new engine, which has loaded no weights."""
         name = f"engine-{len(self._known_engines)}"
         domain = f"rack-{len(self._known_engines) % 2}"
-        engine = StandinEngine(name, "", ENGINES, domain, "hall-a", self.store)
+        engine = UserEngineStandIn(name, "", ENGINES, domain, "hall-a", self.store)
         watch = EngineWatch(self.ledger, self._known_engines)
         engine.on_run, engine.on_join = watch.on_run, watch.on_join
-        engine.on_whole, engine.on_left = watch.on_whole, self._on_left
-        engine.events, engine.event_s = requested_events, EVENT_S
+        engine.on_complete_answer, engine.on_group_left = watch.on_whole, self._on_left
+        engine.event_count, engine.event_interval_s = requested_events, EVENT_S
         self._known_engines.append(engine)
         link = await self._open_link(await self._serve(engine.application()))
         engine.address = link.address
@@ -271,11 +271,11 @@
         self.engines.append(SoakEngine(engine, link, links))
         engine.publish()
 
-    def _on_left(self, left: StandinEngine) -> None:
+    def _on_left(self, left: UserEngineStandIn) -> None:
         """Stall the group of an engine that left, and break it after the stall time."""
         leader = next((e for e in self._known_engines if left.members[:1] == [e.name]), None)
         if leader is not None and leader is not left and leader.members == left.members:
-            leader.moves = trio.Event()
+            leader.progress_enabled = trio.Event()
             self.nursery.start_soon(_break_after_stall, leader, leader.group)
 
     def change_configuration(self) -> None:
@@ -314,7 +314,7 @@
 
     async def _serve(self, application: Starlette) -> str:
         """Serve an application on a free port; return its address once it accepts connections."""
-        address = free_address()
+        address = allocate_address()
         config = Config()
         config.bind = [address]
         config.errorlog = None
@@ -327,7 +327,7 @@
                 await trio.sleep(SERVER_CHECK_S)
 
     def _entry(self, name: str, data_centre: str, store_link: Link) -> EntryProcess:
-        caller_port, readiness_port, peer_port = free_port(), free_port(), free_port()
+        caller_port, readiness_port, peer_port = allocate_port(), allocate_port(), allocate_port()
         text = ENTRY_SETTINGS.format(
             name=name,
             data_centre=data_centre,
--- a/yewloom/tests/soak/fragile.py
+++ b/yewloom/tests/soak/fragile.py
@@ -7,8 +7,8 @@
 import trio
 
 from yewloom.addresses import split_address
-from yewloom.platform.standin_store import StandinStore
-from yewloom.tests.free_ports import free_address
+from yewloom.platform.standin_store import StoreStandIn
+from yewloom.tests.free_ports import allocate_address
 
 READ_BYTES = 65536
 """Maximum number of bytes of a request that are read at a time."""
@@ -50,7 +50,7 @@
         self,
         name: str,
         service: str,
-        store: StandinStore,
+        store: StoreStandIn,
         ledger: EndpointLedger,
         limit: str = "",
     ) -> None:
@@ -59,7 +59,7 @@
         self._service = service
         self._store = store
         self._ledger = ledger
-        self._address = free_address()
+        self._address = allocate_address()
         self._start_count = 0
 
     @property
--- a/yewloom/tests/support.py
+++ b/yewloom/tests/support.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from yewloom.endpoints import EndpointError, GenerateCall, ServiceCall
-from yewloom.http_calls import HttpAnswer
+from yewloom.http_calls import HttpResponse
 from yewloom.ids import DataCentreId, RequestId
 from yewloom.platforms import Listing, PlatformError, PlatformFailure, StoredObject
 from yewloom.retries import CallFailure
@@ -19,56 +19,57 @@
 from yewloom.schema.records_pb2 import Host, HostReport, Order
 from yewloom.schema.table_pb2 import DowntimePlacement, PolicyRow
 from yewloom.states import HostState
-from yewloom.streams import StreamPiece
+from yewloom.streams import StreamChunk
 
 T = TypeVar("T")
 
 
-class Fault(Enum):
+class WriteFault(Enum):
     """Fault that a fake platform injects into one write."""
 
     NONE = "none"
     REFUSE = "refuse"
     LOSE_ANSWER = "lose_answer"
     LOSE_WRITE = "lose_write"
-    APPLY_LATE = "apply_late"
+    DELAY_WRITE = "apply_late"
 
 
 class FakePlatform:
     """In-memory platform that injects faults into the next writes.
 
-    ``is_refusing`` makes every call fail; ``is_down`` tells callers that earlier calls have failed.
+    ``is_unavailable`` makes every call fail; ``is_down`` tells callers that earlier calls have
+    failed.
     """
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
-        self.faults: list[Fault] = []
-        self.is_refusing = False
+        self.faults: list[WriteFault] = []
+        self.is_unavailable = False
         self.is_down = False
-        self.listed: list[Host] = []
-        self.late: list[tuple[str, str, int]] = []
+        self.listed_hosts: list[Host] = []
+        self.delayed_writes: list[tuple[str, str, int]] = []
         self.calls: Counter[str] = Counter()
         self.history: list[StoredObject] = []
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
         self.calls["get"] += 1
         await trio.lowlevel.checkpoint()
-        return _UNAVAILABLE if self.is_refusing else Ok(self.objects.get(key))
+        return _UNAVAILABLE if self.is_unavailable else Ok(self.objects.get(key))
 
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
         self.calls["update"] += 1
         await trio.lowlevel.checkpoint()
-        fault = self.faults.pop(0) if self.faults else Fault.NONE
-        if self.is_refusing or fault is Fault.REFUSE:
+        fault = self.faults.pop(0) if self.faults else WriteFault.NONE
+        if self.is_unavailable or fault is WriteFault.REFUSE:
             return _UNAVAILABLE
-        if fault is Fault.APPLY_LATE:
-            self.late.append((key, value, expected_version))
-        if fault in (Fault.APPLY_LATE, Fault.LOSE_WRITE):
+        if fault is WriteFault.DELAY_WRITE:
+            self.delayed_writes.append((key, value, expected_version))
+        if fault in (WriteFault.DELAY_WRITE, WriteFault.LOSE_WRITE):
             return _ANSWER_LOST
         version = self._apply(key, value, expected_version)
-        if fault is Fault.LOSE_ANSWER:
+        if fault is WriteFault.LOSE_ANSWER:
             return _ANSWER_LOST
         if version is None:
             return Err(PlatformError(PlatformFailure.CONFLICT, "another version"))
@@ -77,27 +78,27 @@
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
         self.calls["list"] += 1
         await trio.lowlevel.checkpoint()
-        if self.is_refusing:
+        if self.is_unavailable:
             return _UNAVAILABLE
         return Ok(Listing(self._changes_since(prefix, 0), len(self.history)))
 
     async def watch(self, prefix: str, position: int) -> Result[Listing, PlatformError]:
         self.calls["watch"] += 1
         await trio.sleep(0.1)
-        if self.is_refusing:
+        if self.is_unavailable:
             return _UNAVAILABLE
         return Ok(Listing(self._changes_since(prefix, position), len(self.history)))
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
         self.calls["hosts"] += 1
         await trio.lowlevel.checkpoint()
-        return _UNAVAILABLE if self.is_refusing else Ok(self.listed)
+        return _UNAVAILABLE if self.is_unavailable else Ok(self.listed_hosts)
 
-    def apply_late_writes(self) -> None:
-        """Apply the writes whose effect was delayed by ``Fault.APPLY_LATE``."""
-        for write in self.late:
+    def apply_delayed_writes(self) -> None:
+        """Apply the writes whose effect was delayed by ``WriteFault.DELAY_WRITE``."""
+        for write in self.delayed_writes:
             self._apply(*write)
-        self.late.clear()
+        self.delayed_writes.clear()
 
     def _changes_since(self, prefix: str, position: int) -> Sequence[StoredObject]:
         return [stored for stored in self.history[position:] if stored.key.startswith(prefix)]
@@ -180,7 +181,7 @@
             return Err(EndpointError(CallFailure.CONNECT, "refused"))
         return Ok(self.reports[address])
 
-    async def order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
+    async def send_order(self, address: str, order: Order, timeout_s: float) -> Result[None, str]:
         self.orders.append(order)
         return Ok(None)
 
@@ -190,7 +191,7 @@
     @asynccontextmanager
     async def generate(
         self, address: str, call: GenerateCall, stall_timeout_s: float
-    ) -> AsyncIterator[AsyncIterator[StreamPiece]]:
+    ) -> AsyncIterator[AsyncIterator[StreamChunk]]:
         fault = self._next_fault()
         is_known = (address, call.request_id) in self.running
         if not is_known and call.resume_only:
@@ -204,14 +205,14 @@
 
     async def call_service(
         self, address: str, call: ServiceCall, timeout_s: float, is_unsafe: bool
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         fault = self._next_fault()
         self.runs[call.path] += 1
         if fault is CallFault.FAIL:
             raise EndpointError(CallFailure.ENDPOINT_ERROR, "status 500")
         if fault is not CallFault.NONE:
             raise EndpointError(CallFailure.BROKEN, "cut")
-        return HttpAnswer(200, {}, b"ok")
+        return HttpResponse(200, {}, b"ok")
 
     def _next_fault(self) -> CallFault:
         """Return the fault of this call, or raise if the call does not reach an engine."""
@@ -224,7 +225,7 @@
 
     async def _stream(
         self, call: GenerateCall, fault: CallFault, stall_timeout_s: float
-    ) -> AsyncIterator[StreamPiece]:
+    ) -> AsyncIterator[StreamChunk]:
         if fault is CallFault.FAIL:
             raise EndpointError(CallFailure.ENDPOINT_ERROR, "status 500")
         breaks_after = {CallFault.BREAK: 0, CallFault.STALL: 1, CallFault.LOSE_STATE: 1}
@@ -235,15 +236,15 @@
             if sent == break_after:
                 break
             await trio.sleep(self.token_interval_s)
-            yield self._piece(call, offset)
-            yield self._piece(call, max(0, offset - 1))
+            yield self._chunk(call, offset)
+            yield self._chunk(call, max(0, offset - 1))
         if fault is CallFault.STALL:
             await trio.sleep(stall_timeout_s)
             raise EndpointError(CallFailure.STALLED, "silence")
         if break_after < len(self.answer):
             raise EndpointError(CallFailure.BROKEN, "cut")
 
-    def _piece(self, call: GenerateCall, offset: int) -> StreamPiece:
+    def _chunk(self, call: GenerateCall, offset: int) -> StreamChunk:
         is_last = offset + 1 == len(self.answer)
         tokens = (self.answer[offset],)
-        return StreamPiece(call.request_id, call.generation, offset, tokens, is_last, "length")
+        return StreamChunk(call.request_id, call.generation, offset, tokens, is_last, "length")
--- a/yewloom/tests/test_admission.py
+++ b/yewloom/tests/test_admission.py
@@ -7,7 +7,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from yewloom.admission import DEFAULT_PACE_S, Admission, Admitted, Arrival, Decision, Queued, Shed
+from yewloom.admission import (
+    DEFAULT_SECONDS_PER_COST,
+    AdmissionController,
+    AdmissionRequest,
+    Admitted,
+    Decision,
+    Queued,
+    Shed,
+)
 from yewloom.ids import CustomerId, RequestId
 
 SLOTS = 3
@@ -19,7 +27,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.admission = Admission(SLOTS, max_queued=5)
+        self.admission = AdmissionController(SLOTS, max_queued=5)
         self.slots = SLOTS
         self.now_s = 0.0
         self.count = 0
@@ -37,8 +45,8 @@
         name = RequestId(str(self.count))
         self.customer[name] = customer
         deadline_s = self.now_s + patience_s
-        arrival = Arrival(name, CustomerId(customer), weight, 1.0, deadline_s, SHARE)
-        decision = self.admission.offer(arrival, self.now_s)
+        arrival = AdmissionRequest(name, CustomerId(customer), weight, 1.0, deadline_s, SHARE)
+        decision = self.admission.submit(arrival, self.now_s)
         if isinstance(decision, Queued):
             self.waiting[name] = deadline_s
         self._apply([decision])
@@ -87,8 +95,10 @@
 
 def _arrival(
     name: str, customer: str, weight: float = 1.0, deadline_s: float = 1e9, cost: float = 1.0
-) -> Arrival:
-    return Arrival(RequestId(name), CustomerId(customer), weight, cost, deadline_s, share=1000)
+) -> AdmissionRequest:
+    return AdmissionRequest(
+        RequestId(name), CustomerId(customer), weight, cost, deadline_s, share=1000
+    )
 
 
 class TestAdmission(unittest.TestCase):
@@ -101,12 +111,12 @@
 
         Customers send ``flood`` requests each, then ``ends`` of the started ones finish.
         """
-        admission = Admission(4, max_queued=10_000)
+        admission = AdmissionController(4, max_queued=10_000)
         started: list[str] = []
         for customer, count in flood.items():
             for number in range(count):
                 arrival = _arrival(f"{customer}{number}", customer, weights[customer])
-                if isinstance(admission.offer(arrival, 0.0), Admitted):
+                if isinstance(admission.submit(arrival, 0.0), Admitted):
                     started.append(arrival.request_id)
         for number in range(ends):
             decisions = admission.release(RequestId(started[number]), float(number))
@@ -122,32 +132,32 @@
         self.assertAlmostEqual(started_by_customer["a"] / started_by_customer["b"], 3, delta=0.3)
 
     def test_a_request_that_cannot_finish_in_time_is_rejected_on_arrival(self) -> None:
-        admission = Admission(1, max_queued=100)
-        admission.offer(_arrival("1", "a"), 0.0)
-        late = _arrival("2", "a", deadline_s=0.2, cost=0.2 / DEFAULT_PACE_S)
-        decision = admission.offer(late, 0.0)
+        admission = AdmissionController(1, max_queued=100)
+        admission.submit(_arrival("1", "a"), 0.0)
+        late = _arrival("2", "a", deadline_s=0.2, cost=0.2 / DEFAULT_SECONDS_PER_COST)
+        decision = admission.submit(late, 0.0)
         assert isinstance(decision, Shed)
         self.assertGreaterEqual(decision.retry_after_s, 1.0)
 
     def test_a_queued_request_that_can_no_longer_finish_in_time_is_rejected(self) -> None:
-        admission = Admission(1, max_queued=100)
+        admission = AdmissionController(1, max_queued=100)
         for number in range(200):
-            admission.offer(_arrival(f"w{number}", "a"), 10.0 * number)
+            admission.submit(_arrival(f"w{number}", "a"), 10.0 * number)
             admission.release(RequestId(f"w{number}"), 10.0 * number + 1.0)
-        admission.offer(_arrival("1", "a"), 5000.0)
-        self.assertIsInstance(admission.offer(_arrival("2", "a", 1.0, 5002.5), 5000.0), Queued)
+        admission.submit(_arrival("1", "a"), 5000.0)
+        self.assertIsInstance(admission.submit(_arrival("2", "a", 1.0, 5002.5), 5000.0), Queued)
         decisions = admission.release(RequestId("1"), 5002.0)
         self.assertIsInstance(decisions[0], Shed)
 
     def test_no_request_waits_longer_for_a_slot_than_its_customer_allows(self) -> None:
-        admission = Admission(1, max_queued=100)
-        admission.offer(_arrival("1", "a"), 0.0)
+        admission = AdmissionController(1, max_queued=100)
+        admission.submit(_arrival("1", "a"), 0.0)
         bounded = replace(_arrival("2", "a"), start_by_s=1.0)
-        self.assertIsInstance(admission.offer(bounded, 0.0), Queued)
+        self.assertIsInstance(admission.submit(bounded, 0.0), Queued)
         self.assertIsInstance(admission.advance(1.0)[0], Shed)
         late = replace(_arrival("3", "a", cost=400.0), start_by_s=2.0)
-        self.assertIsInstance(admission.offer(late, 1.5), Shed)
+        self.assertIsInstance(admission.submit(late, 1.5), Shed)
 
     def test_a_customer_without_a_share_is_rejected_immediately(self) -> None:
-        arrival = Arrival(RequestId("1"), CustomerId("a"), 1.0, 1.0, 99.0, share=0)
-        self.assertIsInstance(Admission(4, 4).offer(arrival, 0.0), Shed)
+        arrival = AdmissionRequest(RequestId("1"), CustomerId("a"), 1.0, 1.0, 99.0, share=0)
+        self.assertIsInstance(AdmissionController(4, 4).submit(arrival, 0.0), Shed)
--- a/yewloom/tests/test_boot_clock.py
+++ b/yewloom/tests/test_boot_clock.py
@@ -11,13 +11,13 @@
 
 from yewloom.boot_clock import BootClock
 from yewloom.boot_time import RETENTION_S, SuspensionTracker
-from yewloom.configuration import ConfigurationBook
+from yewloom.configuration import ConfigurationState
 from yewloom.daemon import run as run_daemon
 from yewloom.early_signals import EarlySignals
 from yewloom.ids import AttemptId, EntryHostId
 from yewloom.key_trust import KeyTrust
 from yewloom.leases import LeaseKeeper, LeaseTiming, WriteLease
-from yewloom.loop_lateness import LoopLateness
+from yewloom.loop_delay import LoopDelayMonitor
 from yewloom.platform import program
 from yewloom.socket_ages import ReadAges
 from yewloom.tests.entry_support import make_configuration
@@ -69,9 +69,9 @@
         """Guards against accepting API keys that were revoked while the machine was suspended."""
 
         async def test(machine: Machine) -> None:
-            book = ConfigurationBook()
-            trust = KeyTrust(book, 5.0, 2.0, needs_proof=True)
-            book.apply(make_configuration(), trio.current_time())
+            configuration_state = ConfigurationState()
+            trust = KeyTrust(configuration_state, 5.0, 2.0, needs_proof=True)
+            configuration_state.apply(make_configuration(), trio.current_time())
             self.assertTrue(trust.may_accept(trio.current_time()))
             machine.suspend()
             self.assertFalse(trust.may_accept(trio.current_time()))
@@ -107,12 +107,12 @@
 
     def test_the_loop_counts_as_blocked(self) -> None:
         async def test(machine: Machine) -> None:
-            lateness = LoopLateness()
-            lateness.watch_this_run()
+            loop_delay = LoopDelayMonitor()
+            loop_delay.start()
             await trio.sleep(0.01)
             machine.suspend()
             await trio.sleep(0.01)
-            self.assertGreaterEqual(lateness.late_s(), SUSPENDED_S)
+            self.assertGreaterEqual(loop_delay.delay_s(), SUSPENDED_S)
 
         run_on_machine(test)
 
@@ -163,7 +163,7 @@
         with (
             mock.patch.object(Path, "read_text", return_value=BASE_SETTINGS),
             mock.patch.object(program, "ProcessSignals"),
-            mock.patch.object(program, "set_up_logs"),
+            mock.patch.object(program, "configure_logs"),
             mock.patch("yewloom.platform.program.trio.run") as run,
         ):
             program.main(Path("settings.ini"), EarlySignals(), None, lambda code: None)
@@ -174,7 +174,7 @@
             mock.patch("yewloom.daemon.ProcessSignals"),
             mock.patch("yewloom.daemon.read_settings", return_value=Ok(mock.MagicMock())),
             mock.patch("yewloom.daemon.Daemon"),
-            mock.patch("yewloom.daemon.log.set_up"),
+            mock.patch("yewloom.daemon.log.configure_logs"),
             mock.patch("yewloom.daemon.trio.run") as run,
         ):
             run_daemon(Path("settings.ini"))
--- a/yewloom/tests/test_caller_connection.py
+++ b/yewloom/tests/test_caller_connection.py
@@ -12,10 +12,10 @@
 from yewloom.caller_connection import CallerConnection
 from yewloom.caller_messages import (
     SEND_TIMEOUT_S,
-    CallerGoneError,
+    CallerDisconnectedError,
     CallerRequest,
     Handlers,
-    Reply,
+    ResponseWriter,
 )
 from yewloom.configuration import CallerLimits
 from yewloom.planned_stop import DEREGISTRATION_DELAY_S
@@ -59,10 +59,10 @@
     """After an interrupted response, the connection sends no further one."""
 
     def test_no_response_follows_an_interrupted_response(self) -> None:
-        async def whole(reply: Reply) -> None:
-            await reply.send_whole(200, [], b"whole")
+        async def whole(reply: ResponseWriter) -> None:
+            await reply.send_complete(200, [], b"whole")
 
-        async def streamed(reply: Reply) -> None:
+        async def streamed(reply: ResponseWriter) -> None:
             await reply.start(200, [], b"a")
             await reply.finish()
 
@@ -71,12 +71,12 @@
                 run_once(self._check_interrupted_response, answer)
 
     def test_a_response_cancelled_before_its_start_can_be_replaced(self) -> None:
-        async def handle(request: CallerRequest, reply: Reply) -> None:
-            for begin in (reply.start, reply.send_whole):
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+            for begin in (reply.start, reply.send_complete):
                 with trio.CancelScope() as scope:
                     scope.cancel()
                     await begin(200, [], b"late")
-            await reply.send_whole(504, [], b"")
+            await reply.send_complete(504, [], b"")
 
         async def test() -> None:
             ours, theirs = trio.testing.memory_stream_pair()
@@ -87,17 +87,17 @@
             await ours.send_all(b"GET /1 HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.run)
-                self.assertEqual(await Caller(ours).answers(), [(504, b"")])
+                self.assertEqual(await Caller(ours).responses(), [(504, b"")])
 
         run_once(test)
 
     def test_a_caller_that_does_not_read_its_response_counts_as_disconnected(self) -> None:
         disconnected_at_s: list[float] = []
 
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             try:
-                await reply.send_whole(200, [], b"whole")
-            except CallerGoneError:
+                await reply.send_complete(200, [], b"whole")
+            except CallerDisconnectedError:
                 disconnected_at_s.append(trio.current_time())
                 raise
 
@@ -118,10 +118,10 @@
     def test_a_request_arrives_when_its_first_bytes_may_have_arrived(self) -> None:
         arrival_and_read_times_s: list[tuple[float, float]] = []
 
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             arrival_and_read_times_s.append((request.arrived_s, request.read_s))
             await trio.sleep(1.0)
-            await reply.send_whole(200, [], b"")
+            await reply.send_complete(200, [], b"")
 
         async def test() -> None:
             began_s = trio.current_time()
@@ -147,11 +147,13 @@
 
         run_once(test)
 
-    async def _check_interrupted_response(self, answer: Callable[[Reply], Awaitable[None]]) -> None:
+    async def _check_interrupted_response(
+        self, answer: Callable[[ResponseWriter], Awaitable[None]]
+    ) -> None:
         """Send a response to a caller that stops reading, until the response is interrupted."""
         handled: list[str] = []
 
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             handled.append(request.path)
             with trio.move_on_after(1.0):
                 await answer(reply)
@@ -176,7 +178,7 @@
             caller = await self._open_stream_across_the_stop(server)
             await trio.testing.wait_all_tasks_blocked()
             await caller.send(PLAIN)
-            self.assertEqual(await caller.answers(), [(200, b"ab"), (503, b"")])
+            self.assertEqual(await caller.responses(), [(200, b"ab"), (503, b"")])
             self.assertEqual(server.accepted_paths, [STREAM])
 
         run(test)
@@ -198,8 +200,8 @@
             caller = server.open()
             await server.begin_stop()
             began_s = trio.current_time()
-            server.stop_taking()
-            self.assertEqual(await caller.answers(), [])
+            server.stop_accepting()
+            self.assertEqual(await caller.responses(), [])
             self.assertLessEqual(trio.current_time() - began_s, FINAL_READ_S)
 
         run(test)
@@ -210,9 +212,9 @@
             await caller.send(STREAM, PLAIN)
             await trio.testing.wait_all_tasks_blocked()
             await server.begin_stop()
-            server.stop_taking()
+            server.stop_accepting()
             server.may_end.set()
-            self.assertEqual(await caller.answers(), [(200, b"ab"), (503, b"")])
+            self.assertEqual(await caller.responses(), [(200, b"ab"), (503, b"")])
             self.assertEqual(server.accepted_paths, [STREAM])
 
         async def partly_read(server: Server) -> None:
@@ -220,18 +222,18 @@
             request = request_bytes(PLAIN)
             await caller.stream.send_all(request[:10])
             await server.begin_stop()
-            server.stop_taking()
+            server.stop_accepting()
             await trio.testing.wait_all_tasks_blocked()
             await caller.stream.send_all(request[10:])
-            self.assertEqual(await caller.answers(), [(503, b"")])
+            self.assertEqual(await caller.responses(), [(503, b"")])
             self.assertEqual(server.accepted_paths, [])
 
         async def complete_just_before_the_stop(server: Server) -> None:
             caller = server.open()
             await server.begin_stop()
             await caller.send(PLAIN)
-            server.stop_taking()
-            self.assertEqual(await caller.answers(), [(503, b"")])
+            server.stop_accepting()
+            self.assertEqual(await caller.responses(), [(503, b"")])
             self.assertEqual(server.accepted_paths, [])
 
         for test in (
@@ -248,9 +250,9 @@
             await caller.stream.send_all(request_bytes(PLAIN)[:10])
             await trio.testing.wait_all_tasks_blocked()
             await server.begin_stop()
-            server.stop_taking()
+            server.stop_accepting()
             with mock.patch.object(caller_connection, "logger") as logger:
-                await caller.answers()
+                await caller.responses()
             [rejected], [closed] = logger.info.mock_calls, logger.debug.mock_calls
             waited_ms = round((DEREGISTRATION_DELAY_S + FINAL_READ_S) * 1000)
             expected_fields = {"held_bytes": 10, "requests": 0, "waited_ms": waited_ms}
@@ -264,9 +266,9 @@
             await server.begin_stop()
             silent, asking = server.open(), server.open()
             await asking.send(PLAIN)
-            server.stop_taking()
-            self.assertEqual(await silent.answers(), [])
-            self.assertEqual(await asking.answers(), [(503, b"")])
+            server.stop_accepting()
+            self.assertEqual(await silent.responses(), [])
+            self.assertEqual(await asking.responses(), [(503, b"")])
             self.assertEqual(server.accepted_paths, [])
 
         run(test)
@@ -278,7 +280,7 @@
                 caller = server.open()
                 await caller.stream.send_all(head)
                 await server.begin_stop()
-                server.stop_taking()
+                server.stop_accepting()
                 with trio.fail_after(2 * FINAL_READ_S):
                     answer = await caller.stream.receive_some(65536)
                 self.assertEqual(answer.split(b" ")[1], b"503")
@@ -291,7 +293,7 @@
         async def test(server: Server) -> None:
             caller = server.open()
             await server.begin_stop()
-            server.stop_taking()
+            server.stop_accepting()
             head = f"POST {PLAIN} HTTP/1.1\r\nhost: x.example\r\ncontent-length: 5\r\n"
             await caller.stream.send_all(f"{head}expect: 100-continue\r\n\r\n".encode())
             with trio.fail_after(1):
@@ -308,7 +310,7 @@
         await caller.send(STREAM)
         await trio.testing.wait_all_tasks_blocked()
         await server.begin_stop()
-        server.stop_taking()
+        server.stop_accepting()
         server.may_end.set()
         return caller
 
@@ -317,7 +319,7 @@
             await server.begin_stop()
             caller = server.open()
             await caller.send(PLAIN)
-            self.assertEqual(await caller.answers(), [(200, b"plain")])
-            server.stop_taking()
+            self.assertEqual(await caller.responses(), [(200, b"plain")])
+            server.stop_accepting()
 
         run(test)
--- a/yewloom/tests/test_caller_server.py
+++ b/yewloom/tests/test_caller_server.py
@@ -10,13 +10,13 @@
 
 from yewloom import caller_connection
 from yewloom.addresses import split_address
-from yewloom.caller_messages import CallerRequest, Handlers, Reply
+from yewloom.caller_messages import CallerRequest, Handlers, ResponseWriter
 from yewloom.caller_server import CallerServer
 from yewloom.configuration import CallerLimits
 from yewloom.early_listener import listen
 from yewloom.endpoint_calls import ExchangeError, ExchangeFailure, OutgoingRequest, open_exchange
 from yewloom.tests.caller_support import request_bytes
-from yewloom.tests.free_ports import free_address
+from yewloom.tests.free_ports import allocate_address
 
 HEADERS = [(b"host", b"x.example"), (b"content-length", b"0")]
 IDLE_CONNECTIONS = 8
@@ -50,26 +50,26 @@
     async def _stop_with_an_open_request(self) -> None:
         handler_started, may_answer = trio.Event(), trio.Event()
 
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             handler_started.set()
             await may_answer.wait()
-            await reply.send_whole(200, [], b"done")
+            await reply.send_complete(200, [], b"done")
 
-        server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
+        server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         async with trio.open_nursery() as nursery:
             await nursery.start(server.serve, listen(address))
             async with open_exchange(address, 1.0) as exchange:
                 await exchange.send(REQUEST)
                 await handler_started.wait()
-                server.stop_taking()
+                server.stop_accepting()
                 await trio.testing.wait_all_tasks_blocked(0.05)
                 with self.assertRaises(ExchangeError) as refused:
                     async with open_exchange(address, 1.0):
                         pass
                 self.assertIs(refused.exception.failure, ExchangeFailure.REFUSED)
                 may_answer.set()
-                head = await exchange.head()
-                self.assertEqual((head.status, await exchange.whole_body()), (200, b"done"))
+                head = await exchange.read_head()
+                self.assertEqual((head.status, await exchange.read_body()), (200, b"done"))
             nursery.cancel_scope.cancel()
 
     def test_a_connection_opened_while_the_server_closes_is_rejected_not_reset(self) -> None:
@@ -77,14 +77,14 @@
         trio.run(self._connect_after_the_last_check)
 
     async def _connect_after_the_last_check(self) -> None:
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             self.fail("a request was started")
 
-        server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
+        server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         async with trio.open_nursery() as nursery:
             await nursery.start(server.serve, listen(address))
             await trio.testing.wait_all_tasks_blocked()
-            server.stop_taking()
+            server.stop_accepting()
             caller = socket.create_connection(split_address(address))
             caller.sendall(request_bytes("/1"))
             time.sleep(ARRIVAL_S)  # noqa: ASYNC251 - the server closes nothing meanwhile
@@ -99,10 +99,10 @@
         trio.run(self._send_while_connections_are_closed)
 
     async def _send_while_connections_are_closed(self) -> None:
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             self.fail("a request was started")
 
-        server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
+        server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         callers: list[socket.socket] = []
         sending: list[socket.socket] = []
 
@@ -121,7 +121,7 @@
             await trio.testing.wait_all_tasks_blocked(0.05)
             with mock.patch.object(caller_connection, "logger") as logger:
                 logger.debug.side_effect = send_on_the_others
-                server.stop_taking()
+                server.stop_accepting()
                 with trio.fail_after(2.0):
                     await server.activity.wait_until_idle()
             statuses = [await _status_of(caller) for caller in sending]
@@ -134,10 +134,10 @@
         trio.run(self._serve_accepted_connections)
 
     async def _serve_accepted_connections(self) -> None:
-        async def handle(request: CallerRequest, reply: Reply) -> None:
-            await reply.send_whole(200, [], b"done")
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+            await reply.send_complete(200, [], b"done")
 
-        server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
+        server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         listener = listen(address)
         async with trio.open_nursery() as nursery, open_exchange(address, 1.0) as exchange:
             accepted, _ = listener.accept()
@@ -145,7 +145,7 @@
             await nursery.start(server.serve, listener, no_wait, [accepted])
             await exchange.send(REQUEST)
             with trio.fail_after(2.0):
-                self.assertEqual((await exchange.head()).status, 200)
+                self.assertEqual((await exchange.read_head()).status, 200)
             nursery.cancel_scope.cancel()
 
     def test_connections_in_the_accept_queue_are_rejected_not_reset(self) -> None:
@@ -153,20 +153,20 @@
         trio.run(self._stop_before_anything_is_accepted)
 
     async def _stop_before_anything_is_accepted(self) -> None:
-        async def handle(request: CallerRequest, reply: Reply) -> None:
+        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
             self.fail("a request was started")
 
-        server, address = CallerServer(Handlers(handle), CallerLimits), free_address()
+        server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         async with trio.open_nursery() as nursery:
             listener = listen(address)
             await nursery.start(server.serve, listener, trio.sleep_forever)
             async with open_exchange(address, 1.0) as first, open_exchange(address, 1.0) as second:
                 for exchange in (first, second):
                     await exchange.send(REQUEST)
-                server.stop_taking()
-                server.stop_taking()
+                server.stop_accepting()
+                server.stop_accepting()
                 with trio.fail_after(2.0):
                     await server.activity.wait_until_idle()
                 for exchange in (first, second):
-                    self.assertEqual((await exchange.head()).status, 503)
+                    self.assertEqual((await exchange.read_head()).status, 503)
             nursery.cancel_scope.cancel()
--- a/yewloom/tests/test_callers.py
+++ b/yewloom/tests/test_callers.py
@@ -9,19 +9,19 @@
 
 import trio
 
-from yewloom.admission import Admission
+from yewloom.admission import AdmissionController
 from yewloom.callers import CallerInterface
 from yewloom.claim_writer import ClaimWriter
 from yewloom.dispatch import Dispatcher
 from yewloom.idempotency import IdempotentRunner
 from yewloom.ids import AttemptId, CustomerId
-from yewloom.loop_lateness import LoopLateness
+from yewloom.loop_delay import LoopDelayMonitor
 from yewloom.node import build_node
-from yewloom.places import Places
 from yewloom.retries import RetryBudget
 from yewloom.schema.table_pb2 import CustomerRow, Row, ServiceRow, VersionedRow
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import parse_settings
+from yewloom.slots import SlotPool
 from yewloom.tests.support import FakeEngines, FakePlatform, make_policy, run_on_mock_clock
 from yewloom.tests.test_dispatch import ANSWER, SETTINGS
 
@@ -61,14 +61,14 @@
     return run_on_mock_clock(scenario)
 
 
-class _FixedLateness(LoopLateness):
+class _FixedLoopDelay(LoopDelayMonitor):
     """Reports a fixed loop delay."""
 
     def __init__(self, late_s: float) -> None:
         super().__init__()
         self._delay_s = late_s
 
-    def late_s(self) -> float:
+    def delay_s(self) -> float:
         """Return that delay."""
         return self._delay_s
 
@@ -76,7 +76,7 @@
 def _interface(nursery: trio.Nursery, share: int, late_s: float | None) -> CallerInterface:
     node = build_node(parse_settings(SETTINGS, "test").unwrap(), random.Random(1), 1)
     if late_s is not None:
-        node.lateness = _FixedLateness(late_s)
+        node.loop_delay = _FixedLoopDelay(late_s)
     customer = CustomerRow(key_digest=hashlib.sha256(KEY.encode()).hexdigest(), weight=1)
     rows = {
         "policy/p": Row(policy=make_policy()),
@@ -86,15 +86,15 @@
     for name, row in rows.items():
         node.table.apply(VersionedRow(name=name, version=1, row=row))
     node.has_table = True
-    node.admission = Admission(4, 4)
-    places, engines = Places(node.admission), FakeEngines(ANSWER)
+    node.admission = AdmissionController(4, 4)
+    slots, engines = SlotPool(node.admission), FakeEngines(ANSWER)
 
     def share_of(customer: CustomerId, row: CustomerRow) -> int:
         return share
 
     budget = RetryBudget(0.1, 3)
-    models = Dispatcher(node, places, engines, nursery, share_of, budget)
-    services = ServiceDispatcher(node, places, engines, share_of, budget)
+    models = Dispatcher(node, slots, engines, nursery, share_of, budget)
+    services = ServiceDispatcher(node, slots, engines, share_of, budget)
     writer = ClaimWriter(FakePlatform(), nursery, 1, 1000, 1.0, lambda: 0)
 
     def new_attempt() -> AttemptId:
--- a/yewloom/tests/test_claims.py
+++ b/yewloom/tests/test_claims.py
@@ -17,13 +17,13 @@
     Verdict,
     add_claims,
 )
-from yewloom.idempotency import IdempotentRunner, KeptAnswer
+from yewloom.idempotency import IdempotentRunner, StoredAnswer
 from yewloom.ids import AttemptId, EntryHostId, IdempotencyKey
 from yewloom.platforms import StoredObject
-from yewloom.problems import Problem, unavailable
+from yewloom.problems import Problem, unavailable_problem
 from yewloom.schema.records_pb2 import ClaimShard
 from yewloom.states import ClaimState, Outcome
-from yewloom.tests.support import FakePlatform, Fault, run_on_mock_clock
+from yewloom.tests.support import FakePlatform, WriteFault, run_on_mock_clock
 
 RETENTION_MS = 1000
 
@@ -47,7 +47,7 @@
     timeout_s=st.sampled_from([0.05, 1.0, 30.0]),
     is_refused=st.booleans(),
 )
-_FAULTS = st.lists(st.sampled_from(list(Fault)), max_size=12)
+_FAULTS = st.lists(st.sampled_from(list(WriteFault)), max_size=12)
 _TIMES = st.lists(st.floats(0, 4), max_size=3)
 
 
@@ -69,12 +69,12 @@
         return IdempotentRunner(writer, EntryHostId(name), self.new_attempt)
 
     async def send(self, runner: IdempotentRunner, submission: _Submission) -> None:
-        async def run() -> KeptAnswer:
+        async def run() -> StoredAnswer:
             if submission.is_refused:
-                raise unavailable("refused", Outcome.NOT_RUN)
+                raise unavailable_problem("refused", Outcome.NOT_RUN)
             self.runs[submission.key] += 1
             await trio.sleep(0.2)
-            return KeptAnswer(200, "text/plain", b"done")
+            return StoredAnswer(200, "text/plain", b"done")
 
         await trio.sleep(submission.start_s)
         with trio.move_on_after(submission.timeout_s):
@@ -93,7 +93,7 @@
     def test_a_key_runs_at_most_once(
         self,
         submissions: list[_Submission],
-        faults: list[Fault],
+        faults: list[WriteFault],
         outages: list[float],
         late_times: list[float],
         kills: list[float],
@@ -137,7 +137,7 @@
     def test_during_an_outage_not_run_is_reported_immediately(self) -> None:
         async def scenario() -> tuple[_Harness, float]:
             platform = FakePlatform()
-            platform.is_refusing = True
+            platform.is_unavailable = True
             harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
                 runner = harness.runner("e0", nursery)
@@ -283,11 +283,11 @@
 
 async def _outage(platform: FakePlatform, start_s: float) -> None:
     await trio.sleep(start_s)
-    platform.is_refusing = True
+    platform.is_unavailable = True
     await trio.sleep(0.7)
-    platform.is_refusing = False
+    platform.is_unavailable = False
 
 
 async def _apply_late(platform: FakePlatform, start_s: float) -> None:
     await trio.sleep(start_s)
-    platform.apply_late_writes()
+    platform.apply_delayed_writes()
--- a/yewloom/tests/test_coordinators.py
+++ b/yewloom/tests/test_coordinators.py
@@ -9,7 +9,7 @@
 from yewloom.groups import GroupObservation, HostObservation
 from yewloom.ids import AttemptId, GroupId, HostId
 from yewloom.node import Node, build_node
-from yewloom.observers import Observer
+from yewloom.observers import EndpointProber
 from yewloom.orders import due_orders
 from yewloom.platforms import StoredObject
 from yewloom.schema.peer_pb2 import GroupReport
@@ -38,7 +38,7 @@
         self.attempts = 0
         for name in ("h0", "h1"):
             host = make_host(name, checks_fences=checks_fences)
-            self.platform.listed.append(host)
+            self.platform.listed_hosts.append(host)
             report = HostReport(host_id=name, state=EngineState.IDLE.value)
             self.engines.reports[host.address] = report
 
@@ -47,7 +47,7 @@
 
     def coordinator_and_node(self, name: str) -> tuple[Coordinator, Node]:
         node = _node(name)
-        observer = Observer(node, self.engines)
+        observer = EndpointProber(node, self.engines)
         coordinator = Coordinator(node, self.platform, self.engines, observer, self.new_attempt)
         return coordinator, node
 
@@ -91,7 +91,7 @@
                 nursery.start_soon(harness.coordinator("entry-1").run)
                 await trio.sleep(20)
                 before = len(harness.engines.orders)
-                harness.platform.is_refusing = True
+                harness.platform.is_unavailable = True
                 await trio.sleep(10)
                 sent_by_expiry = len(harness.engines.orders)
                 await trio.sleep(60)
--- a/yewloom/tests/test_crash_checks.py
+++ b/yewloom/tests/test_crash_checks.py
@@ -10,14 +10,20 @@
 import trio.testing
 
 from yewloom.crash_checks import PROBE_PAUSES_S, RESTART_EVIDENCE_S, CrashChecks
-from yewloom.crash_record import CRASHES, CrashRecord
+from yewloom.crash_record import CRASH_THRESHOLD, CrashRecord
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.quarantine import Quarantine
 from yewloom.tests.entry_support import make_plain
 from yewloom.tests.forwarding_support import Endpoint as ScriptedEndpoint
-from yewloom.tests.forwarding_support import Fixture, answer_ok, close_without_answer, event, run
-from yewloom.tests.free_ports import free_address
+from yewloom.tests.forwarding_support import (
+    ForwarderFixture,
+    answer_ok,
+    close_without_answer,
+    event,
+    run,
+)
+from yewloom.tests.free_ports import allocate_address
 
 F = Fingerprint(7)
 ME = EntryHostId("me")
@@ -60,7 +66,7 @@
 
     def test_a_port_that_refuses_connections_shows_a_crash(self) -> None:
         async def test(world: World) -> None:
-            await world.checks.note_cut(world.list_endpoint(free_address()), F)
+            await world.checks.on_exchange_aborted(world.list_endpoint(allocate_address()), F)
             await trio.sleep(PROBED_S)
             self.assertTrue(world.record.is_suspect(F))
 
@@ -74,7 +80,7 @@
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                 nursery.start_soon(trio.serve_listeners, _keep_open, listeners)
                 port = listeners[0].socket.getsockname()[1]
-                await world.checks.note_cut(world.list_endpoint(f"127.0.0.1:{port}"), F)
+                await world.checks.on_exchange_aborted(world.list_endpoint(f"127.0.0.1:{port}"), F)
                 await trio.sleep(PROBED_S)
                 nursery.cancel_scope.cancel()
             self.assertFalse(world.record.is_suspect(F))
@@ -87,7 +93,7 @@
 
         async def test(world: World) -> None:
             with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", never_connect):
-                await world.checks.note_cut(world.list_endpoint(free_address()), F)
+                await world.checks.on_exchange_aborted(world.list_endpoint(allocate_address()), F)
                 await trio.sleep(2 * PROBED_S)
             self.assertFalse(world.record.is_suspect(F))
 
@@ -97,32 +103,34 @@
         """Guards against missing a process that is restarted before the first probe."""
 
         async def test(world: World) -> None:
-            endpoint = world.list_endpoint(free_address())
+            endpoint = world.list_endpoint(allocate_address())
             with mock.patch("yewloom.crash_checks._refuses_connections", _accepts_connections):
-                await world.checks.note_cut(endpoint, F)
+                await world.checks.on_exchange_aborted(endpoint, F)
                 await trio.sleep(PROBED_S)
             self.assertFalse(world.record.is_suspect(F))
-            world.checks.on_started_again(endpoint.id)
+            world.checks.on_restarted(endpoint.id)
             self.assertTrue(world.record.is_suspect(F))
 
         run_with_world(test, autojump=True)
 
     def test_a_start_long_after_an_aborted_exchange_does_not_show_a_crash(self) -> None:
         async def test(world: World) -> None:
-            endpoint = world.list_endpoint(free_address())
+            endpoint = world.list_endpoint(allocate_address())
             with mock.patch("yewloom.crash_checks._refuses_connections", _accepts_connections):
-                await world.checks.note_cut(endpoint, F)
+                await world.checks.on_exchange_aborted(endpoint, F)
                 await trio.sleep(RESTART_EVIDENCE_S + PROBED_S)
-            world.checks.on_started_again(endpoint.id)
+            world.checks.on_restarted(endpoint.id)
             self.assertFalse(world.record.is_suspect(F))
 
         run_with_world(test, autojump=True)
 
     def test_an_announced_end_is_not_a_crash(self) -> None:
         async def test(world: World) -> None:
-            await world.checks.note_cut(world.list_endpoint(free_address(), is_leaving=True), F)
-            unlisted = make_plain("other", free_address())
-            await world.checks.note_cut(unlisted, F)
+            await world.checks.on_exchange_aborted(
+                world.list_endpoint(allocate_address(), is_leaving=True), F
+            )
+            unlisted = make_plain("other", allocate_address())
+            await world.checks.on_exchange_aborted(unlisted, F)
             await trio.sleep(PROBED_S)
             self.assertFalse(world.record.is_suspect(F))
 
@@ -133,12 +141,13 @@
     """Forwarding of requests that crash endpoints."""
 
     def test_a_request_that_crashes_endpoints_reaches_three_and_is_then_refused(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoints = [
-                await _add_crashing_endpoint(fixture, f"p{number}") for number in range(CRASHES + 3)
+                await _add_crashing_endpoint(fixture, f"p{number}")
+                for number in range(CRASH_THRESHOLD + 3)
             ]
             statuses = [(await fixture.ask("/r/1")).status for _ in range(4)]
-            self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), CRASHES)
+            self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), CRASH_THRESHOLD)
             self.assertEqual(statuses, [502, 502, 503, 503])
             refused = await fixture.ask("/r/1")
             self.assertGreater(int(refused.headers[b"retry-after"]), 60)
@@ -148,20 +157,20 @@
     def test_a_stream_that_crashes_leaders_reaches_three_and_is_then_refused(self) -> None:
         """Guards against a stream that crashes one group after the other."""
 
-        async def test(fixture: Fixture) -> None:
-            leaders = [ScriptedEndpoint(_abort_stream) for _ in range(CRASHES + 3)]
+        async def test(fixture: ForwarderFixture) -> None:
+            leaders = [ScriptedEndpoint(_abort_stream) for _ in range(CRASH_THRESHOLD + 3)]
             for number, leader in enumerate(leaders):
-                await fixture.add_engine(f"e{number}", leader, ends_with_a_request=True)
+                await fixture.add_engine(f"e{number}", leader, closes_port_on_request=True)
             answers = [await fixture.ask("/s/1") for _ in range(3)]
-            self.assertEqual(sum(len(leader.requests) for leader in leaders), CRASHES)
+            self.assertEqual(sum(len(leader.requests) for leader in leaders), CRASH_THRESHOLD)
             self.assertEqual([answer.status for answer in answers], [200, 200, 503])
             self.assertEqual([answer.is_whole for answer in answers], [False, False, True])
 
         run(test)
 
     def test_other_requests_of_the_same_caller_are_served_meanwhile(self) -> None:
-        async def test(fixture: Fixture) -> None:
-            for number in range(CRASHES):
+        async def test(fixture: ForwarderFixture) -> None:
+            for number in range(CRASH_THRESHOLD):
                 await _add_crashing_endpoint(fixture, f"p{number}")
             for _ in range(2):
                 await fixture.ask("/r/1")
@@ -172,7 +181,7 @@
         run(test)
 
     def test_a_request_aborted_by_endpoints_that_keep_running_is_never_quarantined(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             for number in range(4):
                 await fixture.add_plain(f"p{number}", ScriptedEndpoint(close_without_answer))
             for _ in range(4):
@@ -182,10 +191,10 @@
         run(test)
 
 
-async def _add_crashing_endpoint(fixture: Fixture, name: str) -> ScriptedEndpoint:
+async def _add_crashing_endpoint(fixture: ForwarderFixture, name: str) -> ScriptedEndpoint:
     """Add an endpoint whose process ends when it receives a request."""
     endpoint = ScriptedEndpoint(close_without_answer)
-    await fixture.add_plain(name, endpoint, ends_with_a_request=True)
+    await fixture.add_plain(name, endpoint, closes_port_on_request=True)
     return endpoint
 
 
--- a/yewloom/tests/test_crash_record.py
+++ b/yewloom/tests/test_crash_record.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from yewloom.crash_record import (
-    CRASHES,
+    CRASH_THRESHOLD,
     MAX_CRASHES,
     MAX_REQUESTS,
+    REPORT_PERIOD_S,
     RETENTION_S,
-    TELL_S,
     CrashRecord,
     EndpointProcess,
 )
@@ -58,10 +58,10 @@
 
     def _crash(self, number: int, *requests: Fingerprint, at_s: float | None = None) -> None:
         now_s = float(number) if at_s is None else at_s
-        self.host.record.note_crash(_process(number), requests, now_s)
+        self.host.record.record_crash(_process(number), requests, now_s)
 
     def test_only_the_request_that_was_part_of_all_crashes_is_quarantined(self) -> None:
-        for number in range(CRASHES):
+        for number in range(CRASH_THRESHOLD):
             self.assertEqual(self.host.quarantined(), set())
             self._crash(number, CAUSE, _bystander(number))
         self.assertEqual(self.host.quarantined(), {CAUSE})
@@ -73,20 +73,20 @@
         self.assertEqual(self.host.quarantined(), set())
 
     def test_a_process_counts_once_however_often_it_is_reported(self) -> None:
-        for _ in range(2 * CRASHES):
+        for _ in range(2 * CRASH_THRESHOLD):
             self._crash(0, CAUSE)
         self.assertEqual(self.host.quarantined(), set())
 
     def test_a_successful_answer_clears_a_request(self) -> None:
-        for number in range(2 * CRASHES):
+        for number in range(2 * CRASH_THRESHOLD):
             self._crash(number, CAUSE)
             self.assertEqual(self.host.quarantined(), set())
-            self.host.record.note_answer(CAUSE, number + 0.5)
+            self.host.record.record_answer(CAUSE, number + 0.5)
 
     def test_an_answer_does_not_clear_later_crashes(self) -> None:
         self._crash(0, CAUSE)
-        self.host.record.note_answer(CAUSE, 0.5)
-        for number in range(1, 1 + CRASHES):
+        self.host.record.record_answer(CAUSE, 0.5)
+        for number in range(1, 1 + CRASH_THRESHOLD):
             self._crash(number, CAUSE)
         self.assertEqual(self.host.quarantined(), {CAUSE})
 
@@ -94,34 +94,34 @@
         """Guards against quarantining a request that was only at the same endpoints."""
         bystander = _bystander(0)
         self._crash(0, CAUSE)
-        for number in range(1, CRASHES):
+        for number in range(1, CRASH_THRESHOLD):
             self._crash(number, CAUSE, bystander)
-        self._crash(CRASHES, CAUSE, bystander)
-        self._crash(CRASHES + 1, CAUSE, bystander)
+        self._crash(CRASH_THRESHOLD, CAUSE, bystander)
+        self._crash(CRASH_THRESHOLD + 1, CAUSE, bystander)
         self.assertEqual(self.host.quarantined(), {CAUSE})
 
     def test_crashes_expire(self) -> None:
-        for number in range(CRASHES - 1):
+        for number in range(CRASH_THRESHOLD - 1):
             self._crash(number, CAUSE)
-        self._crash(CRASHES, CAUSE, at_s=RETENTION_S + CRASHES)
+        self._crash(CRASH_THRESHOLD, CAUSE, at_s=RETENTION_S + CRASH_THRESHOLD)
         self.assertEqual(self.host.quarantined(), set())
 
     def test_a_trial_that_crashes_an_endpoint_starts_the_next_quarantine(self) -> None:
-        for number in range(CRASHES):
+        for number in range(CRASH_THRESHOLD):
             self._crash(number, CAUSE)
-        trial_due_s = CRASHES - 1 + INITIAL_HOLD_S
-        self._crash(CRASHES, CAUSE, at_s=trial_due_s + 1)
+        trial_due_s = CRASH_THRESHOLD - 1 + INITIAL_HOLD_S
+        self._crash(CRASH_THRESHOLD, CAUSE, at_s=trial_due_s + 1)
         self.assertEqual(self.host.quarantine.count_of(CAUSE), 2)
 
     def test_crashes_of_attempts_in_flight_when_the_quarantine_began_do_not_extend_it(self) -> None:
-        for number in range(CRASHES + 3):
+        for number in range(CRASH_THRESHOLD + 3):
             self._crash(number, CAUSE)
         self.assertEqual(self.host.quarantine.count_of(CAUSE), 1)
 
     def test_an_answer_lifts_the_quarantine(self) -> None:
-        for number in range(CRASHES):
+        for number in range(CRASH_THRESHOLD):
             self._crash(number, CAUSE)
-        self.host.record.note_answer(CAUSE, 50.0)
+        self.host.record.record_answer(CAUSE, 50.0)
         self.assertEqual(self.host.quarantined(), set())
 
     def test_the_number_of_crashes_is_bounded(self) -> None:
@@ -141,11 +141,14 @@
 class TestSharedCrashes(unittest.TestCase):
     """Several hosts that each observe some of the crashes."""
 
-    @given(st.lists(st.integers(0, 2), min_size=CRASHES, max_size=CRASHES), st.randoms())
+    @given(
+        st.lists(st.integers(0, 2), min_size=CRASH_THRESHOLD, max_size=CRASH_THRESHOLD),
+        st.randoms(),
+    )
     def test_hosts_agree_whoever_saw_which_crash(self, seen_by: list[int], rng: object) -> None:
         hosts = [Host(), Host(), Host()]
         for number, observer in enumerate(seen_by):
-            hosts[observer].record.note_crash(_process(number), [CAUSE, _bystander(number)], 1.0)
+            hosts[observer].record.record_crash(_process(number), [CAUSE, _bystander(number)], 1.0)
         pairs = [(a, b) for a in hosts for b in hosts if a is not b]
         rng.shuffle(pairs)  # type: ignore[attr-defined]
         for source, target in pairs:
@@ -155,24 +158,24 @@
 
     def test_a_crash_observed_by_two_hosts_counts_once(self) -> None:
         one, other = Host(), Host()
-        for number in range(CRASHES - 1):
-            one.record.note_crash(_process(number), [CAUSE], 1.0)
-            other.record.note_crash(_process(number), [CAUSE], 1.0)
+        for number in range(CRASH_THRESHOLD - 1):
+            one.record.record_crash(_process(number), [CAUSE], 1.0)
+            other.record.record_crash(_process(number), [CAUSE], 1.0)
         one.report_to(other, 1.5)
         self.assertEqual(other.quarantined(), set())
 
     def test_an_answer_at_one_host_clears_the_request_on_all(self) -> None:
         one, other = Host(), Host()
-        for number in range(CRASHES - 1):
-            one.record.note_crash(_process(number), [CAUSE], 1.0)
+        for number in range(CRASH_THRESHOLD - 1):
+            one.record.record_crash(_process(number), [CAUSE], 1.0)
         one.report_to(other, 1.5)
-        other.record.note_answer(CAUSE, 2.0)
+        other.record.record_answer(CAUSE, 2.0)
         other.report_to(one, 2.5)
-        one.record.note_crash(_process(CRASHES), [CAUSE], 3.0)
+        one.record.record_crash(_process(CRASH_THRESHOLD), [CAUSE], 3.0)
         self.assertEqual(one.quarantined(), set())
 
     def test_crashes_are_reported_for_a_limited_time(self) -> None:
         host = Host()
-        host.record.note_crash(_process(0), [CAUSE], 1.0)
-        self.assertEqual(len(host.record.crash_reports(1.0 + TELL_S / 2)), 1)
-        self.assertEqual(host.record.crash_reports(1.0 + TELL_S), [])
+        host.record.record_crash(_process(0), [CAUSE], 1.0)
+        self.assertEqual(len(host.record.crash_reports(1.0 + REPORT_PERIOD_S / 2)), 1)
+        self.assertEqual(host.record.crash_reports(1.0 + REPORT_PERIOD_S), [])
--- a/yewloom/tests/test_daemon.py
+++ b/yewloom/tests/test_daemon.py
@@ -15,8 +15,8 @@
 from yewloom.tests.processes import (
     ENTRY_SETTINGS,
     MODEL,
-    Answer,
     Fleet,
+    HttpResponse,
     authorized,
     call,
     wait_for,
@@ -49,13 +49,13 @@
     def send_body(self, body: bytes) -> None:
         self._socket.sendall(body)
 
-    def answer(self) -> Answer:
+    def answer(self) -> HttpResponse:
         response = HTTPResponse(self._socket)
         response.begin()
         headers = {name.lower(): value for name, value in response.getheaders()}
-        return Answer(response.status, headers, response.read())
+        return HttpResponse(response.status, headers, response.read())
 
-    def get(self, path: str) -> Answer:
+    def get(self, path: str) -> HttpResponse:
         self.send_head("GET", path)
         return self.answer()
 
@@ -130,7 +130,7 @@
         wait_for(lambda: sum(self.fleet.runs(*leaders).values()) > before, "the run")
         return started
 
-    def _check_refused(self, answer: Answer) -> None:
+    def _check_refused(self, answer: HttpResponse) -> None:
         self.assertEqual(answer.status, 503, answer.body)
         self.assertEqual(answer.json()["outcome"], "not_run")
         self.assertEqual(answer.headers.get("connection"), "close")
--- a/yewloom/tests/test_directory.py
+++ b/yewloom/tests/test_directory.py
@@ -10,7 +10,7 @@
     Endpoint,
     EndpointDirectory,
     GroupKey,
-    Membership,
+    GroupMembership,
     MemberState,
 )
 from yewloom.ids import GroupId, HostId
@@ -35,7 +35,7 @@
                 directory.remove(endpoint.id)
                 expected.pop(endpoint.id, None)
         self.assertEqual(directory.by_id, expected)
-        self.assertEqual({e.id for e in directory.of_service(ENGINES)}, set(expected))
+        self.assertEqual({e.id for e in directory.endpoints_of(ENGINES)}, set(expected))
 
     @given(st.lists(st.tuples(NAMES, st.sampled_from([None, 0, 1]))))
     def test_leaders_match_any_sequence_of_changes(
@@ -46,7 +46,7 @@
         for name, rank in changes:
             membership = None
             if rank is not None:
-                membership = Membership(GroupKey(GroupId("g"), 1), rank, MemberState.OPEN)
+                membership = GroupMembership(GroupKey(GroupId("g"), 1), rank, MemberState.OPEN)
             directory.put(make_engine(name, membership=membership))
         leaders = {
             e.id for e in directory.by_id.values() if e.membership and e.membership.rank == 0
@@ -59,18 +59,18 @@
     def test_members_are_indexed_by_group_until_removed(self) -> None:
         directory = EndpointDirectory()
         key = put_group(directory, "g", SMALL, ["a", "b"])
-        self.assertEqual([e.id for e in directory.members(key).values()], ["a", "b"])
+        self.assertEqual([e.id for e in directory.members_of(key).values()], ["a", "b"])
         directory.remove(HostId("b"))
-        self.assertEqual(list(directory.members(key)), [0])
+        self.assertEqual(list(directory.members_of(key)), [0])
         directory.put(make_engine("a"))
-        self.assertEqual(directory.members(key), {})
+        self.assertEqual(directory.members_of(key), {})
 
     def test_member_that_joins_another_group_is_removed_from_the_first(self) -> None:
         directory = EndpointDirectory()
         first = put_group(directory, "g", SMALL, ["a", "b"], MemberState.READY)
         second = put_group(directory, "h", SMALL, ["b", "c"], MemberState.READY, generation=2)
-        self.assertEqual(list(directory.members(first)), [0])
-        self.assertEqual(len(directory.members(second)), 2)
+        self.assertEqual(list(directory.members_of(first)), [0])
+        self.assertEqual(len(directory.members_of(second)), 2)
 
     def test_listing_without_outage_removes_missing_endpoints_at_once(self) -> None:
         directory = EndpointDirectory()
--- a/yewloom/tests/test_dispatch.py
+++ b/yewloom/tests/test_dispatch.py
@@ -9,12 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewloom.admission import Admission
+from yewloom.admission import AdmissionController
 from yewloom.dispatch import Dispatcher
 from yewloom.endpoints import ServiceCall
 from yewloom.ids import CustomerId, HostId, ModelName, RequestId
 from yewloom.node import Node, build_node
-from yewloom.places import Places
 from yewloom.problems import Problem
 from yewloom.requests import ModelRequest, ServiceRequest
 from yewloom.retries import RetryBudget
@@ -29,6 +28,7 @@
 from yewloom.schema.table_pb2 import CustomerRow, Row, VersionedRow
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import parse_settings
+from yewloom.slots import SlotPool
 from yewloom.states import EngineState, GroupIntent, Outcome
 from yewloom.streams import StreamPosition
 from yewloom.tests.support import CallFault, FakeEngines, make_policy, run_on_mock_clock
@@ -88,7 +88,7 @@
             state=EngineState.READY.value, group_id=group.id, generation=1, capacity=8
         )
         node.fleet.on_host_answered(HostId(group.members[0].host_id), report, now_s)
-        node.fleet.sum_up(group, now_s)
+        node.fleet.aggregate_probes(group, now_s)
     for name in ("s0", "s1"):
         node.fleet.on_service_answered(HostId(name), HostReport(), now_s)
 
@@ -107,17 +107,17 @@
         self.engines = engines
         self.groups = groups
         self.node = _node(groups)
-        self.node.admission = Admission(slots, 10)
-        self.places = Places(self.node.admission)
+        self.node.admission = AdmissionController(slots, 10)
+        self.slots = SlotPool(self.node.admission)
 
     def dispatcher(self, nursery: trio.Nursery) -> Dispatcher:
         return Dispatcher(
-            self.node, self.places, self.engines, nursery, _share_of, RetryBudget(0.1, 10)
+            self.node, self.slots, self.engines, nursery, _share_of, RetryBudget(0.1, 10)
         )
 
     def service_dispatcher(self) -> ServiceDispatcher:
         return ServiceDispatcher(
-            self.node, self.places, self.engines, _share_of, RetryBudget(0.1, 10)
+            self.node, self.slots, self.engines, _share_of, RetryBudget(0.1, 10)
         )
 
     async def report_periodically(self) -> None:
@@ -233,7 +233,7 @@
             return before, len(engines.cancelled)
 
         self.assertEqual(run_on_mock_clock(scenario), (0, 1))
-        self.assertEqual(harness.places.admission.in_flight, 0)
+        self.assertEqual(harness.slots.admission.in_flight, 0)
 
     def test_a_stream_is_resumed_at_another_entry_host(self) -> None:
         engines = FakeEngines(ANSWER)
--- a/yewloom/tests/test_early_listener.py
+++ b/yewloom/tests/test_early_listener.py
@@ -10,7 +10,7 @@
 
 from yewloom.addresses import split_address
 from yewloom.early_listener import DEFAULT_MAX_WAIT_S, EarlyListener, listen
-from yewloom.tests.free_ports import free_address
+from yewloom.tests.free_ports import allocate_address
 
 HEAD = b"POST /x HTTP/1.1\r\nhost: x.example\r\nContent-Length: 4\r\n"
 COMPLETE = HEAD + b"\r\nbody"
@@ -23,7 +23,7 @@
     """Which requests are rejected before the program runs, and which wait for it."""
 
     def setUp(self) -> None:
-        address = free_address()
+        address = allocate_address()
         self.address = split_address(address)
         self.waited_s = 10.0
         self.early = EarlyListener(listen(address), b"x-time-ms", lambda connection: self.waited_s)
@@ -48,7 +48,7 @@
 
     def test_a_complete_request_gets_503(self) -> None:
         with self._caller(COMPLETE) as caller:
-            self.early.refuse_late()
+            self.early.reject_overdue()
             answer = self._read_all(caller)
         self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
         self.assertIn(b"\r\nretry-after: 0.5\r\n", answer)
@@ -58,7 +58,7 @@
         parts = (b"", HEAD, COMPLETE[:-1], HEAD + b"Expect: 100-continue\r\n\r\nbody")
         for data in parts:
             with self.subTest(data=data), self._caller(data):
-                self.early.refuse_late()
+                self.early.reject_overdue()
                 _, accepted = self.early.hand_over()
                 kept = accepted.pop()
                 self.addCleanup(kept.close)
@@ -114,9 +114,9 @@
 
     def test_a_request_that_is_completed_later_is_rejected_then(self) -> None:
         with self._caller(HEAD) as caller:
-            self.early.refuse_late()
+            self.early.reject_overdue()
             caller.sendall(b"\r\nbody")
-            self.early.refuse_late()
+            self.early.reject_overdue()
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
     def test_a_request_waits_for_a_share_of_its_timeout(self) -> None:
@@ -125,17 +125,17 @@
             with self.subTest(data=data), self._caller(data) as caller:
                 before = self.early.rejected_count
                 self.waited_s = limit_s - 0.01
-                self.early.refuse_late()
+                self.early.reject_overdue()
                 self.assertEqual(self.early.rejected_count, before)
                 self.waited_s = limit_s
-                self.early.refuse_late()
+                self.early.reject_overdue()
                 self.assertEqual(self.early.rejected_count, before + 1)
                 self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
     def test_a_disconnected_caller_is_dropped(self) -> None:
         with self._caller(b""):
             pass
-        self.early.refuse_late()
+        self.early.reject_overdue()
         self.assertEqual(self.early.hand_over()[1], [])
 
     def test_no_request_waits_long_for_a_slow_start(self) -> None:
@@ -161,15 +161,15 @@
     def test_a_request_of_unknown_age_counts_from_when_it_was_accepted(self) -> None:
         self.waited_s = 0.0
         with self._caller(HEAD + b"X-Time-Ms: 300\r\n\r\nbody") as caller:
-            self.early.refuse_late()
+            self.early.reject_overdue()
             self.assertEqual(self.early.rejected_count, 0)
             time.sleep(0.1)  # A third of its timeout.
-            self.early.refuse_late()
+            self.early.reject_overdue()
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
     def test_accepted_connections_are_handed_to_the_program(self) -> None:
         with self._caller(HEAD):
-            self.early.refuse_late()
+            self.early.reject_overdue()
         listener, accepted = self.early.hand_over()
         self.assertEqual(len(accepted), 1)
         self.assertGreaterEqual(listener.fileno(), 0)
--- a/yewloom/tests/test_endpoint_limits.py
+++ b/yewloom/tests/test_endpoint_limits.py
@@ -10,9 +10,9 @@
 
 from yewloom.directory import Endpoint, EndpointDirectory
 from yewloom.endpoint_limits import MIN_PER_S, REPORT_PERIOD_S, EndpointLimits, LimitReport
-from yewloom.entry_states import SharingHost
+from yewloom.entry_states import LimitSharingHost
 from yewloom.ids import DataCentreId, EntryHostId
-from yewloom.tests.entry_support import HALL, make_plain
+from yewloom.tests.entry_support import DATA_CENTRE, make_plain
 
 REMOTE = DataCentreId("hall-b")
 E = make_plain("e")
@@ -31,16 +31,18 @@
     return 1.5 * per_s * WINDOW_S + 5
 
 
-def make_hosts(count: int, far: int = 0) -> list[SharingHost]:
+def make_hosts(count: int, far: int = 0) -> list[LimitSharingHost]:
     """Return hosts, ``far`` of them in another data centre than the endpoint."""
-    near = [SharingHost(EntryHostId(f"n{number}"), HALL) for number in range(count - far)]
-    return [*near, *(SharingHost(EntryHostId(f"f{number}"), REMOTE) for number in range(far))]
+    near = [
+        LimitSharingHost(EntryHostId(f"n{number}"), DATA_CENTRE) for number in range(count - far)
+    ]
+    return [*near, *(LimitSharingHost(EntryHostId(f"f{number}"), REMOTE) for number in range(far))]
 
 
 class Fleet:
     """Entry hosts that share the limit of one endpoint."""
 
-    def __init__(self, hosts: list[SharingHost]) -> None:
+    def __init__(self, hosts: list[LimitSharingHost]) -> None:
         self.hosts = hosts
         directory = EndpointDirectory()
         directory.put(E)
@@ -49,7 +51,7 @@
     def announce(self, per_s: float | None, now_s: float = 0.0) -> None:
         """Let all hosts receive the endpoint's limit."""
         for limits in self.limits:
-            limits.note(E.id, per_s, now_s)
+            limits.apply_announced(E.id, per_s, now_s)
 
     def send_all(self, until_s: float, rng: random.Random) -> list[float]:
         """Let each host send whenever it may; return the times of all requests."""
@@ -58,7 +60,7 @@
             now_s = step * STEP_S
             for limits in rng.sample(self.limits, len(self.limits)):
                 while limits.wait_s(E, now_s) == 0 and limits.has_any:
-                    limits.spend(E, now_s)
+                    limits.take_token(E, now_s)
                     sent_s.append(now_s)
         return sent_s
 
@@ -102,7 +104,7 @@
             directory.put(endpoint)
         limits = EndpointLimits(hosts[0].host, directory, lambda _: hosts)
         for endpoint in endpoints:
-            limits.note(endpoint.id, 1.0, 0.0)
+            limits.apply_announced(endpoint.id, 1.0, 0.0)
         mine = sum(limits.wait_s(endpoint, 100.0) == 0 for endpoint in endpoints)
         self.assertTrue(2 <= mine <= 20, mine)
 
@@ -132,29 +134,29 @@
         self.changes += 1
 
     def test_an_endpoint_without_a_limit_is_not_limited(self) -> None:
-        self.limits.note(E.id, None, 0.0)
+        self.limits.apply_announced(E.id, None, 0.0)
         self.assertFalse(self.limits.has_any)
         self.assertEqual(self.limits.wait_s(E, 0.0), 0.0)
 
     def test_the_token_bucket_of_a_new_limit_starts_empty(self) -> None:
         """Guards against a burst on top of the requests sent before the limit was announced."""
-        self.limits.note(E.id, 2.0, 10.0)
+        self.limits.apply_announced(E.id, 2.0, 10.0)
         self.assertAlmostEqual(self.limits.wait_s(E, 10.0), 0.5)
         self.assertEqual(self.limits.wait_s(E, 10.5), 0.0)
 
     def test_a_lower_a_higher_and_no_limit_apply_immediately(self) -> None:
-        self.limits.note(E.id, 2.0, 0.0)
-        self.limits.note(E.id, 0.5, 0.0)
+        self.limits.apply_announced(E.id, 2.0, 0.0)
+        self.limits.apply_announced(E.id, 0.5, 0.0)
         self.assertAlmostEqual(self.limits.wait_s(E, 0.0), 2.0)
-        self.limits.note(E.id, 10.0, 0.0)
+        self.limits.apply_announced(E.id, 10.0, 0.0)
         self.assertAlmostEqual(self.limits.wait_s(E, 0.0), 0.1)
-        self.limits.note(E.id, None, 0.0)
+        self.limits.apply_announced(E.id, None, 0.0)
         self.assertEqual(self.limits.wait_s(E, 0.0), 0.0)
         self.assertEqual(self.changes, 4)
 
     def test_a_limit_of_zero_still_allows_occasional_requests(self) -> None:
         """Guards against never noticing that the endpoint accepts requests again."""
-        self.limits.note(E.id, 0.0, 0.0)
+        self.limits.apply_announced(E.id, 0.0, 0.0)
         self.assertAlmostEqual(self.limits.wait_s(E, 0.0), 1 / MIN_PER_S)
 
     def test_a_peers_report_holds_until_a_newer_one(self) -> None:
@@ -169,31 +171,31 @@
         """Guards against reports that hosts pass on to each other forever."""
         self.limits.apply(LimitReport(E.id, 1.0, 0.5), 10.0)
         self.assertEqual(self.limits.reports(10.0), [])
-        self.limits.note(E.id, 1.0, 10.0)
+        self.limits.apply_announced(E.id, 1.0, 10.0)
         self.assertEqual(self.limits.reports(11.0), [LimitReport(E.id, 1.0, 1.0)])
         self.assertEqual(self.limits.reports(10.0 + REPORT_PERIOD_S), [])
 
     def test_limits_of_removed_or_restarted_endpoints_are_dropped(self) -> None:
-        self.limits.note(E.id, 1.0, 0.0)
+        self.limits.apply_announced(E.id, 1.0, 0.0)
         self.limits.forget(E.id)
         self.assertFalse(self.limits.has_any)
-        self.limits.note(E.id, 1.0, 0.0)
+        self.limits.apply_announced(E.id, 1.0, 0.0)
         self.directory.remove(E.id)
         self.limits.reports(0.0)
         self.assertFalse(self.limits.has_any)
 
     def test_the_end_of_a_limit_is_reported_and_then_dropped(self) -> None:
-        self.limits.note(E.id, 1.0, 0.0)
-        self.limits.note(E.id, None, 1.0)
+        self.limits.apply_announced(E.id, 1.0, 0.0)
+        self.limits.apply_announced(E.id, None, 1.0)
         self.assertEqual(self.limits.reports(2.0), [LimitReport(E.id, None, 1.0)])
         self.limits.reports(1.0 + REPORT_PERIOD_S + 0.1)
         self.assertFalse(self.limits.has_any)
 
     def test_an_invalid_limit_is_logged_once_and_leaves_the_previous_one(self) -> None:
-        self.limits.note(E.id, 1.0, 0.0)
+        self.limits.apply_announced(E.id, 1.0, 0.0)
         with mock.patch("yewloom.endpoint_limits.logger") as logger:
             for text in ("'x'", "'x'", "'y'", "'y'"):
-                self.limits.note_unreadable(E.id, text)
+                self.limits.log_invalid(E.id, text)
         texts = [call.kwargs["text"] for call in logger.warning.call_args_list]
         self.assertEqual(texts, ["'x'", "'y'"])
         self.assertGreater(self.limits.wait_s(E, 0.0), 0.0)
@@ -204,7 +206,7 @@
     return limits.wait_s(endpoint, 1000.0) == 0
 
 
-def _senders(hosts: list[SharingHost]) -> list[EntryHostId]:
+def _senders(hosts: list[LimitSharingHost]) -> list[EntryHostId]:
     """Return the hosts that have a share of a limit."""
     fleet = Fleet(hosts)
     fleet.announce(1.0)
--- a/yewloom/tests/test_engine_restart.py
+++ b/yewloom/tests/test_engine_restart.py
@@ -5,7 +5,7 @@
 import trio
 
 from yewloom.tests.soak.fleet import EntryProcess, SoakEngine
-from yewloom.tests.test_entry_process import World, run
+from yewloom.tests.test_entry_process import ProcessFleet, run
 
 CLOCK_STEPS_MS = (5000, -9000)
 """Offsets of an engine's clock after a restart; a clock may be set back."""
@@ -18,7 +18,7 @@
     """Groups do not rely on state of an earlier process, and requests are served again."""
 
     def test_group_is_formed_again_after_the_leader_or_another_member_restarts(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             [entry] = world.fleet.entries
             for clock_step_ms in CLOCK_STEPS_MS:
                 for rank in (0, 1):
@@ -28,14 +28,16 @@
         run(test)
 
     async def _restart(
-        self, world: World, entry: EntryProcess, rank: int, clock_step_ms: int
+        self, world: ProcessFleet, entry: EntryProcess, rank: int, clock_step_ms: int
     ) -> None:
         """Restart a member of an open group, and wait until it is in an open group again."""
         chosen = next(e for e in world.fleet.engines if self._rank(e) == rank)
         for leader in world.fleet.engines:
             if leader.engine.name in chosen.engine.members[:1] and leader is not chosen:
-                leader.engine.moves = trio.Event()  # The leader stalls without its member.
-        chosen.engine.start_again(clock_step_ms)
+                leader.engine.progress_enabled = (
+                    trio.Event()
+                )  # The leader stalls without its member.
+        chosen.engine.restart(clock_step_ms)
         while not self._is_in_open_group(world, chosen):  # noqa: ASYNC110 - other processes
             await trio.sleep(SETTLE_S)
         await world.wait_until_served(entry)
@@ -44,7 +46,7 @@
         group = engine.engine.group
         return group["rank"] if group is not None else None
 
-    def _is_in_open_group(self, world: World, member: SoakEngine) -> bool:
+    def _is_in_open_group(self, world: ProcessFleet, member: SoakEngine) -> bool:
         by_name = {engine.engine.name: engine.engine for engine in world.fleet.engines}
         leaders = [by_name[name] for name in member.engine.members[:1]]
         return any(
--- a/yewloom/tests/test_entry_addresses.py
+++ b/yewloom/tests/test_entry_addresses.py
@@ -8,15 +8,15 @@
 
 from yewloom.entry_addresses import ADDRESS_KIND, EntryAddresses, PeerAddress
 from yewloom.entry_exchange import EntryExchange
-from yewloom.entry_states import PeerBoard
-from yewloom.follow_duty import FollowDuty, Standing
+from yewloom.entry_states import PeerStates
+from yewloom.follow_duty import FollowDuty, FollowStatus
 from yewloom.follow_times import FollowTimes
 from yewloom.ids import EntryHostId
-from yewloom.own_state import OwnState
+from yewloom.own_state import OwnStateBuilder
 from yewloom.peer_intake import PeerIntake
 from yewloom.schema.entry_pb2 import EntryAddress, EntryState
-from yewloom.tests.entry_support import HALL
-from yewloom.tests.free_ports import free_address
+from yewloom.tests.entry_support import DATA_CENTRE
+from yewloom.tests.free_ports import allocate_address
 from yewloom.tests.support import FakePlatform, run_on_mock_clock
 from yewloom.writes import to_json
 
@@ -38,7 +38,7 @@
         self._sequence += 1
         return EntryState(
             host_id=self._host,
-            data_centre=HALL,
+            data_centre=DATA_CENTRE,
             started_unix_ms=1,
             sequence=self._sequence,
             sent_ms=int(now_s * 1000),
@@ -49,21 +49,23 @@
     """The exchange of one entry host, with an empty store."""
 
     def __init__(self, host: EntryHostId) -> None:
-        self.board = PeerBoard(host, HALL, 1)
-        self.addresses = _addresses(host, free_address(), FakePlatform(), self.board)
+        self.peer_states = PeerStates(host, DATA_CENTRE, 1)
+        self.addresses = _addresses(host, allocate_address(), FakePlatform(), self.peer_states)
         times = FollowTimes(0.8, 1.15, 1.3)
-        duty = FollowDuty(host, self.board, lambda: Standing(False, False), times, 0.5)
+        duty = FollowDuty(host, self.peer_states, lambda: FollowStatus(False, False), times, 0.5)
         intake = Mock(spec=PeerIntake)
-        intake.process = lambda message, now_s, arrived_s: self.board.take(message.state, now_s)
-        own_state = cast(OwnState, _OwnState(host))
-        self.exchange = EntryExchange(self.addresses, self.board, duty, own_state, intake)
+        intake.process = lambda message, now_s, arrived_s: self.peer_states.update(
+            message.state, now_s
+        )
+        own_state = cast(OwnStateBuilder, _OwnState(host))
+        self.exchange = EntryExchange(self.addresses, self.peer_states, duty, own_state, intake)
 
 
 def _addresses(
-    host: EntryHostId, address: str, platform: FakePlatform, board: PeerBoard | None = None
+    host: EntryHostId, address: str, platform: FakePlatform, peer_states: PeerStates | None = None
 ) -> EntryAddresses:
-    board = board or PeerBoard(host, HALL)
-    return EntryAddresses(host, PeerAddress(address, HALL), platform, platform, board)
+    peer_states = peer_states or PeerStates(host, DATA_CENTRE)
+    return EntryAddresses(host, PeerAddress(address, DATA_CENTRE), platform, platform, peer_states)
 
 
 class TestPublishing(unittest.TestCase):
@@ -75,7 +77,7 @@
 
         async def main() -> None:
             if stored is not None:
-                before = to_json(EntryAddress(address=stored, data_centre=HALL))
+                before = to_json(EntryAddress(address=stored, data_centre=DATA_CENTRE))
                 await platform.update(f"{ADDRESS_KIND}/{ME}", before, 0)
             platform.calls.clear()
             with trio.move_on_after(60):
@@ -101,7 +103,10 @@
     def test_address_from_the_store_takes_precedence_over_a_reported_one(self) -> None:
         platform = FakePlatform()
         addresses = _addresses(ME, "10.0.0.1:1", platform)
-        reported, stored = PeerAddress("10.0.0.2:1", HALL), PeerAddress("10.0.0.3:1", HALL)
+        reported, stored = (
+            PeerAddress("10.0.0.2:1", DATA_CENTRE),
+            PeerAddress("10.0.0.3:1", DATA_CENTRE),
+        )
         self.assertTrue(addresses.add_reported(PEER, reported))
         self.assertEqual(addresses.by_peer, {PEER: reported})
         addresses.by_peer[PEER] = stored
@@ -117,7 +122,7 @@
                 for host in hosts:
                     nursery.start_soon(host.exchange.run)
                 with trio.fail_after(LIMIT_S):
-                    while not all(h.board.live_peer_count() for h in hosts):  # noqa: ASYNC110 - no event
+                    while not all(h.peer_states.live_peer_count() for h in hosts):  # noqa: ASYNC110 - no event
                         await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
 
--- a/yewloom/tests/test_entry_exchange.py
+++ b/yewloom/tests/test_entry_exchange.py
@@ -7,13 +7,13 @@
 
 from yewloom.entry_addresses import EntryAddresses, PeerAddress
 from yewloom.entry_exchange import EntryExchange
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.follow_duty import FollowDuty
 from yewloom.ids import EntryHostId
-from yewloom.own_state import OwnState
+from yewloom.own_state import OwnStateBuilder
 from yewloom.peer_intake import PeerIntake
-from yewloom.tests.entry_support import HALL
-from yewloom.tests.free_ports import free_address
+from yewloom.tests.entry_support import DATA_CENTRE
+from yewloom.tests.free_ports import allocate_address
 from yewloom.tests.support import FakePlatform
 
 ME = EntryHostId("me")
@@ -24,11 +24,11 @@
 
     def test_exchange_can_be_run_again_after_an_error(self) -> None:
         async def main() -> None:
-            board = PeerBoard(ME, HALL)
-            own = PeerAddress(free_address(), HALL)
-            addresses = EntryAddresses(ME, own, FakePlatform(), FakePlatform(), board)
-            parts = [Mock(spec=part) for part in (FollowDuty, OwnState, PeerIntake)]
-            exchange = EntryExchange(addresses, board, *parts)
+            peer_states = PeerStates(ME, DATA_CENTRE)
+            own = PeerAddress(allocate_address(), DATA_CENTRE)
+            addresses = EntryAddresses(ME, own, FakePlatform(), FakePlatform(), peer_states)
+            parts = [Mock(spec=part) for part in (FollowDuty, OwnStateBuilder, PeerIntake)]
+            exchange = EntryExchange(addresses, peer_states, *parts)
             for _ in range(2):
                 with trio.move_on_after(0.05) as timer:
                     await exchange.run()
--- a/yewloom/tests/test_entry_host.py
+++ b/yewloom/tests/test_entry_host.py
@@ -15,23 +15,23 @@
 from yewloom.addresses import split_address
 from yewloom.endpoint_calls import ExchangeError, OutgoingRequest, open_exchange
 from yewloom.entry_host import EntryHost
-from yewloom.fingerprints import fingerprint_text
+from yewloom.fingerprints import format_fingerprint
 from yewloom.forward_metrics import ForwardMetrics
-from yewloom.http_calls import HttpCaller
+from yewloom.http_calls import HttpClient
 from yewloom.ids import Fingerprint
-from yewloom.platform.engines import HttpEngineOrders
-from yewloom.platform.headers import WireHeaders
-from yewloom.platform.records import StoreRecords
-from yewloom.platform.standin_engine import EVENTS, StandinEngine
-from yewloom.platform.standin_store import StandinStore
-from yewloom.platform.store import ObjectStore
+from yewloom.platform.engines import HttpEngineClient
+from yewloom.platform.headers import HttpHeaderCodec
+from yewloom.platform.records import StoreRecordDecoder
+from yewloom.platform.standin_engine import DEFAULT_EVENT_COUNT, UserEngineStandIn
+from yewloom.platform.standin_store import StoreStandIn
+from yewloom.platform.store import StoreClient
 from yewloom.platform_parts import PlatformParts
 from yewloom.process_signals import ProcessSignals
-from yewloom.quarantine_store import KEY
+from yewloom.quarantine_store import STORE_KEY
 from yewloom.replica_lifecycle import UNLISTED_GRACE_S
 from yewloom.schema.entry_pb2 import EntrySettings
 from yewloom.settings import parse_entry_settings
-from yewloom.tests.free_ports import free_address, free_port
+from yewloom.tests.free_ports import allocate_address, allocate_port
 
 SERVICE = "s1"
 MODEL = "m"
@@ -72,9 +72,9 @@
     """A store, engines and entry hosts on the loopback interface."""
 
     def __init__(self) -> None:
-        self.store = StandinStore()
-        self.store_address = free_address()
-        self.engines: list[StandinEngine] = []
+        self.store = StoreStandIn()
+        self.store_address = allocate_address()
+        self.engines: list[UserEngineStandIn] = []
         self.hosts: list[EntrySettings] = []
         self._nursery: trio.Nursery | None = None
 
@@ -101,9 +101,9 @@
         except ExchangeError:
             return False
 
-    async def add_engine(self, name: str) -> StandinEngine:
+    async def add_engine(self, name: str) -> UserEngineStandIn:
         """Start an engine and publish it in the store."""
-        engine = StandinEngine(name, free_address(), SERVICE, "d1", "hall-a", self.store)
+        engine = UserEngineStandIn(name, allocate_address(), SERVICE, "d1", "hall-a", self.store)
         self.engines.append(engine)
         await self._serve(engine.application(), engine.address)
         engine.publish()
@@ -121,8 +121,8 @@
         ]
         async with open_exchange(self.hosts[host].host.caller_address, 1.0) as exchange:
             await exchange.send(OutgoingRequest(b"POST", b"/a/1", headers, b""))
-            head = await exchange.head()
-            return head.status, await exchange.whole_body()
+            head = await exchange.read_head()
+            return head.status, await exchange.read_body()
 
     async def ask_operator(self, method: bytes, path: bytes, host: int = 0) -> tuple[int, Any]:
         """Send a request to a host's metrics port; return status and decoded body."""
@@ -131,8 +131,8 @@
         headers = [(b"host", b"x"), (b"content-length", b"0")]
         async with open_exchange(f"{ip}:{settings.metrics_port}", 1.0) as exchange:
             await exchange.send(OutgoingRequest(method, path, headers, b""))
-            head = await exchange.head()
-            body = await exchange.whole_body()
+            head = await exchange.read_head()
+            body = await exchange.read_body()
             return head.status, json.loads(body) if body else None
 
     async def wait_for(self, condition: Callable[[], Awaitable[bool]]) -> None:
@@ -142,7 +142,7 @@
                 return
             await trio.sleep(0.05)
 
-    def group_leaders(self) -> list[StandinEngine]:
+    def group_leaders(self) -> list[UserEngineStandIn]:
         """Return the engines that lead open groups."""
         return [e for e in self.engines if e.group is not None and e.group["state"] == "open"]
 
@@ -151,10 +151,10 @@
 [host]
 id = {name}
 data_centre = hall-a
-caller_address = {free_address()}
-readiness_address = {free_address()}
-peer_address = {free_address()}
-metrics_port = {free_port()}
+caller_address = {allocate_address()}
+readiness_address = {allocate_address()}
+peer_address = {allocate_address()}
+metrics_port = {allocate_port()}
 is_first_start = true
 [store]
 address = {self.store_address}
@@ -163,16 +163,16 @@
         return parse_entry_settings(text, "test").unwrap()
 
     async def _run_host(self, settings: EntrySettings) -> None:
-        rng, caller = random.Random(1), HttpCaller(1.0)
+        rng, caller = random.Random(1), HttpClient(1.0)
         address = settings.store.address
         parts = PlatformParts(
-            configuration=ObjectStore(caller, address, 1.0, rng, 0.3),
-            endpoints=ObjectStore(caller, address, 1.0, rng, 0.5),
-            records_store=ObjectStore(caller, address, 1.0, rng),
-            stale_store=ObjectStore(caller, address, 1.0, rng, allows_stale=True),
-            records=StoreRecords(),
-            codec=WireHeaders(),
-            orders=HttpEngineOrders(caller),
+            configuration=StoreClient(caller, address, 1.0, rng, 0.3),
+            endpoints=StoreClient(caller, address, 1.0, rng, 0.5),
+            records_store=StoreClient(caller, address, 1.0, rng),
+            stale_store=StoreClient(caller, address, 1.0, rng, allows_stale=True),
+            records=StoreRecordDecoder(),
+            codec=HttpHeaderCodec(),
+            orders=HttpEngineClient(caller),
         )
         host = EntryHost(settings, parts, ForwardMetrics(), rng)
         await host.run(ProcessSignals(), lambda: None, lambda: None)
@@ -217,7 +217,7 @@
     def test_engines_form_groups_and_serve(self) -> None:
         async def test(world: World) -> None:
             status, body = await world.ask()
-            self.assertEqual((status, body.count(b"id: ")), (200, EVENTS))
+            self.assertEqual((status, body.count(b"id: ")), (200, DEFAULT_EVENT_COUNT))
             self.assertEqual((await world.ask(key="no"))[0], 401)
             self.assertEqual(world.store.names("yewloom-placements"), ["hall-a"])
             for engine in world.engines:
@@ -281,7 +281,7 @@
     def test_a_listing_after_lost_history_recovers_missed_changes(self) -> None:
         async def test(world: World) -> None:
             world.store.put("config", "main", _configuration(4, ["k1", "k2"]))
-            world.store.forget_history()
+            world.store.drop_history()
 
             async def is_served() -> bool:
                 return (await world.ask(key="k2"))[0] == 200
@@ -293,10 +293,10 @@
     def test_a_stream_moves_away_from_a_stalled_group(self) -> None:
         async def test(world: World) -> None:
             await world.wait_for(self._has_two_groups(world))
-            world.group_leaders()[0].moves = trio.Event()
+            world.group_leaders()[0].progress_enabled = trio.Event()
             for _ in range(4):
                 status, body = await world.ask()
-                self.assertEqual((status, body.count(b"id: ")), (200, EVENTS))
+                self.assertEqual((status, body.count(b"id: ")), (200, DEFAULT_EVENT_COUNT))
 
         run(test)
 
@@ -309,7 +309,7 @@
             head = world.group_leaders()[0]
             lost = next(e for e in world.engines if e.name == head.members[1])
             old_group = head.group
-            lost.is_lost = True
+            lost.is_silent = True
             world.store.remove("servers", lost.name)
             world.engines.remove(lost)
 
@@ -337,7 +337,7 @@
     def test_operators_see_and_lift_quarantines_from_before_the_start(self) -> None:
         def prepare(world: World) -> None:
             held = {"fingerprint": "171", "count": 1, "since_unix_ms": str(int(time.time() * 1000))}
-            kind, _, name = KEY.partition("/")
+            kind, _, name = STORE_KEY.partition("/")
             world.store.put(kind, name, {"requests": [held]})
 
         async def test(world: World) -> None:
@@ -348,7 +348,7 @@
                 return not any([await self._quarantined(world, host) for host in (0, 1)])
 
             await world.wait_for(is_quarantined)
-            path = f"/quarantine/{fingerprint_text(Fingerprint(171))}/lift".encode()
+            path = f"/quarantine/{format_fingerprint(Fingerprint(171))}/lift".encode()
             self.assertEqual(await world.ask_operator(b"POST", path, host=1), (200, None))
             await world.wait_for(is_lifted)
 
--- a/yewloom/tests/test_entry_process.py
+++ b/yewloom/tests/test_entry_process.py
@@ -79,7 +79,7 @@
 Series = Sequence[signal.Signals]
 
 
-class World:
+class ProcessFleet:
     """A fleet in one data centre, and callers that send one request each."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -107,7 +107,7 @@
     def _set_stream(self, stream: Stream) -> None:
         self._events = stream.events
         for engine in self.fleet.engines:
-            engine.engine.event_s = stream.event_s
+            engine.engine.event_interval_s = stream.event_s
 
     async def wait_until_served(self, entry: EntryProcess) -> None:
         """Wait until an entry host completes a stream; fail if its process ends."""
@@ -138,7 +138,7 @@
             await trio.sleep(POLL_INTERVAL_S)
 
 
-def run(test: Callable[[World], Awaitable[None]], entries: int = 1) -> None:
+def run(test: Callable[[ProcessFleet], Awaitable[None]], entries: int = 1) -> None:
     """Run a test with entry hosts that serve requests."""
 
     async def main() -> None:
@@ -147,7 +147,7 @@
                 fleet = Fleet(Path(folder), Ledger(), Random(1), nursery)
                 try:
                     await fleet.start(entries, 4, 1)
-                    world = World(fleet)
+                    world = ProcessFleet(fleet)
                     for entry in fleet.entries:
                         await world.wait_until_served(entry)
                     await test(world)
@@ -237,7 +237,7 @@
     """Signals to a real process."""
 
     def test_a_reload_at_any_moment_of_the_start_leaves_the_process_serving(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             entry.signal(signal.SIGKILL)
             await entry.wait_ended()
@@ -257,7 +257,7 @@
             await trio.sleep(POLL_INTERVAL_S)
 
     def test_a_caller_that_connects_during_the_start_is_served(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
@@ -269,7 +269,7 @@
     def test_a_request_that_expires_in_a_suspended_process_is_not_run(self) -> None:
         """Guards against running expired requests, above all unsafe ones."""
 
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             for kind, stopped_s in itertools.product(Kind, (1.5, 3.0)):
                 async with trio.open_nursery() as nursery:
@@ -291,7 +291,7 @@
     def test_a_suspended_host_accepts_no_request_later_after_sigterm(self) -> None:
         """Guards against a deregistration delay that starts over when a signal was noticed late."""
 
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             entry.signal(signal.SIGSTOP)
             entry.signal(signal.SIGTERM)
@@ -307,7 +307,7 @@
     def test_a_caller_does_not_wait_for_a_slow_start(self) -> None:
         """Guards against callers waiting for a host that can't read their requests yet."""
 
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
@@ -325,7 +325,7 @@
         run(test)
 
     def test_a_stop_during_the_start_answers_waiting_callers(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
@@ -337,7 +337,7 @@
 
         run(test)
 
-    async def _send_and_stop(self, world: World, entry: EntryProcess) -> None:
+    async def _send_and_stop(self, world: ProcessFleet, entry: EntryProcess) -> None:
         """Request a stop while requests wait for a process that is still starting."""
         async with trio.open_nursery() as nursery:
             sent: list[Sent] = []
@@ -348,7 +348,7 @@
         self.assertEqual([s for s in sent if s.status is None], [])
 
     async def _send_and_record(
-        self, world: World, entry: EntryProcess, sent: list[Sent], kind: Kind = Kind.STREAM
+        self, world: ProcessFleet, entry: EntryProcess, sent: list[Sent], kind: Kind = Kind.STREAM
     ) -> None:
         sent.append(await world.ask(entry, kind))
 
@@ -357,7 +357,7 @@
         series = [(stop, stop), (stop, hang_up), (hang_up, stop), (stop, hang_up, stop, hang_up)]
         series.append((stop, signal.SIGINT))
 
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             with world.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
                     for entry, numbers in zip(world.fleet.entries, series, strict=True):
@@ -365,7 +365,9 @@
 
         run(test, len(series))
 
-    async def _stop_with_signals(self, world: World, entry: EntryProcess, numbers: Series) -> None:
+    async def _stop_with_signals(
+        self, world: ProcessFleet, entry: EntryProcess, numbers: Series
+    ) -> None:
         """Send signals at once, and again while the process is stopping, with streams open."""
         async with trio.open_nursery() as nursery:
             streams = await world.open_streams(nursery, entry, 3)
@@ -387,7 +389,7 @@
         self.assertEqual([s for s in streams if not _is_served(s)], [])
 
     def test_a_stop_before_the_host_listens_is_clean(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             await _restart(entry)
             await entry.wait_until_taken(signal.SIGTERM)
@@ -398,7 +400,7 @@
         run(test)
 
     def test_a_stop_right_after_the_start_is_clean(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             await _restart(entry)
             await _wait_for_log(entry, "started")
@@ -410,7 +412,7 @@
         run(test)
 
     def test_a_stop_with_many_open_streams_cuts_off_none(self) -> None:
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             with world.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
@@ -428,10 +430,10 @@
     def test_a_slow_process_with_much_work_that_outlasts_the_grace_ends_within_it(self) -> None:
         run(self._cut_off(100, SLOWEST_SHARE))
 
-    def _cut_off(self, streams: int, share: float) -> Callable[[World], Awaitable[None]]:
+    def _cut_off(self, streams: int, share: float) -> Callable[[ProcessFleet], Awaitable[None]]:
         """Return a test that stops a slowed process with streams that must be cut off."""
 
-        async def test(world: World) -> None:
+        async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
             with world.streams_of(ENDLESS):
                 async with trio.open_nursery() as nursery:
--- a/yewloom/tests/test_event_paces.py
+++ b/yewloom/tests/test_event_intervals.py
@@ -5,14 +5,14 @@
 
 import unittest
 
-from yewloom.event_paces import MIN_SLOW_INTERVAL_S, RECENT_S, EventIntervals
+from yewloom.event_intervals import MIN_SLOW_INTERVAL_S, RECENT_S, EventIntervals
 from yewloom.ids import HostId
 
 NORMAL_INTERVAL_S = 0.05
 A, B, C = (HostId(name) for name in "abc")
 
 
-class TestEventPaces(unittest.TestCase):
+class TestEventIntervals(unittest.TestCase):
     """A group counts as slow relative to others, by several events, while these are recent."""
 
     def setUp(self) -> None:
--- a/yewloom/tests/test_fingerprints.py
+++ b/yewloom/tests/test_fingerprints.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.fingerprints import fingerprint_of, fingerprint_text
+from yewloom.fingerprints import compute_fingerprint, format_fingerprint
 from yewloom.ids import CustomerId, Fingerprint
 
 CUSTOMERS = st.none() | st.sampled_from([CustomerId("a"), CustomerId("ab")])
@@ -26,8 +26,8 @@
         one: tuple[str, bytes, CustomerId | None, bytes],
         other: tuple[str, bytes, CustomerId | None, bytes],
     ) -> None:
-        same = fingerprint_of(*one) == fingerprint_of(*other)
+        same = compute_fingerprint(*one) == compute_fingerprint(*other)
         self.assertEqual(same, one == other)
 
     def test_a_fingerprint_is_formatted_as_sixteen_digits(self) -> None:
-        self.assertEqual(fingerprint_text(Fingerprint(255)), "00000000000000ff")
+        self.assertEqual(format_fingerprint(Fingerprint(255)), "00000000000000ff")
--- a/yewloom/tests/test_follow_duty.py
+++ b/yewloom/tests/test_follow_duty.py
@@ -7,12 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.entry_states import MIN_STATE_TTL_S, PeerBoard
-from yewloom.follow_duty import FOLLOWERS, FollowDuty, Standing
+from yewloom.entry_states import MIN_STATE_TTL_S, PeerStates
+from yewloom.follow_duty import FOLLOWERS, FollowDuty, FollowStatus
 from yewloom.follow_times import MAX_FALLBACK_JITTER_S, FollowTimes, follow_times
 from yewloom.ids import EntryHostId
 from yewloom.schema.entry_pb2 import EntrySettings, EntryState
-from yewloom.tests.entry_support import HALL
+from yewloom.tests.entry_support import DATA_CENTRE
 
 TIMES = FollowTimes(0.8, 1.15, 1.3)
 NAMES = [f"e{number}" for number in range(6)]
@@ -21,7 +21,7 @@
 def _state(name: str, can_follow: bool = True, is_coordinator: bool = False) -> EntryState:
     return EntryState(
         host_id=name,
-        data_centre=HALL,
+        data_centre=DATA_CENTRE,
         started_unix_ms=1,
         sequence=1,
         can_follow=can_follow,
@@ -29,14 +29,14 @@
     )
 
 
-def _duty(me: str, states: list[EntryState], is_coordinator: bool = False) -> FollowDuty:
+def _duty(own_id: str, states: list[EntryState], is_coordinator: bool = False) -> FollowDuty:
     """Return the duty of a host that has received the state of all others."""
-    board = PeerBoard(EntryHostId(me), HALL)
+    peer_states = PeerStates(EntryHostId(own_id), DATA_CENTRE)
     for state in states:
-        board.take(state, 0.0)
-    can_follow = all(state.can_follow for state in states if state.host_id == me)
-    standing = Standing(can_follow, is_coordinator)
-    return FollowDuty(EntryHostId(me), board, lambda: standing, TIMES, 0.5)
+        peer_states.update(state, 0.0)
+    can_follow = all(state.can_follow for state in states if state.host_id == own_id)
+    status = FollowStatus(can_follow, is_coordinator)
+    return FollowDuty(EntryHostId(own_id), peer_states, lambda: status, TIMES, 0.5)
 
 
 class TestFollowDuty(unittest.TestCase):
@@ -47,7 +47,7 @@
         self, cut_off: set[str], coordinator: str | None
     ) -> None:
         states = [_state(name, name not in cut_off, name == coordinator) for name in NAMES]
-        followers = {name for name in NAMES if _duty(name, states, name == coordinator).is_mine()}
+        followers = {name for name in NAMES if _duty(name, states, name == coordinator).has_duty()}
         able = set(NAMES) - cut_off
         self.assertGreaterEqual(len(followers & able), min(FOLLOWERS, len(able)))
         if not cut_off:
@@ -62,65 +62,69 @@
         states = [_state(name, name not in cut_off, name == coordinator) for name in NAMES]
         duties = {name: _duty(name, states, name == coordinator) for name in NAMES}
         able = set(NAMES) - cut_off
-        followers = {name for name in able if duties[name].is_mine()}
+        followers = {name for name in able if duties[name].has_duty()}
         for name, duty in duties.items():
             self.assertLessEqual(followers - {name}, set(duty.near_followers()))
             self.assertLessEqual(len(duty.near_followers()), 2 * FOLLOWERS + 1)
 
     def test_chosen_hosts_keep_following_while_the_store_answers_no_host(self) -> None:
         states = [_state(name, can_follow=False) for name in NAMES]
-        followers = [name for name in NAMES if _duty(name, states).is_mine()]
+        followers = [name for name in NAMES if _duty(name, states).has_duty()]
         self.assertEqual(len(followers), FOLLOWERS)
 
     def test_host_without_live_peers_follows(self) -> None:
-        self.assertTrue(_duty("e1", []).is_mine())
+        self.assertTrue(_duty("e1", []).has_duty())
 
     def test_starting_hosts_follow_only_as_coordinator_but_call_if_information_is_old(self) -> None:
-        me, board = EntryHostId("e1"), PeerBoard(EntryHostId("e1"), HALL)
-        for standing in (Standing(True, False), Standing(True, True)):
-            duty = FollowDuty(me, board, partial(replace, standing), TIMES, 0.5, lambda: True)
-            self.assertEqual(duty.is_mine(), standing.is_coordinator)
-            self.assertTrue(duty.must_ask(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
+        own_id, peer_states = EntryHostId("e1"), PeerStates(EntryHostId("e1"), DATA_CENTRE)
+        for status in (FollowStatus(True, False), FollowStatus(True, True)):
+            duty = FollowDuty(
+                own_id, peer_states, partial(replace, status), TIMES, 0.5, lambda: True
+            )
+            self.assertEqual(duty.has_duty(), status.is_coordinator)
+            self.assertTrue(duty.must_call_store(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
 
     def test_peers_in_other_data_centres_are_not_counted_as_followers(self) -> None:
         states = [_state(name) for name in NAMES]
         for state in states:
             state.data_centre = "elsewhere"
-        self.assertTrue(all(_duty(name, states).is_mine() for name in NAMES))
+        self.assertTrue(all(_duty(name, states).has_duty() for name in NAMES))
 
     def test_silent_follower_is_replaced(self) -> None:
         states = [_state(name) for name in NAMES]
-        idle = next(name for name in NAMES if not _duty(name, states).is_mine())
-        board = PeerBoard(EntryHostId(idle), HALL)
+        idle = next(name for name in NAMES if not _duty(name, states).has_duty())
+        peer_states = PeerStates(EntryHostId(idle), DATA_CENTRE)
         for state in states:
-            board.take(state, 0.0)
-        duty = FollowDuty(EntryHostId(idle), board, lambda: Standing(True, False), TIMES, 0.5)
-        board.drop_silent(MIN_STATE_TTL_S + 0.1)
-        self.assertTrue(duty.is_mine())
+            peer_states.update(state, 0.0)
+        duty = FollowDuty(
+            EntryHostId(idle), peer_states, lambda: FollowStatus(True, False), TIMES, 0.5
+        )
+        peer_states.drop_expired(MIN_STATE_TTL_S + 0.1)
+        self.assertTrue(duty.has_duty())
 
     def test_host_without_recent_information_calls_the_store(self) -> None:
         states = [_state(name) for name in NAMES]
-        idle = next(name for name in NAMES if not _duty(name, states).is_mine())
+        idle = next(name for name in NAMES if not _duty(name, states).has_duty())
         duty = _duty(idle, states)
-        self.assertFalse(duty.must_ask(TIMES.fallback_s))
-        self.assertTrue(duty.must_ask(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
+        self.assertFalse(duty.must_call_store(TIMES.fallback_s))
+        self.assertTrue(duty.must_call_store(TIMES.fallback_s + MAX_FALLBACK_JITTER_S + 0.01))
 
     def test_coordinator_always_calls_the_store_and_the_other_follower_is_standby(self) -> None:
         states = [_state(name, is_coordinator=name == "e3") for name in NAMES]
-        self.assertTrue(_duty("e3", states, is_coordinator=True).must_ask(0.0))
+        self.assertTrue(_duty("e3", states, is_coordinator=True).must_call_store(0.0))
         duties = [_duty(name, states) for name in NAMES if name != "e3"]
-        (standby,) = [duty for duty in duties if duty.is_mine()]
-        self.assertFalse(standby.must_ask(TIMES.standby_s))
-        self.assertTrue(standby.must_ask(TIMES.standby_s + 0.01))
+        (standby,) = [duty for duty in duties if duty.has_duty()]
+        self.assertFalse(standby.must_call_store(TIMES.standby_s))
+        self.assertTrue(standby.must_call_store(TIMES.standby_s + 0.01))
 
     def test_no_host_is_standby_for_a_coordinator_that_cannot_reach_the_store(self) -> None:
         states = [_state(name, name != "e3", is_coordinator=name == "e3") for name in NAMES]
         able = [_duty(name, states) for name in NAMES if name != "e3"]
-        self.assertTrue(any(duty.is_mine() and duty.must_ask(0.0) for duty in able))
+        self.assertTrue(any(duty.has_duty() and duty.must_call_store(0.0) for duty in able))
 
     def test_all_followers_call_the_store_while_there_is_no_coordinator(self) -> None:
         states = [_state(name) for name in NAMES]
-        calling = [name for name in NAMES if _duty(name, states).must_ask(0.0)]
+        calling = [name for name in NAMES if _duty(name, states).must_call_store(0.0)]
         self.assertEqual(len(calling), FOLLOWERS)
 
 
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from yewloom.followed_position import FollowedPosition
-from yewloom.followers import IDLE_CHECK_S, Follower, FollowPace, Update
+from yewloom.followers import IDLE_CHECK_S, Follower, FollowPolicy, Update
 from yewloom.ids import DataCentreId
 from yewloom.platforms import Listing, PlatformError, PlatformFailure, StoredObject
 from yewloom.schema.records_pb2 import Host
@@ -17,7 +17,7 @@
 LOST = PlatformError(PlatformFailure.NOT_APPLIED, "down")
 EXPIRED = PlatformError(PlatformFailure.EXPIRED, "history gone")
 RETRY_PAUSE_S = 0.2
-PACE = FollowPace(lambda: True, lambda: 0.1, lambda failures: RETRY_PAUSE_S)
+PACE = FollowPolicy(lambda: True, lambda: 0.1, lambda failures: RETRY_PAUSE_S)
 STORED = StoredObject("k/a", 3, "{}")
 
 
@@ -58,13 +58,13 @@
 
 
 def _follow(
-    platform: _ScriptedPlatform, for_s: float = 60.0, pace: FollowPace = PACE
+    platform: _ScriptedPlatform, for_s: float = 60.0, policy: FollowPolicy = PACE
 ) -> list[Update]:
     """Follow for a time and return the updates."""
     updates: list[Update] = []
 
     async def main() -> None:
-        follower = Follower(platform, "k", updates.append, FollowedPosition(), pace)
+        follower = Follower(platform, "k", updates.append, FollowedPosition(), policy)
         with trio.move_on_after(for_s):
             await follower.run()
 
@@ -82,8 +82,8 @@
         self.assertEqual([update.is_full_listing for update in updates], [True, False, False])
 
     def test_update_is_dated_to_the_start_of_its_call_or_to_proved_after_s(self) -> None:
-        proved = Listing([], 7, proved_after_s=0.4)
-        updates = _follow(_ScriptedPlatform(Listing([], 5), proved))
+        confirmed = Listing([], 7, confirmed_after_s=0.4)
+        updates = _follow(_ScriptedPlatform(Listing([], 5), confirmed))
         self.assertAlmostEqual(updates[1].confirmed_s - updates[0].confirmed_s, 0.5 + 0.4)
 
     def test_expired_position_is_listed_again_at_once_and_is_no_outage(self) -> None:
@@ -102,25 +102,25 @@
 
     def test_host_without_the_duty_lists_once_and_then_stays_idle(self) -> None:
         platform = _ScriptedPlatform(Listing([STORED], 5), Listing([], 7))
-        idle = replace(PACE, must_ask=lambda: False)
-        self.assertEqual(len(_follow(platform, pace=idle)), 1)
+        idle = replace(PACE, must_call=lambda: False)
+        self.assertEqual(len(_follow(platform, policy=idle)), 1)
         self.assertEqual(platform.calls, ["list"])
 
     def test_pauses_depend_on_the_number_of_failures_during_an_outage(self) -> None:
-        idle = replace(PACE, must_ask=lambda: False, retry_pause_s=lambda failures: 2 * failures)
+        idle = replace(PACE, must_call=lambda: False, retry_pause_s=lambda failures: 2 * failures)
         waited_s = 2.0 + 4.0
         platform = _ScriptedPlatform(LOST, LOST, Listing([], 9), pause_s=0.0)
-        self.assertEqual(len(_follow(platform, for_s=waited_s - 0.1, pace=idle)), 0)
+        self.assertEqual(len(_follow(platform, for_s=waited_s - 0.1, policy=idle)), 0)
         platform = _ScriptedPlatform(LOST, LOST, Listing([], 9), pause_s=0.0)
-        self.assertEqual(len(_follow(platform, for_s=waited_s + 0.1, pace=idle)), 1)
+        self.assertEqual(len(_follow(platform, for_s=waited_s + 0.1, policy=idle)), 1)
 
     def test_host_that_becomes_a_follower_waits_no_longer_than_other_followers(self) -> None:
         platform = _ScriptedPlatform(LOST, Listing([], 9), pause_s=0.0)
         pause_s = [60.0]
 
         async def main() -> None:
-            pace = replace(PACE, retry_pause_s=lambda failures: pause_s[0])
-            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), pace)
+            policy = replace(PACE, retry_pause_s=lambda failures: pause_s[0])
+            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), policy)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(3.0)
@@ -201,7 +201,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(1.0)
-                follower.list_anew()
+                follower.relist()
                 await trio.sleep(1.0)
                 nursery.cancel_scope.cancel()
 
@@ -218,7 +218,7 @@
                 nursery.start_soon(follower.run)
                 await trio.sleep(0.5)
                 self.assertEqual(platform.calls, ["list", "watch 5"])
-                follower.list_anew()
+                follower.relist()
                 await trio.sleep(0.1)
                 self.assertEqual(platform.calls[2], "list")
                 nursery.cancel_scope.cancel()
@@ -229,19 +229,19 @@
         platform = _ScriptedPlatform(Listing([], 5), Listing([], 7))
         checks = 0
 
-        def must_ask() -> bool:
+        def must_call() -> bool:
             nonlocal checks
             checks += 1
             self.assertLess(checks, 100)
             return False
 
         async def main() -> None:
-            idle = replace(PACE, must_ask=must_ask)
+            idle = replace(PACE, must_call=must_call)
             follower = Follower(platform, "k", lambda update: None, FollowedPosition(), idle)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(0.2)
-                follower.list_anew()  # The first listing is in progress.
+                follower.relist()  # The first listing is in progress.
                 await trio.sleep(5.0)
                 nursery.cancel_scope.cancel()
 
--- a/yewloom/tests/test_foreign_entries.py
+++ b/yewloom/tests/test_foreign_entries.py
@@ -17,15 +17,15 @@
 
 from yewloom.directory import EndpointDirectory
 from yewloom.entry_addresses import ADDRESS_KIND, EntryAddresses, PeerAddress
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.followed_position import FollowedPosition
 from yewloom.followers import Update
-from yewloom.http_calls import HttpAnswer, HttpCaller
+from yewloom.http_calls import HttpClient, HttpResponse
 from yewloom.ids import DataCentreId, EntryHostId
 from yewloom.intake import EndpointIntake
 from yewloom.listed_endpoints import ChangedEndpoints, decode_changes, encode_changes
-from yewloom.platform.records import StoreRecords
-from yewloom.platform.store import ObjectStore
+from yewloom.platform.records import StoreRecordDecoder
+from yewloom.platform.store import StoreClient
 from yewloom.platforms import Listing, StoredObject
 from yewloom.schema.entry_pb2 import EntryAddress
 from yewloom.schema.records_pb2 import Lease, Placement
@@ -58,16 +58,16 @@
 )
 
 
-class _Caller(HttpCaller):
+class _Caller(HttpClient):
     """An HTTP client that answers each call with the next body."""
 
     def __init__(self, *bodies: bytes) -> None:
         super().__init__(1.0)
         self.bodies = list(bodies)
 
-    async def call(self, *args: Any, **options: Any) -> HttpAnswer:
+    async def call(self, *args: Any, **options: Any) -> HttpResponse:
         await trio.lowlevel.checkpoint()
-        return HttpAnswer(200, {}, self.bodies.pop(0))
+        return HttpResponse(200, {}, self.bodies.pop(0))
 
 
 class Host:
@@ -78,7 +78,9 @@
         self.sent: list[ChangedEndpoints] = []
         followed = FollowedPosition()
         selector = make_selector(self.directory)
-        self.intake = EndpointIntake(StoreRecords(), self.directory, selector, followed, self._send)
+        self.intake = EndpointIntake(
+            StoreRecordDecoder(), self.directory, selector, followed, self._send
+        )
 
     def _send(self, changes: ChangedEndpoints) -> None:
         message = encode_changes(changes).SerializeToString()
@@ -88,7 +90,7 @@
         """Apply a listing, or a watch from a position."""
 
         async def main() -> None:
-            self.intake.take(Update(listing, base, trio.current_time(), after_outage))
+            self.intake.apply_update(Update(listing, base, trio.current_time(), after_outage))
 
         run_on_mock_clock(main)
 
@@ -111,7 +113,7 @@
     """Return the adapter's result for the body of a listing or a watch."""
 
     async def main() -> Listing:
-        store = ObjectStore(_Caller(body), "store:1", 1.5, random.Random(1))
+        store = StoreClient(_Caller(body), "store:1", 1.5, random.Random(1))
         found = await (store.watch("servers", 1) if watches else store.list("servers"))
         return found.unwrap()
 
@@ -226,9 +228,9 @@
             record = EntryAddress(address=address, data_centre="hall-a")
             key = f"{ADDRESS_KIND}/{name}"
             platform.history.append(StoredObject(key, 1, to_json(record)))
-        me, here = EntryHostId("me"), DataCentreId("hall-a")
+        own_id, here = EntryHostId("me"), DataCentreId("hall-a")
         own = PeerAddress("10.1.0.9:7", here)
-        addresses = EntryAddresses(me, own, platform, platform, PeerBoard(me, here))
+        addresses = EntryAddresses(own_id, own, platform, platform, PeerStates(own_id, here))
 
         async def main() -> None:
             with trio.move_on_after(0.1):
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -12,10 +12,10 @@
 from yewloom.endpoint_calls import CONNECT_TIMEOUT_S
 from yewloom.ids import HostId
 from yewloom.planned_stop import STOP_MARGIN_S
-from yewloom.route_durations import LEAST
+from yewloom.route_durations import MIN_SAMPLES
 from yewloom.selection import PLAIN_SERVICE_SLOTS
-from yewloom.stalls import CHECK_INTERVAL_S, QUIET_S
-from yewloom.tests.caller_support import parse_answers
+from yewloom.stalls import CHECK_INTERVAL_S, STALL_TIMEOUT_S
+from yewloom.tests.caller_support import parse_responses
 from yewloom.tests.entry_support import make_plain
 from yewloom.tests.forwarding_support import (
     GRACE_S,
@@ -23,7 +23,7 @@
     STREAM_ROUTE,
     UNSAFE_ROUTE,
     Endpoint,
-    Fixture,
+    ForwarderFixture,
     SharedEndpoint,
     answer_ok,
     answer_with_long_body,
@@ -42,7 +42,7 @@
     """Pause between two events for longer than the stall timeout."""
     await endpoint.start(200)
     await endpoint.send(event(1))
-    await trio.sleep(QUIET_S * 2)
+    await trio.sleep(STALL_TIMEOUT_S * 2)
     await endpoint.send(event(2))
     await endpoint.finish()
 
@@ -51,7 +51,7 @@
     """Requests to plain services."""
 
     def test_method_path_query_and_body_are_forwarded_unchanged(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             answer = await fixture.ask("/u/x%20y?a=1&a=2", x_extra="7")
@@ -69,7 +69,7 @@
         run(test)
 
     def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoints = [Endpoint(close_without_answer), Endpoint(close_without_answer)]
             for number, endpoint in enumerate(endpoints):
                 await fixture.add_plain(f"p{number}", endpoint)
@@ -80,7 +80,7 @@
         run(test)
 
     def test_an_unsafe_request_that_did_not_run_is_retried_elsewhere(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             full, free = Endpoint(refuse_not_run), Endpoint(answer_ok)
             await fixture.add_plain("p1", full)
             await fixture.add_plain("p2", free)
@@ -93,7 +93,7 @@
     def test_a_request_read_after_its_deadline_is_not_forwarded(self) -> None:
         """Guards against forwarding requests that have expired while the event loop was blocked."""
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             for path in ("/u/1", "/r/1"):
@@ -104,7 +104,7 @@
         run(test)
 
     def test_a_request_read_late_gets_only_its_remaining_time(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             answer = await fixture.ask_while_blocked("/u/1", 0.5, yewloom_deadline_ms="1500")
@@ -125,7 +125,7 @@
                 await trio.lowlevel.checkpoint()
             return await connect(*where, **options)
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", connect_late):
                 answer = await fixture.ask_while_blocked("/u/1", 0.0)
@@ -135,7 +135,7 @@
         run(test)
 
     def test_a_refusal_has_a_retry_after_header(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(refuse_not_run))
             answer = await fixture.ask("/u/1")
             self.assertEqual(answer.status, 503)
@@ -145,14 +145,14 @@
         run(test)
 
     def test_a_refused_connection_leads_to_a_refusal(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             fixture.directory.put(make_plain("p", "127.0.0.1:1"))
             self.assertEqual((await fixture.ask("/u/1")).status, 503)
 
         run(test)
 
     def test_a_failed_repeatable_request_is_retried_elsewhere(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             bad, good = Endpoint(fail), Endpoint(answer_ok)
             await fixture.add_plain("p1", bad)
             await fixture.add_plain("p2", good)
@@ -163,7 +163,7 @@
         run(test)
 
     def test_the_failure_of_the_last_endpoint_is_forwarded_unchanged(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p1", Endpoint(fail))
             answer = await fixture.ask("/r/1")
             self.assertEqual((answer.status, answer.body), (500, b"oops"))
@@ -183,7 +183,7 @@
 
         failing = SharedEndpoint(fail_both_at_once)
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p0", failing)
             await fixture.add_plain("p1", Endpoint(answer_ok))
             for _ in range(PLAIN_SERVICE_SLOTS):
@@ -207,7 +207,7 @@
                 b"HTTP/1.1 200 OK\r\nyewloom-request-id: other\r\ncontent-length: 1\r\n\r\nx"
             )
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_other_request))
             self.assertEqual((await fixture.ask("/u/1")).status, 502)
 
@@ -218,7 +218,7 @@
             await endpoint.start(200, body_length=10)
             await endpoint.send(b"half")
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(truncate))
             self.assertEqual((await fixture.ask("/u/1")).status, 502)
 
@@ -228,7 +228,7 @@
         async def hang(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep_forever()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(hang))
             answer = await fixture.ask("/u/1", yewloom_deadline_ms="300")
             self.assertEqual(answer.status, 504)
@@ -236,7 +236,7 @@
         run(test)
 
     def test_an_endpoint_that_closes_before_its_answer_is_avoided_temporarily(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             broken, sound = Endpoint(close_without_answer), Endpoint(answer_ok)
             await fixture.add_plain("broken", broken)
             while not broken.requests:
@@ -253,7 +253,7 @@
     """Routes, API keys and configurations that may be outdated."""
 
     def test_unknown_routes_and_keys(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             self.assertEqual((await fixture.ask("/none/")).status, 404)
             self.assertEqual((await fixture.ask("/u/1", authorization="Token no")).status, 401)
@@ -262,9 +262,9 @@
         run(test)
 
     def test_keys_that_can_not_be_confirmed_are_refused_with_retry_after(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
-            fixture.book._confirmed_s = trio.current_time() - 4.0
+            fixture.configuration_state._confirmed_s = trio.current_time() - 4.0
             for path, key in (("/u/1", "Token k1"), ("/u/1", "Token no"), ("/none/", "Token k1")):
                 answer = await fixture.ask(path, authorization=key)
                 self.assertEqual(answer.status, 503)
@@ -274,8 +274,8 @@
         run(test)
 
     def test_a_host_without_a_configuration_refuses(self) -> None:
-        async def test(fixture: Fixture) -> None:
-            fixture.book.current = None
+        async def test(fixture: ForwarderFixture) -> None:
+            fixture.configuration_state.current = None
             self.assertEqual((await fixture.ask("/u/1")).status, 503)
 
         run(test)
@@ -285,7 +285,7 @@
     """Events of streams, and streams that are resumed elsewhere."""
 
     def test_a_stream_that_may_have_run_without_events_is_not_refused(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_engine("a", Endpoint(close_without_answer))
             self.assertEqual((await fixture.ask("/s/1")).status, 502)
 
@@ -299,7 +299,7 @@
                 await endpoint.send(event(number)[5:])
             await endpoint.finish()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_engine("a", Endpoint(send_split_events))
             answer = await fixture.ask("/s/1")
             self.assertEqual(answer.body, event(1) + event(2) + event(3))
@@ -319,7 +319,7 @@
                 await endpoint.send(event(number))
             await endpoint.finish()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             second = Endpoint(resume)
             await fixture.add_engine("a", Endpoint(break_off))
             await fixture.add_engine("b", second)
@@ -342,7 +342,7 @@
             await endpoint.send(event(2))
             await endpoint.finish()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_engine("a", Endpoint(stall))
             await fixture.add_engine("b", Endpoint(resume))
             fixture.selector.begin(HostId("b"))
@@ -358,12 +358,12 @@
             await endpoint.start(200)
             await endpoint.send(event(1))
             await trio.sleep(0.1)
-            time.sleep(QUIET_S)  # noqa: ASYNC251 - blocks the host's event loop, too
+            time.sleep(STALL_TIMEOUT_S)  # noqa: ASYNC251 - blocks the host's event loop, too
             await trio.sleep(CHECK_INTERVAL_S / 2)
             await endpoint.send(event(2))
             await endpoint.finish()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             other = Endpoint(answer_ok)
             await fixture.add_engine("a", Endpoint(continue_after_block))
             await fixture.add_engine("b", other)
@@ -382,19 +382,20 @@
         near.
         """
 
-        def use_up_retries(fixture: Fixture) -> None:
+        def use_up_retries(fixture: ForwarderFixture) -> None:
             fixture.retries_left = 0.0
 
-        def begin_stop(fixture: Fixture) -> None:
-            for _ in range(LEAST):
-                fixture.chooser.durations.note(STREAM_ROUTE.name, 2.0)
+        def begin_stop(fixture: ForwarderFixture) -> None:
+            for _ in range(MIN_SAMPLES):
+                fixture.chooser.durations.record(STREAM_ROUTE.name, 2.0)
             ends_s = trio.current_time() + 1.9
             fixture.stop.begin(ends_s - GRACE_S + STOP_MARGIN_S)
 
         for prevent_retry in (use_up_retries, begin_stop):
 
             async def test(
-                fixture: Fixture, prevent_retry: Callable[[Fixture], None] = prevent_retry
+                fixture: ForwarderFixture,
+                prevent_retry: Callable[[ForwarderFixture], None] = prevent_retry,
             ) -> None:
                 other = Endpoint(answer_ok)
                 await fixture.add_engine("a", Endpoint(pause_mid_stream))
@@ -402,7 +403,7 @@
                 fixture.selector.begin(HostId("b"))
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._expect_two_events, fixture)
-                    await trio.sleep(QUIET_S / 2)
+                    await trio.sleep(STALL_TIMEOUT_S / 2)
                     prevent_retry(fixture)
                 self.assertEqual(other.requests, [])
 
@@ -417,7 +418,7 @@
             await endpoint.send(event(2))
             await endpoint.finish()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             other = Endpoint(resume)
             await fixture.add_engine("a", SharedEndpoint(pause_mid_stream))
             await fixture.add_engine("b", other)
@@ -432,15 +433,15 @@
         run(test)
 
     def test_the_reserved_endpoint_of_an_ended_request_is_released_once(self) -> None:
-        fixture = Fixture()
+        fixture = ForwarderFixture()
         endpoint = make_plain("p", "127.0.0.1:1")
         fixture.selector.begin(endpoint.id)
         ended = mock.Mock(reserved=endpoint)
         fixture.chooser.release_reserved(ended)
         fixture.chooser.release_reserved(ended)
-        self.assertEqual((fixture.selector.running(), ended.reserved), ({}, None))
+        self.assertEqual((fixture.selector.running_here(), ended.reserved), ({}, None))
 
-    async def _expect_two_events(self, fixture: Fixture) -> None:
+    async def _expect_two_events(self, fixture: ForwarderFixture) -> None:
         answer = await fixture.ask("/s/1")
         self.assertEqual((answer.body, answer.is_whole), (event(1) + event(2), True))
 
@@ -449,7 +450,7 @@
             await endpoint.start(200)
             await endpoint.send(event(1))
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             other = Endpoint(answer_ok)
             await fixture.add_engine("a", Endpoint(break_off))
             await fixture.add_engine("b", other)
@@ -468,7 +469,7 @@
             await endpoint.send(event(3))
             await endpoint.finish()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_engine("a", Endpoint(skip))
             answer = await fixture.ask("/s/1")
             self.assertFalse(answer.is_whole)
@@ -485,7 +486,7 @@
                 await endpoint.send(event(number))
                 await trio.sleep(0.01)
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(stream_forever)
             await fixture.add_engine("a", endpoint)
             stream = await trio.open_tcp_stream(*fixture.address)
@@ -501,7 +502,7 @@
     """Connections of callers: limits and reuse."""
 
     def test_a_connection_carries_many_requests(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             stream = await trio.open_tcp_stream(*fixture.address)
             for _ in range(3):
@@ -516,7 +517,7 @@
         def ask_twice(deadline_ms: dict[str, str]) -> list[tuple[int, int]]:
             answers: list[tuple[int, bytes]] = []
 
-            async def test(fixture: Fixture) -> None:
+            async def test(fixture: ForwarderFixture) -> None:
                 await fixture.add_plain("p", Endpoint(answer_with_long_body))
                 caller = await fixture.open_slow_reader()
                 await fixture.send(caller, "/u/1")
@@ -526,7 +527,7 @@
                 received = bytearray()
                 while data := await caller.receive_some(65536):
                     received += data
-                answers.extend(parse_answers(bytes(received)))
+                answers.extend(parse_responses(bytes(received)))
 
             run(test)
             return [(status, len(body)) for status, body in answers]
@@ -544,7 +545,7 @@
             head: 408,
         }
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             for data, status in cases.items():
--- a/yewloom/tests/test_forwarding_limits.py
+++ b/yewloom/tests/test_forwarding_limits.py
@@ -8,7 +8,7 @@
 from yewloom.ids import HostId
 from yewloom.tests.forwarding_support import (
     Endpoint,
-    Fixture,
+    ForwarderFixture,
     answer_ok,
     event,
     refuse_not_run,
@@ -52,7 +52,7 @@
     """Requests beyond an endpoint's limit go elsewhere or are refused at once."""
 
     def test_requests_beyond_the_limit_of_an_endpoint_go_to_the_others(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             limited, free = Endpoint(_answer_low_limit), Endpoint(answer_ok)
             await fixture.add_plain("limited", limited)
             await fixture.add_plain("free", free)
@@ -64,7 +64,7 @@
         run(test)
 
     def test_without_an_endpoint_below_its_limit_a_request_is_refused_at_once(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             limited = Endpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
             self.assertEqual((await fixture.ask("/u/1")).status, 200)
@@ -75,25 +75,25 @@
             now_s = trio.current_time() + wait_s  # As if this time had passed.
             endpoint = fixture.directory.by_id[HostId("limited")]
             self.assertEqual(fixture.limits.wait_s(endpoint, now_s), 0.0)
-            fixture.limits.spend(endpoint, now_s)
+            fixture.limits.take_token(endpoint, now_s)
             self.assertGreater(fixture.limits.wait_s(endpoint, now_s), 0.0)
             self.assertEqual(len(limited.requests), 1)
 
         run(test)
 
     def test_each_attempt_counts(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             limited = Endpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
             named_s = trio.current_time() - 1.05 / float(LOW_LIMIT)  # One request is allowed since.
-            fixture.limits.note(HostId("limited"), float(LOW_LIMIT), named_s)
+            fixture.limits.apply_announced(HostId("limited"), float(LOW_LIMIT), named_s)
             statuses = [(await fixture.ask("/u/1")).status for _ in range(2)]
             self.assertEqual(statuses, [200, 503])
 
         run(test)
 
     def test_a_refusal_can_announce_a_limit(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             limited = Endpoint(_refuse_low_limit)
             await fixture.add_plain("limited", limited)
             for _ in range(5):
@@ -103,7 +103,7 @@
         run(test)
 
     def test_the_head_of_a_stream_can_announce_a_limit(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             leader = Endpoint(_stream_low_limit)
             await fixture.add_engine("leader", leader)
             statuses = [(await fixture.ask("/s/1")).status for _ in range(3)]
@@ -113,7 +113,7 @@
         run(test)
 
     def test_retries_count_towards_the_limit(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             limited, full = Endpoint(_answer_low_limit), Endpoint(refuse_not_run)
             await fixture.add_plain("limited", limited)
             self.assertEqual((await fixture.ask("/r/1")).status, 200)
@@ -125,7 +125,7 @@
         run(test)
 
     def test_an_answer_without_a_limit_ends_the_limit(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             answers = iter([_answer_with_limit, answer_ok])
 
             async def answer_next(endpoint: Endpoint, request: h11.Request) -> None:
@@ -140,7 +140,7 @@
         run(test)
 
     def test_an_invalid_limit_is_ignored(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(_answer_invalid_limit))
             for _ in range(5):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
--- a/yewloom/tests/test_forwarding_stop.py
+++ b/yewloom/tests/test_forwarding_stop.py
@@ -10,14 +10,14 @@
 
 from yewloom.ids import HostId
 from yewloom.planned_stop import STOP_MARGIN_S
-from yewloom.route_durations import LEAST
-from yewloom.tests.caller_support import parse_answers
+from yewloom.route_durations import MIN_SAMPLES
+from yewloom.tests.caller_support import parse_responses
 from yewloom.tests.forwarding_support import (
     GRACE_S,
     LONG_BODY,
     Answer,
     Endpoint,
-    Fixture,
+    ForwarderFixture,
     answer_ok,
     answer_with_long_body,
     refuse_not_run,
@@ -29,24 +29,24 @@
     """Requests that end by a planned stop, by their deadline or by their caller."""
 
     def test_a_planned_stop_closes_connections_after_an_answer(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             idle = await trio.open_tcp_stream(*fixture.address)
             first = await fixture.send(idle, "/u/1")
             await fixture.read(idle, first)
-            fixture.server.activity.start_leaving()
+            fixture.server.activity.begin_stop()
             answer = await fixture.ask("/u/1")
             self.assertEqual((answer.status, answer.headers[b"connection"]), (200, b"close"))
-            fixture.server.activity.stop_taking()
+            fixture.server.activity.stop_accepting()
             self.assertEqual(await idle.receive_some(1), b"")
 
         run(test)
 
     def test_a_request_after_the_stop_is_refused_with_retry_after_zero(self) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
-            fixture.server.activity.stop_taking()
+            fixture.server.activity.stop_accepting()
             answer = await fixture.ask("/u/1")
             self.assertEqual((answer.status, answer.headers[b"retry-after"]), (503, b"0"))
             self.assertEqual(endpoint.requests, [])
@@ -58,15 +58,15 @@
             await trio.sleep(0.1)
             await endpoint.answer(200, b"fine")
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             slow, fast = Endpoint(answer_slowly), Endpoint(answer_ok)
             await fixture.add_plain("p", slow)
-            for _ in range(LEAST):
+            for _ in range(MIN_SAMPLES):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
             fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S + 0.08)
             answer = await fixture.ask("/u/1")
             self.assertEqual((answer.status, answer.headers[b"retry-after"]), (503, b"0"))
-            self.assertEqual(len(slow.requests), LEAST)
+            self.assertEqual(len(slow.requests), MIN_SAMPLES)
             fixture.directory.remove(HostId("p"))
             await fixture.add_plain("p2", fast)
             self.assertEqual((await fixture.ask("/r/1")).status, 200)
@@ -77,14 +77,14 @@
         async def never_answer(endpoint: Endpoint, request: h11.Request) -> None:
             await trio.sleep_forever()
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(never_answer))
             answers: list[Answer] = []
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._ask_and_append, fixture, answers)
                 await trio.sleep(0.1)
                 fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S)
-                fixture.forwarder.end_open()
+                fixture.forwarder.end_oldest()
             self.assertEqual([answer.status for answer in answers], [502])
 
         run(test)
@@ -92,16 +92,18 @@
     def test_a_whole_answer_that_outlasts_its_time_is_delivered_and_the_next_follows_it(
         self,
     ) -> None:
-        async def outlasts_the_stop(fixture: Fixture, caller: trio.SocketStream) -> None:
+        async def outlasts_the_stop(fixture: ForwarderFixture, caller: trio.SocketStream) -> None:
             await fixture.send(caller, "/u/1")
             await trio.sleep(0.5)
             await fixture.send(caller, "/u/2")
             fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S + 0.2)
-            fixture.server.activity.stop_taking()
+            fixture.server.activity.stop_accepting()
             await trio.sleep(0.2)
-            fixture.forwarder.end_open()
+            fixture.forwarder.end_oldest()
 
-        async def outlasts_its_deadline(fixture: Fixture, caller: trio.SocketStream) -> None:
+        async def outlasts_its_deadline(
+            fixture: ForwarderFixture, caller: trio.SocketStream
+        ) -> None:
             await fixture.send(caller, "/u/1", yewloom_deadline_ms="800")
             await trio.sleep(0.5)
             await fixture.send(caller, "/u/2", connection="close")
@@ -110,8 +112,10 @@
         for outlasts, answer in second.items():
 
             async def test(
-                fixture: Fixture,
-                outlasts: Callable[[Fixture, trio.SocketStream], Awaitable[None]] = outlasts,
+                fixture: ForwarderFixture,
+                outlasts: Callable[
+                    [ForwarderFixture, trio.SocketStream], Awaitable[None]
+                ] = outlasts,
                 answer: tuple[int, bytes] = answer,
             ) -> None:
                 await fixture.add_plain("p", Endpoint(answer_with_long_body))
@@ -121,7 +125,7 @@
                 received = bytearray()
                 while data := await caller.receive_some(65536):
                     received += data
-                self.assertEqual(parse_answers(bytes(received)), [(200, LONG_BODY), answer])
+                self.assertEqual(parse_responses(bytes(received)), [(200, LONG_BODY), answer])
 
             with self.subTest(outlasts.__name__):
                 run(test)
@@ -144,17 +148,17 @@
             os.write(endpoint.stream.socket.fileno(), data)
             time.sleep(0.3)  # noqa: ASYNC251 - blocks the event loop on purpose
 
-        async def stop(fixture: Fixture) -> None:
+        async def stop(fixture: ForwarderFixture) -> None:
             ends_s = trio.current_time() + 0.25
             fixture.stop.begin(ends_s - GRACE_S + STOP_MARGIN_S)
-            fixture.server.activity.start_leaving()
+            fixture.server.activity.begin_stop()
             await trio.sleep_until(ends_s)
-            fixture.forwarder.end_open()
+            fixture.forwarder.end_oldest()
 
         for cause, deadline_ms, late_status in (("stop", 5000, 502), ("deadline", 290, 504)):
 
             async def test(
-                fixture: Fixture,
+                fixture: ForwarderFixture,
                 cause: str = cause,
                 deadline_ms: int = deadline_ms,
                 late_status: int = late_status,
@@ -176,7 +180,7 @@
     def test_an_answer_that_the_caller_did_not_receive_fully_does_not_count_as_answered(
         self,
     ) -> None:
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_with_long_body))
             caller = await fixture.open_slow_reader()
             await fixture.send(caller, "/u/1")
@@ -188,7 +192,7 @@
         run(test)
 
     @staticmethod
-    def _outcomes(fixture: Fixture) -> list[str]:
+    def _outcomes(fixture: ForwarderFixture) -> list[str]:
         """Return the outcomes that the metrics have counted."""
         return [
             sample.labels["outcome"]
@@ -206,9 +210,9 @@
             await trio.sleep(0.12)
             await refuse_not_run(endpoint, request)
 
-        async def test(fixture: Fixture) -> None:
+        async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_slowly))
-            for _ in range(LEAST):
+            for _ in range(MIN_SAMPLES):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
             fixture.directory.remove(HostId("p"))
             full, free = Endpoint(refuse_slowly), Endpoint(answer_slowly)
@@ -222,5 +226,5 @@
         run(test)
 
     @staticmethod
-    async def _ask_and_append(fixture: Fixture, answers: list[Answer]) -> None:
+    async def _ask_and_append(fixture: ForwarderFixture, answers: list[Answer]) -> None:
         answers.append(await fixture.ask("/u/1"))
--- a/yewloom/tests/test_host_in_one_group.py
+++ b/yewloom/tests/test_host_in_one_group.py
@@ -18,7 +18,7 @@
 
 from yewloom.ids import HostId
 from yewloom.replica_orders import OpenGroup
-from yewloom.tests.engine_world import EngineWorld, Played, play
+from yewloom.tests.engine_world import CoordinatorSimulation, SimulatedEngines, run_simulation
 
 A, B, C = HostId("a"), HostId("b"), HostId("c")
 
@@ -33,41 +33,41 @@
     """A host does not join a group while it is a member of a group whose leader is open."""
 
     def setUp(self) -> None:
-        self.world = EngineWorld()
+        self.world = SimulatedEngines()
 
     def test_old_unanswered_order_is_no_evidence_that_the_leader_failed(self) -> None:
         """An order to open took effect unanswered; 22 s later the leader is unlisted for 1 s."""
-        self.world.add("a", "b")
+        self.world.add_free_engines("a", "b")
         self.world.engines[A].loses_answers = self.world.engines[B].loses_answers = (OpenGroup,)
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(12.0)
-            self.world.add("c")
+            self.world.add_free_engines("c")
             await trio.sleep(12.0)
             self.assertEqual(self.world.open_groups(), [{A, B}])
             await self._hide_leader(1.0)
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def test_member_leaves_an_unreachable_leader_before_it_joins_another_group(self) -> None:
-        self.world.serve("old", ["a", "b"])
-        self.world.add("c")
+        self.world.add_serving_group("old", ["a", "b"])
+        self.world.add_free_engines("c")
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
-            self.world.engines[A].is_reached = False
-            played.stalls.report(A, trio.current_time())
+            self.world.engines[A].is_reachable = False
+            played.stalls.report_stalled(A, trio.current_time())
             await trio.sleep(4.0)
             await self._hide_leader(10.0)
             self.assertEqual(self.world.open_groups(), [{B, C}])
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def test_outdated_listing_is_no_evidence_that_the_leader_left(self) -> None:
-        self.world.serve("old", ["a", "b"])
+        self.world.add_serving_group("old", ["a", "b"])
         before = [replace(self.world.engines[name].endpoint(), membership=None) for name in (A, B)]
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
             for endpoint in before:
                 self.world.engines[endpoint.id].listed_as = endpoint
@@ -76,34 +76,34 @@
                 engine.listed_as = None
             await self._check_settled()
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def test_host_of_an_unrecorded_group_leaves_before_it_joins(self) -> None:
-        self.world.serve("old", ["a", "b"], is_recorded=False)
-        self.world.add("c")
-        self.world.engines[A].is_listed = self.world.engines[A].is_reached = False
+        self.world.add_serving_group("old", ["a", "b"], is_recorded=False)
+        self.world.add_free_engines("c")
+        self.world.engines[A].is_listed = self.world.engines[A].is_reachable = False
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await self._check_settled()
             self.assertEqual(self.world.open_groups(), [{B, C}])
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def test_host_without_a_report_is_not_joined(self) -> None:
         """The hosts' entries are older than their group, and they do not return reports."""
-        self.world.serve("old", ["a", "b"], is_recorded=False)
-        self.world.add("c")
+        self.world.add_serving_group("old", ["a", "b"], is_recorded=False)
+        self.world.add_free_engines("c")
         for name in (A, B):
             engine = self.world.engines[name]
             engine.listed_as = replace(engine.endpoint(), membership=None)
             engine.answers_reports = False
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(SETTLE_S)
-            self.assertEqual(self.world.taken, [])
+            self.assertEqual(self.world.unsafe_joins, [])
             self.assertIn({A, B}, self.world.open_groups())
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     async def _hide_leader(self, for_s: float) -> None:
         """Remove the leader from the listing for a while, and check the outcome."""
@@ -115,7 +115,7 @@
     async def _check_settled(self) -> None:
         """Check that no host was moved from a serving group, and that a group serves again."""
         await trio.sleep(SETTLE_S)
-        self.assertEqual(self.world.taken, [])
+        self.assertEqual(self.world.unsafe_joins, [])
         self.assertNotEqual(self.world.open_groups(), [])
 
 
@@ -123,14 +123,14 @@
     """Observations of a group are discarded once they are outdated or disproved."""
 
     def setUp(self) -> None:
-        self.world = EngineWorld()
-        self.world.serve("old", ["a", "b"])
+        self.world = SimulatedEngines()
+        self.world.add_serving_group("old", ["a", "b"])
 
     def test_briefly_outdated_listing_does_not_end_a_group(self) -> None:
         """The time limit for forming a group is counted from when it was last seen serving."""
         before = [replace(self.world.engines[name].endpoint(), membership=None) for name in (A, B)]
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S + 20.0)
             for endpoint in before:
                 self.world.engines[endpoint.id].listed_as = endpoint
@@ -140,40 +140,40 @@
             await trio.sleep(SETTLE_S)
             self._check_still_serves()
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def test_listed_leader_that_serves_other_hosts_keeps_its_group(self) -> None:
         """The coordinator cannot reach it, but a peer reports progress of its streams."""
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
-            self.world.engines[A].is_reached = False
+            self.world.engines[A].is_reachable = False
             for _ in range(20):
                 played.stalls.report_unreachable(A, trio.current_time())
                 await trio.sleep(0.2)
-                played.stalls.move_by_peer(A, 0.05, trio.current_time())
+                played.stalls.on_peer_progress(A, 0.05, trio.current_time())
             self._check_still_serves()
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def test_suspects_are_discarded_with_the_lease(self) -> None:
         """The store refuses all calls while the coordinator suspects the leader."""
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
             played.store.is_refusing = True
-            self.world.engines[A].is_reached = False
-            played.stalls.report(A, trio.current_time())
+            self.world.engines[A].is_reachable = False
+            played.stalls.report_stalled(A, trio.current_time())
             while played.coordinator.is_holding:  # noqa: ASYNC110 - the lease ends by its time
                 await trio.sleep(1.0)
-            self.world.engines[A].is_reached = True
+            self.world.engines[A].is_reachable = True
             played.store.is_refusing = False
             while not played.coordinator.is_holding:  # noqa: ASYNC110 - as above
                 await trio.sleep(1.0)
             await trio.sleep(SETTLE_S)
             self._check_still_serves()
 
-        play(self.world, test)
+        run_simulation(self.world, test)
 
     def _check_still_serves(self) -> None:
         self.assertEqual(self.world.open_groups(), [{A, B}])
--- a/yewloom/tests/test_http_pools.py
+++ b/yewloom/tests/test_http_pools.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from yewloom.http_calls import HttpCaller, HttpCallError
+from yewloom.http_calls import HttpCallError, HttpClient
 from yewloom.tests.silent_network import MemoryStore, SilentNetwork
 from yewloom.tests.support import run_on_mock_clock
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.network = SilentNetwork(MemoryStore())
-        self.caller = HttpCaller(0.5, network=self.network, keep_alive_s=KEEP_ALIVE_S)
+        self.caller = HttpClient(0.5, network=self.network, keep_alive_s=KEEP_ALIVE_S)
 
     async def call(self, url: str = URL, timeout_s: float = TIMEOUT_S) -> bool:
         """Make a call; return whether it was answered."""
@@ -85,7 +85,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch)
                 await trio.sleep(0.1)
-                await world.caller.renew(URL)
+                await world.caller.renew_connections(URL)
                 self.assertTrue(await world.call())
                 self.assertFalse(world.network.opened[0].is_closed)
             self.assertEqual(answered, [True])
--- a/yewloom/tests/test_intake.py
+++ b/yewloom/tests/test_intake.py
@@ -7,13 +7,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.directory import EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.directory import EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.followed_position import FollowedPosition
 from yewloom.followers import Update
 from yewloom.ids import GroupId, HostId
 from yewloom.intake import EndpointIntake
 from yewloom.listed_endpoints import ChangedEndpoints, decode_endpoint, encode_endpoint
-from yewloom.platform.records import StoreRecords
+from yewloom.platform.records import StoreRecordDecoder
 from yewloom.platforms import Listing, StoredObject
 from yewloom.schema.entry_pb2 import EndpointMembership, ListedEndpoint
 from yewloom.tests.entry_support import LARGE, SMALL, make_engine, make_plain, make_selector
@@ -34,16 +34,16 @@
         self.sent: list[ChangedEndpoints] = []
         selector = make_selector(self.directory)
         self.intake = EndpointIntake(
-            StoreRecords(), self.directory, selector, self.followed, self.sent.append
+            StoreRecordDecoder(), self.directory, selector, self.followed, self.sent.append
         )
         self.directory.put(make_plain("a"))
         self.followed.record_listing(5, 0.0)
 
     def test_changes_of_a_watch_are_sent_to_peers_but_an_empty_watch_is_not(self) -> None:
-        self.intake.take(Update(Listing([], 7), 5, 0.0, False))
+        self.intake.apply_update(Update(Listing([], 7), 5, 0.0, False))
         self.assertEqual(self.sent, [])
         changes = Listing([_stored("b", 9)], 9, ["servers/a"])
-        self.intake.take(Update(changes, 7, 0.0, False))
+        self.intake.apply_update(Update(changes, 7, 0.0, False))
         self.assertEqual(len(self.sent), 1)
         self.assertEqual((self.sent[0].base, self.sent[0].position), (7, 9))
         self.assertEqual([endpoint.id for endpoint in self.sent[0].endpoints], ["b"])
@@ -51,15 +51,15 @@
 
     def test_changes_from_peers_are_applied_once(self) -> None:
         changes = ChangedEndpoints(4, 8, [make_plain("b")], [HostId("a")])
-        self.intake.take_told(changes)
+        self.intake.apply_peer_changes(changes)
         self.assertEqual(set(self.directory.by_id), {"b"})
         self.assertEqual(self.followed.position, 8)
         self.directory.remove(HostId("b"))
-        self.intake.take_told(changes)
+        self.intake.apply_peer_changes(changes)
         self.assertEqual(set(self.directory.by_id), set())
 
     def test_changes_from_peers_after_a_gap_are_ignored(self) -> None:
-        self.intake.take_told(ChangedEndpoints(6, 8, [make_plain("b")], [HostId("a")]))
+        self.intake.apply_peer_changes(ChangedEndpoints(6, 8, [make_plain("b")], [HostId("a")]))
         self.assertEqual(set(self.directory.by_id), {"a"})
         self.assertEqual(self.followed.position, 5)
 
@@ -77,7 +77,7 @@
         self, state: MemberState | None, is_leaving: bool, staged: object, rank: int
     ) -> None:
         key = GroupKey(GroupId("g"), 2**40)
-        member = Membership(key, rank, state) if state is not None else None
+        member = GroupMembership(key, rank, state) if state is not None else None
         model = LARGE if staged == LARGE else None
         endpoint = make_engine("i", "d7", model, member, model, is_leaving=is_leaving)
         data = encode_endpoint(endpoint).SerializeToString()
@@ -90,7 +90,7 @@
 
 
 async def _take(intake: EndpointIntake, update: Update) -> None:
-    intake.take(update)
+    intake.apply_update(update)
 
 
 class TestRestarts(unittest.TestCase):
@@ -102,7 +102,7 @@
         self.restarted: list[HostId] = []
         self.sent: list[ChangedEndpoints] = []
         self.intake = EndpointIntake(
-            StoreRecords(),
+            StoreRecordDecoder(),
             self.directory,
             self.selector,
             self.followed,
@@ -126,10 +126,10 @@
                 update = Update(Listing([stored], 9), None, 0.0, False)
                 run_on_mock_clock(partial(_take, self.intake, update))
             case "watch":
-                self.intake.take(Update(Listing([stored], 9), 5, 0.0, False))
+                self.intake.apply_update(Update(Listing([stored], 9), 5, 0.0, False))
             case "peer":
-                endpoint = StoreRecords().decode_endpoint(stored)
-                self.intake.take_told(ChangedEndpoints(5, 9, [endpoint], []))
+                endpoint = StoreRecordDecoder().decode_endpoint(stored)
+                self.intake.apply_peer_changes(ChangedEndpoints(5, 9, [endpoint], []))
 
     def test_state_is_discarded_after_a_restart_whatever_the_source_and_clock(self) -> None:
         for source in ("listing", "watch", "peer"):
@@ -153,7 +153,7 @@
         self._take(9, "watch")
         self.followed.record_changes(9, True, 0.0)
         late = replace(make_plain("a"), started_unix_ms=7)
-        self.intake.take_told(ChangedEndpoints(5, 8, [late], []))
+        self.intake.apply_peer_changes(ChangedEndpoints(5, 8, [late], []))
         self.assertEqual(self.directory.by_id[HostId("a")].started_unix_ms, 9)
 
     def test_start_time_is_sent_to_peers(self) -> None:
--- a/yewloom/tests/test_key_trust.py
+++ b/yewloom/tests/test_key_trust.py
@@ -10,18 +10,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.caller_messages import CallerRequest, Reply
-from yewloom.configuration import ConfigurationBook
+from yewloom.caller_messages import CallerRequest, ResponseWriter
+from yewloom.configuration import ConfigurationState
 from yewloom.directory import EndpointDirectory
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.forward_request import Refusal
 from yewloom.ids import EntryHostId
 from yewloom.key_trust import CONFIRMATION_FRACTION, KeyTrust
-from yewloom.platform.headers import WireHeaders
+from yewloom.platform.headers import HttpHeaderCodec
 from yewloom.quarantine import Quarantine
 from yewloom.request_admission import RequestAdmission
 from yewloom.routes import RouteKind
-from yewloom.tests.entry_support import ENGINES, HALL, make_configuration, make_route, make_selector
+from yewloom.tests.entry_support import (
+    DATA_CENTRE,
+    ENGINES,
+    make_configuration,
+    make_route,
+    make_selector,
+)
 
 REVOCATION_S = 5.0
 APPLY_S = 2.0
@@ -33,17 +39,17 @@
     """The admission of a host that read a configuration at 0 s, or none, and nothing since."""
 
     def __init__(self, needs_proof: bool, has_configuration: bool = True) -> None:
-        self.book = ConfigurationBook()
+        self.configuration_state = ConfigurationState()
         if has_configuration:
             route = make_route(RouteKind.STREAM, "/s/", ENGINES)
-            self.book.apply(make_configuration(route), 0.0)
-        trust = KeyTrust(self.book, REVOCATION_S, APPLY_S, needs_proof)
-        board = PeerBoard(EntryHostId("me"), HALL)
+            self.configuration_state.apply(make_configuration(route), 0.0)
+        trust = KeyTrust(self.configuration_state, REVOCATION_S, APPLY_S, needs_proof)
+        peer_states = PeerStates(EntryHostId("me"), DATA_CENTRE)
         directory = EndpointDirectory()
-        selector = make_selector(directory, board)
+        selector = make_selector(directory, peer_states)
         quarantine = Quarantine(EntryHostId("me"), list)
         self._admission = RequestAdmission(
-            self.book, WireHeaders(), selector, trust, lambda: True, quarantine
+            self.configuration_state, HttpHeaderCodec(), selector, trust, lambda: True, quarantine
         )
 
     def status(self, at_s: float, key: str = "k1", path: str = "/s/1") -> int:
@@ -52,7 +58,9 @@
         headers.append((b"yewloom-request-id", b"r1"))
         source = CallerRequest(b"POST", path.encode(), headers, b"", at_s, at_s, 1, None)
         try:
-            self._admission.admit(source, mock.Mock(Reply), self._admission.marks(source))
+            self._admission.admit(
+                source, mock.Mock(ResponseWriter), self._admission.decode_metadata(source)
+            )
         except Refusal as refusal:
             return refusal.status
         return STATUS_OF_ADMITTED
@@ -75,11 +83,11 @@
         self,
     ) -> None:
         host = Host(needs_proof=False)
-        host.book.note_version(4)
+        host.configuration_state.record_version(4)
         self.assertEqual(host.status(1.0), 200)
         self.assertEqual(host.status(OUTAGE_S), 503)
         route = make_route(RouteKind.STREAM, "/s/", ENGINES)
-        host.book.apply(make_configuration(route, version=4), 0.0)
+        host.configuration_state.apply(make_configuration(route, version=4), 0.0)
         self.assertEqual(host.status(OUTAGE_S), 200)
 
     def test_host_that_starts_during_the_outage_asks_callers_to_retry(self) -> None:
@@ -91,7 +99,7 @@
     ) -> None:
         host = Host(needs_proof)
         if is_outdated:
-            host.book.note_version(4)
+            host.configuration_state.record_version(4)
         is_confirmed = at_s <= APPLY_S and not is_outdated
         self.assertEqual(host.status(at_s, key="k9"), 401 if is_confirmed else 503)
         self.assertEqual(host.status(at_s, path="/none/"), 404 if is_confirmed else 503)
--- a/yewloom/tests/test_limits.py
+++ b/yewloom/tests/test_limits.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from yewloom.ids import AttemptId, CustomerId, DataCentreId
-from yewloom.limits import ShareBook, part_of, plan_shares
+from yewloom.limits import LocalShares, data_centre_share, plan_shares
 from yewloom.schema.peer_pb2 import ShareState
 from yewloom.schema.records_pb2 import Shares
 
@@ -28,7 +28,7 @@
         super().__init__()
         self.now_s = 0.0
         self.record = Shares()
-        self.books: dict[str, ShareBook] = {}
+        self.books: dict[str, LocalShares] = {}
         self.in_flight: dict[str, int] = {}
         self.obeyed: dict[str, dict[str, int]] = {}
         self.listed: set[str] = set()
@@ -44,7 +44,7 @@
         if len(self.books) < len(NAMES):
             self.count += 1
             name = f"e{self.count}"
-            self.books[name] = ShareBook(name, LOAN_S)
+            self.books[name] = LocalShares(name, LOAN_S)
             self.in_flight[name] = 0
             self.obeyed[name] = {}
             self.listed.add(name)
@@ -80,14 +80,14 @@
             return
         answer_state = self._state(lender_name)
         self._record_obeyed(borrower_name, answer_state)
-        self.books[borrower_name].apply(self.books[lender_name].shares)
-        self.books[borrower_name].borrow(loans, self.now_s)
+        self.books[borrower_name].apply(self.books[lender_name].record)
+        self.books[borrower_name].add_loans(loans, self.now_s)
 
     @rule(data=st.data())
     def fill_capacity(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
-            usable = self.books[name].usable(CUSTOMER, self.now_s)
+            usable = self.books[name].capacity(CUSTOMER, self.now_s)
             self.in_flight[name] = max(self.in_flight[name], usable)
 
     @rule(data=st.data())
@@ -120,14 +120,14 @@
     def _settle_in_flight(self) -> None:
         """Let requests end when the usable capacity shrinks; none outlasts a loan here."""
         for name, book in self.books.items():
-            self.in_flight[name] = min(self.in_flight[name], book.usable(CUSTOMER, self.now_s))
+            self.in_flight[name] = min(self.in_flight[name], book.capacity(CUSTOMER, self.now_s))
 
     def _draw(self, data: st.DataObject) -> str:
         return data.draw(st.sampled_from(sorted(self.books))) if self.books else ""
 
     @invariant()
     def usable_parts_never_sum_past_the_limit(self) -> None:
-        total = sum(book.usable(CUSTOMER, self.now_s) for book in self.books.values())
+        total = sum(book.capacity(CUSTOMER, self.now_s) for book in self.books.values())
         assert total <= LIMIT, f"{total} usable of {LIMIT}"
 
     @invariant()
@@ -140,21 +140,22 @@
 TestSharesMachine.settings = settings(max_examples=150, stateful_step_count=40)
 
 
-class TestPartOf(unittest.TestCase):
+class TestDataCentreShare(unittest.TestCase):
     """Shares of data centres."""
 
     @given(st.integers(0, 1000), st.integers(1, 23))
-    def test_parts_add_up_to_the_limit(self, limit: int, count: int) -> None:
+    def test_shares_add_up_to_the_limit(self, limit: int, count: int) -> None:
         data_centres = [f"dc{i}" for i in range(count)]
-        parts = [
-            part_of(limit, DataCentreId(data_centre), data_centres) for data_centre in data_centres
+        shares = [
+            data_centre_share(limit, DataCentreId(data_centre), data_centres)
+            for data_centre in data_centres
         ]
-        self.assertEqual(sum(parts), limit)
-        self.assertLessEqual(max(parts) - min(parts), 1)
+        self.assertEqual(sum(shares), limit)
+        self.assertLessEqual(max(shares) - min(shares), 1)
 
     def test_an_unlisted_data_centre_gets_nothing(self) -> None:
-        self.assertEqual(part_of(10, DataCentreId("x"), ["a", "b"]), 0)
-        self.assertEqual(part_of(10, DataCentreId("x"), []), 0)
+        self.assertEqual(data_centre_share(10, DataCentreId("x"), ["a", "b"]), 0)
+        self.assertEqual(data_centre_share(10, DataCentreId("x"), []), 0)
 
 
 class TestShares(unittest.TestCase):
@@ -169,16 +170,16 @@
 
     def test_a_new_host_gets_its_share_only_after_the_holder_obeyed(self) -> None:
         first = self._plan(Shares(), ["e0"], 0)
-        book = ShareBook("e1", LOAN_S)
+        book = LocalShares("e1", LOAN_S)
         second = self._plan(first, ["e0", "e1"], first.generation)
         book.apply(second)
-        self.assertEqual(book.usable(CUSTOMER, 1.0), 0)
+        self.assertEqual(book.capacity(CUSTOMER, 1.0), 0)
         unconfirmed = self._plan(second, ["e0", "e1"], first.generation)
         book.apply(unconfirmed)
-        self.assertEqual(book.usable(CUSTOMER, 1.5), 0)
+        self.assertEqual(book.capacity(CUSTOMER, 1.5), 0)
         third = self._plan(second, ["e0", "e1"], second.generation)
         book.apply(third)
-        self.assertEqual(book.usable(CUSTOMER, 2.0), LIMIT // 2)
+        self.assertEqual(book.capacity(CUSTOMER, 2.0), LIMIT // 2)
 
     def test_a_silent_host_keeps_its_share_until_it_is_known_to_have_ended(self) -> None:
         shares = self._plan(Shares(), ["e0", "e1"], 0)
@@ -192,18 +193,18 @@
         self.assertEqual([h.shares[0].granted for h in later.holders], [LIMIT])
 
     def test_a_loan_is_usable_by_the_borrower_until_it_expires(self) -> None:
-        lender, borrower = (ShareBook(name, LOAN_S) for name in ("e0", "e1"))
+        lender, borrower = (LocalShares(name, LOAN_S) for name in ("e0", "e1"))
         lender.apply(self._plan(Shares(), ["e0"], 0))
         request_state = ShareState(instance="e1")
         request_state.demands.add(customer=CUSTOMER, demand=3)
-        borrower.borrow(lender.lend(request_state, {}, 1.0), 1.0)
-        self.assertEqual(borrower.usable(CUSTOMER, 1.0), 3)
-        self.assertEqual(lender.usable(CUSTOMER, 1.0), LIMIT - 3)
-        self.assertEqual(borrower.usable(CUSTOMER, 4.1), 0)
-        self.assertEqual(lender.usable(CUSTOMER, 4.1), LIMIT)
+        borrower.add_loans(lender.lend(request_state, {}, 1.0), 1.0)
+        self.assertEqual(borrower.capacity(CUSTOMER, 1.0), 3)
+        self.assertEqual(lender.capacity(CUSTOMER, 1.0), LIMIT - 3)
+        self.assertEqual(borrower.capacity(CUSTOMER, 4.1), 0)
+        self.assertEqual(lender.capacity(CUSTOMER, 4.1), LIMIT)
 
     def test_a_target_is_obeyed_only_once_requests_and_loans_fit_it(self) -> None:
-        lender = ShareBook("e0", LOAN_S)
+        lender = LocalShares("e0", LOAN_S)
         shares = self._plan(Shares(), ["e0"], 0)
         lender.apply(shares)
         request_state = ShareState(instance="e1")
--- a/yewloom/tests/test_membership.py
+++ b/yewloom/tests/test_membership.py
@@ -14,8 +14,8 @@
 
 
 def _membership(name: str, incarnation: int = 1) -> Membership:
-    me = Member(id=name, incarnation=incarnation, data_centre="a", peer_address=f"{name}:1")
-    return Membership(me, DEAD_AFTER_S)
+    own_member = Member(id=name, incarnation=incarnation, data_centre="a", peer_address=f"{name}:1")
+    return Membership(own_member, DEAD_AFTER_S)
 
 
 def _copy(members: list[Member]) -> list[Member]:
@@ -68,7 +68,7 @@
     @rule(name=st.sampled_from(NAMES))
     def replace(self, name: str) -> None:
         if not self.is_alive[name]:
-            incarnation = self.memberships[name].me.incarnation + 1
+            incarnation = self.memberships[name].own_member.incarnation + 1
             self.memberships[name] = _membership(name, incarnation)
             self.is_alive[name] = True
 
@@ -77,8 +77,8 @@
         """Only a heartbeat increases a counter, so a message merged again has no effect."""
         for membership in self.memberships.values():
             for member in membership.alive(self.now_s):
-                assert member.heartbeat <= self.memberships[member.id].me.heartbeat or (
-                    member.incarnation < self.memberships[member.id].me.incarnation
+                assert member.heartbeat <= self.memberships[member.id].own_member.heartbeat or (
+                    member.incarnation < self.memberships[member.id].own_member.incarnation
                 )
 
 
@@ -90,7 +90,7 @@
 
     def test_silent_member_is_dead_although_its_entry_is_repeated(self) -> None:
         mine, other = _membership("e0"), _membership("e1")
-        members = _copy([other.me])
+        members = _copy([other.own_member])
         for second in range(8):
             mine.merge(_copy(members), float(second))
         self.assertEqual([m.id for m in mine.alive(7.0)], ["e0"])
@@ -107,7 +107,7 @@
     def test_members_with_the_same_view_agree_on_duties(self) -> None:
         memberships = [_membership(name) for name in NAMES]
         for membership in memberships:
-            membership.merge(_copy([other.me for other in memberships]), 0.0)
+            membership.merge(_copy([other.own_member for other in memberships]), 0.0)
         for number in range(50):
             chosen = [membership.has_duty(f"group/{number}", 2, 0.0) for membership in memberships]
             self.assertEqual(sum(chosen), 2)
@@ -116,7 +116,7 @@
         memberships = [_membership(name) for name in NAMES]
         memberships[0].start_leaving()
         for membership in memberships:
-            membership.merge(_copy([other.me for other in memberships]), 0.0)
+            membership.merge(_copy([other.own_member for other in memberships]), 0.0)
         chosen = [
             [membership.has_duty(f"g{n}", 2, 0.0) for membership in memberships] for n in range(20)
         ]
@@ -125,19 +125,19 @@
 
     def test_members_that_cannot_reach_the_platform_are_not_chosen_for_its_duties(self) -> None:
         memberships = [_membership(name) for name in NAMES]
-        memberships[0].set_cut_off(True)
-        memberships[1].set_cut_off(True)
+        memberships[0].set_platform_unreachable(True)
+        memberships[1].set_platform_unreachable(True)
         for membership in memberships:
-            membership.merge(_copy([other.me for other in memberships]), 0.0)
+            membership.merge(_copy([other.own_member for other in memberships]), 0.0)
         chosen = [membership.has_platform_duty("watch", 2, 0.0) for membership in memberships]
         self.assertEqual(chosen, [False, False, True, True])
 
     def test_platform_duties_are_assigned_even_if_no_member_can_reach_it(self) -> None:
         memberships = [_membership(name) for name in NAMES]
         for membership in memberships:
-            membership.set_cut_off(True)
+            membership.set_platform_unreachable(True)
         for membership in memberships:
-            membership.merge(_copy([other.me for other in memberships]), 0.0)
+            membership.merge(_copy([other.own_member for other in memberships]), 0.0)
         self.assertEqual(
             sum(membership.has_platform_duty("watch", 2, 0.0) for membership in memberships), 2
         )
--- a/yewloom/tests/test_order_counts.py
+++ b/yewloom/tests/test_order_counts.py
@@ -42,28 +42,28 @@
         return self.counts.get(ENGINE, START_MS)
 
     def test_leave_is_counted_whichever_answer_confirms_it(self) -> None:
-        for answer in (OrderAnswer.BEGUN, OrderAnswer.HOLDS):
+        for answer in (OrderAnswer.STARTED, OrderAnswer.UNCHANGED):
             left = self._after(LeaveGroup(OLD), 3, answer)
             self.assertEqual(left, KnownCount(START_MS, 4, None))
 
     def test_leave_of_another_group_is_not_counted(self) -> None:
-        left = self._after(LeaveGroup(NEW), 3, OrderAnswer.HOLDS)
+        left = self._after(LeaveGroup(NEW), 3, OrderAnswer.UNCHANGED)
         self.assertEqual(left, KnownCount(START_MS, 3, OLD))
 
     def test_order_that_has_begun_is_counted(self) -> None:
-        self.assertEqual(self._after(JOIN, 3, OrderAnswer.BEGUN), KnownCount(START_MS, 4, NEW))
+        self.assertEqual(self._after(JOIN, 3, OrderAnswer.STARTED), KnownCount(START_MS, 4, NEW))
         for order in (OpenGroup(OLD), CloseGroup(OLD), StageModel(SMALL)):
-            begun = self._after(order, None, OrderAnswer.BEGUN)
+            begun = self._after(order, None, OrderAnswer.STARTED)
             self.assertEqual(begun, KnownCount(START_MS, 4, OLD))
 
     def test_count_is_unknown_after_an_inconclusive_answer(self) -> None:
-        for answer in set(OrderAnswer) - {OrderAnswer.BEGUN, OrderAnswer.HOLDS}:
+        for answer in set(OrderAnswer) - {OrderAnswer.STARTED, OrderAnswer.UNCHANGED}:
             self.assertIsNone(self._after(JOIN, 3, answer), answer)
-        self.assertIsNone(self._after(LeaveGroup(OLD), None, OrderAnswer.HOLDS))
+        self.assertIsNone(self._after(LeaveGroup(OLD), None, OrderAnswer.UNCHANGED))
 
     def test_report_older_than_an_answer_is_ignored(self) -> None:
         self._report(3, OLD)
-        self.counts.record_answer(ENGINE, LeaveGroup(OLD), 3, OrderAnswer.HOLDS)
+        self.counts.record_answer(ENGINE, LeaveGroup(OLD), 3, OrderAnswer.UNCHANGED)
         self.assertEqual(self._report(3, OLD), KnownCount(START_MS, 4, None))
         self.assertEqual(self._report(5, NEW), KnownCount(START_MS, 5, NEW))
 
