--- a/yewloom/tests/test_peer_configurations.py
+++ b/yewloom/tests/test_peer_configurations.py
@@ -12,15 +12,15 @@
 
 from yewloom.caller_messages import Handlers
 from yewloom.caller_server import CallerServer
-from yewloom.configuration import CallerLimits, ConfigurationBook
+from yewloom.configuration import CallerLimits, ConfigurationState
 from yewloom.early_listener import listen
 from yewloom.followers import Update
 from yewloom.intake import ConfigurationIntake
 from yewloom.key_trust import KeyTrust
 from yewloom.peer_configurations import PeerConfigurations
-from yewloom.platform.records import StoreRecords
+from yewloom.platform.records import StoreRecordDecoder
 from yewloom.platforms import Listing, StoredObject
-from yewloom.tests.free_ports import free_address
+from yewloom.tests.free_ports import allocate_address
 
 LIMIT_S = 10.0
 OUTAGE_S = 8.0
@@ -49,18 +49,20 @@
     """A host's configuration, and its exchange of configurations with peers."""
 
     def __init__(self, *peers: "Host") -> None:
-        self.book = ConfigurationBook()
-        self.intake = ConfigurationIntake(StoreRecords(), self.book)
-        self.address = free_address()
+        self.configuration_state = ConfigurationState()
+        self.intake = ConfigurationIntake(StoreRecordDecoder(), self.configuration_state)
+        self.address = allocate_address()
         self._peers = peers
-        self.sharing = PeerConfigurations(self.book, self.intake, self._addresses_knowing)
+        self.sharing = PeerConfigurations(
+            self.configuration_state, self.intake, self._addresses_knowing
+        )
 
     def _addresses_knowing(self, version: int) -> list[str]:
         return [peer.address for peer in self._peers]
 
     def read(self, stored: StoredObject) -> None:
         """Read a configuration from the store."""
-        self.intake.take(
+        self.intake.apply_update(
             Update(Listing([stored], stored.version), None, trio.current_time(), False)
         )
 
@@ -72,7 +74,11 @@
 
     @property
     def _version(self) -> int:
-        return self.book.current.version if self.book.current is not None else 0
+        return (
+            self.configuration_state.current.version
+            if self.configuration_state.current is not None
+            else 0
+        )
 
     async def wait_for(self, version: int) -> None:
         """Wait until a version is the current one."""
@@ -107,12 +113,12 @@
         async def test(nursery: trio.Nursery) -> None:
             peer, host = await _start_two(nursery, _stored(1, "k1", "k2"))
             peer.read(_stored(2, "k2"))
-            host.book.note_version(2)
-            trust = KeyTrust(host.book, 5.0, 2.0, needs_proof=False)
+            host.configuration_state.record_version(2)
+            trust = KeyTrust(host.configuration_state, 5.0, 2.0, needs_proof=False)
             self.assertFalse(trust.may_accept(trio.current_time() + OUTAGE_S))
             await host.wait_for(2)
-            assert host.book.current is not None
-            self.assertEqual(set(host.book.current.customers), {"k2"})
+            assert host.configuration_state.current is not None
+            self.assertEqual(set(host.configuration_state.current.customers), {"k2"})
             self.assertTrue(trust.may_accept(trio.current_time() + OUTAGE_S))
 
         _run(test)
@@ -120,11 +126,13 @@
     def test_configuration_from_a_peer_is_not_confirmed_to_be_current(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
             peer, host = await _start_two(nursery, _stored(1, "k1"))
-            before_ms = host.book.stated_age_ms(trio.current_time())
+            before_ms = host.configuration_state.reported_age_ms(trio.current_time())
             peer.read(_stored(2, "k1"))
-            host.book.note_version(2)
+            host.configuration_state.record_version(2)
             await host.wait_for(2)
-            self.assertGreater(host.book.stated_age_ms(trio.current_time()), before_ms + 100)
+            self.assertGreater(
+                host.configuration_state.reported_age_ms(trio.current_time()), before_ms + 100
+            )
 
         _run(test)
 
@@ -136,7 +144,7 @@
                 await each.start(nursery)
             host.read(_stored(1, "k1"))
             peer.read(_stored(2, "k1"))
-            host.book.note_version(2)
+            host.configuration_state.record_version(2)
             await host.wait_for(2)
 
         _run(test)
@@ -146,8 +154,8 @@
             host = Host()
             host.read(_stored(3, "k1"))
             host.intake.apply_from_peer(_stored(2, "k1", "k2"))
-            assert host.book.current is not None
-            self.assertEqual(host.book.current.version, 3)
+            assert host.configuration_state.current is not None
+            self.assertEqual(host.configuration_state.current.version, 3)
             self.assertEqual(host.intake.latest, _stored(3, "k1"))
 
         _run(test)
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -6,23 +6,23 @@
 import unittest
 from typing import cast
 
-from yewloom.configuration import ConfigurationBook
-from yewloom.crash_parts import CrashParts
-from yewloom.crash_record import CRASHES, TELL_S, EndpointProcess
+from yewloom.configuration import ConfigurationState
+from yewloom.crash_parts import CrashDetection
+from yewloom.crash_record import CRASH_THRESHOLD, REPORT_PERIOD_S, EndpointProcess
 from yewloom.directory import EndpointDirectory
 from yewloom.endpoint_limits import EndpointLimits
-from yewloom.entry_states import LIMIT_SHARE_RETENTION_S, PeerBoard
-from yewloom.follow_duty import Standing
+from yewloom.entry_states import LIMIT_SHARE_RETENTION_S, PeerStates
+from yewloom.follow_duty import FollowStatus
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import EntryHostId, Fingerprint, HostId
 from yewloom.limit_messages import LimitMessages
-from yewloom.own_state import EntryIdentity, OwnState
+from yewloom.own_state import EntryHostProcess, OwnStateBuilder
 from yewloom.peer_intake import PeerIntake
 from yewloom.peer_reports import PeerReports
 from yewloom.schema.entry_pb2 import EntryMessage, EntryState
 from yewloom.selection import Selector
-from yewloom.stalls import MOVING_S, READ_LATE_S, StallDetector
-from yewloom.tests.entry_support import HALL, make_plain
+from yewloom.stalls import MAX_MESSAGE_DELAY_S, RECENT_EVENT_S, StallDetector
+from yewloom.tests.entry_support import DATA_CENTRE, make_plain
 
 LEADER = HostId("h")
 CRASHING_REQUEST = Fingerprint(2**64 - 1)
@@ -31,7 +31,7 @@
 class NoSelector:
     """Stands in for a selector whose endpoints have no running requests."""
 
-    def running(self) -> dict[HostId, int]:
+    def running_here(self) -> dict[HostId, int]:
         """Return no requests."""
         return {}
 
@@ -46,25 +46,29 @@
         self.urgent_changes = 0
         self.stalls = StallDetector(self._count_change)
         selector = cast(Selector, NoSelector())
-        me = EntryIdentity(EntryHostId(name), HALL, 1)
-        board = self.board = PeerBoard(me.host_id, HALL, 1)
+        me = EntryHostProcess(EntryHostId(name), DATA_CENTRE, 1)
+        peer_states = self.peer_states = PeerStates(me.host_id, DATA_CENTRE, 1)
         directory = self.directory = EndpointDirectory()
-        book, followed = ConfigurationBook(), FollowedPosition()
-        self.crashes = CrashParts(me.host_id, board.known_hosts, directory, self._count_change)
-        self.limits = EndpointLimits(me.host_id, directory, board.sharing_hosts, self._count_change)
-        self._own = OwnState(
+        configuration_state, followed = ConfigurationState(), FollowedPosition()
+        self.crashes = CrashDetection(
+            me.host_id, peer_states.known_hosts, directory, self._count_change
+        )
+        self.limits = EndpointLimits(
+            me.host_id, directory, peer_states.sharing_hosts, self._count_change
+        )
+        self._own = OwnStateBuilder(
             me,
-            book,
+            configuration_state,
             selector,
             self.stalls,
             followed,
-            lambda: Standing(True, False),
+            lambda: FollowStatus(True, False),
             [self.crashes.messages, LimitMessages(self.limits)],
         )
         reports = PeerReports(self.stalls, selector)
         self._intake = PeerIntake(
-            board,
-            book,
+            peer_states,
+            configuration_state,
             followed,
             lambda changes: None,
             reports,
@@ -90,52 +94,52 @@
 
     def setUp(self) -> None:
         self.me, self.peer = Host("me"), Host("peer")
-        self.peer.stalls.on_begin(LEADER, 0.0)
+        self.peer.stalls.on_stream_start(LEADER, 0.0)
         self.peer.stalls.on_event(LEADER, 1.0)
 
     def test_peer_reports_progress_once_it_receives_the_suspicion(self) -> None:
         self.peer.send_to(self.me, 1.1)
-        self.assertFalse(self.me.stalls.moved_since(LEADER, 0.0))
+        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 0.0))
         self.me.stalls.report_unreachable(LEADER, 1.1)
         self.me.send_to(self.peer, 1.1)
         self.assertEqual(self.peer.urgent_changes, 1)
         self.peer.send_to(self.me, 1.1)
-        self.assertTrue(self.me.stalls.moved_since(LEADER, 0.89))
+        self.assertTrue(self.me.stalls.has_progress_since(LEADER, 0.89))
 
     def test_report_is_dated_to_the_latest_progress(self) -> None:
         """The message may have been read late."""
         self.me.stalls.report_unreachable(LEADER, 1.1)
         self.me.send_to(self.peer, 1.1)
         self.peer.send_to(self.me, 1.1)
-        self.assertFalse(self.me.stalls.moved_since(LEADER, 1.0 - READ_LATE_S))
-        self.peer.send_to(self.me, 1.0 + MOVING_S + 0.1)  # No progress since.
-        self.assertFalse(self.me.stalls.moved_since(LEADER, 1.0 - READ_LATE_S))
+        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 1.0 - MAX_MESSAGE_DELAY_S))
+        self.peer.send_to(self.me, 1.0 + RECENT_EVENT_S + 0.1)  # No progress since.
+        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 1.0 - MAX_MESSAGE_DELAY_S))
 
     def test_report_that_is_read_late_is_dated_to_its_arrival(self) -> None:
         """Guards against a host that resumes after a pause and takes old reports for new ones."""
         self.me.stalls.report_unreachable(LEADER, 1.1)
         self.me.send_to(self.peer, 1.1)
         self.peer.send_to(self.me, 1.1, read_delay_s=5.0)
-        self.assertFalse(self.me.stalls.moved_since(LEADER, 1.1))
-        self.peer.stalls.report(LEADER, 1.2)
+        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 1.1))
+        self.peer.stalls.report_stalled(LEADER, 1.2)
         self.peer.send_to(self.me, 1.2, read_delay_s=5.0)
         self.assertEqual(self.me.stalls.suspected(2.1), {LEADER})
         self.assertEqual(self.me.stalls.suspected(6.2), set())
 
     def test_stream_that_waits_for_its_first_event_is_no_progress(self) -> None:
-        self.peer.stalls.on_end(LEADER)
-        self.peer.stalls.on_begin(LEADER, 1.1)
+        self.peer.stalls.on_stream_end(LEADER)
+        self.peer.stalls.on_stream_start(LEADER, 1.1)
         self.me.stalls.report_unreachable(LEADER, 1.1)
         self.me.send_to(self.peer, 1.1)
         self.assertEqual(self.peer.urgent_changes, 0)
         self.peer.send_to(self.me, 1.1)
-        self.assertFalse(self.me.stalls.moved_since(LEADER, 0.0))
+        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 0.0))
 
     def test_own_streams_show_progress_too_and_a_restart_discards_all_reports(self) -> None:
-        self.assertTrue(self.peer.stalls.moved_since(LEADER, 0.9))
-        self.me.stalls.move_by_peer(LEADER, 0.0, 1.0)
+        self.assertTrue(self.peer.stalls.has_progress_since(LEADER, 0.9))
+        self.me.stalls.on_peer_progress(LEADER, 0.0, 1.0)
         self.me.stalls.forget(LEADER)
-        self.assertFalse(self.me.stalls.moved_since(LEADER, 0.0))
+        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 0.0))
 
 
 class TestCrashes(unittest.TestCase):
@@ -146,7 +150,7 @@
 
     def _crash(self, host: Host, number: int, now_s: float = 1.0) -> None:
         process = EndpointProcess(HostId(f"e{number}"), 0)
-        host.crashes.record.note_crash(process, [CRASHING_REQUEST], now_s)
+        host.crashes.record.record_crash(process, [CRASHING_REQUEST], now_s)
 
     def _wait_s(self, host: Host, now_s: float) -> float:
         return host.crashes.quarantine.wait_s(CRASHING_REQUEST, now_s)
@@ -162,16 +166,16 @@
 
     def test_host_that_missed_all_crashes_learns_of_the_quarantine_from_any_other(self) -> None:
         """Guards against hosts that just started or were partitioned and send the request again."""
-        for number in range(CRASHES):
+        for number in range(CRASH_THRESHOLD):
             self._crash(self.me, number)
         self.me.send_to(self.peer, 1.1)
-        late_s = 1.1 + 2 * TELL_S
+        late_s = 1.1 + 2 * REPORT_PERIOD_S
         self.peer.send_to(self.third, late_s)
         held_s = self._wait_s(self.me, late_s)
         self.assertAlmostEqual(self._wait_s(self.third, late_s), held_s, delta=0.01)
 
     def test_lifted_quarantine_is_lifted_on_all_hosts(self) -> None:
-        for number in range(CRASHES):
+        for number in range(CRASH_THRESHOLD):
             self._crash(self.me, number)
         self.me.send_to(self.peer, 1.1)
         self.peer.crashes.quarantine.lift(CRASHING_REQUEST)
@@ -179,12 +183,12 @@
         self.assertEqual(self._wait_s(self.me, 1.2), 0.0)
 
     def test_answered_request_is_cleared_on_all_hosts(self) -> None:
-        for number in range(CRASHES - 1):
+        for number in range(CRASH_THRESHOLD - 1):
             self._crash(self.me, number)
         self.me.send_to(self.peer, 1.1)
-        self.peer.crashes.record.note_answer(CRASHING_REQUEST, 2.0)
+        self.peer.crashes.record.record_answer(CRASHING_REQUEST, 2.0)
         self.peer.send_to(self.me, 2.1)
-        self._crash(self.me, CRASHES, 3.0)
+        self._crash(self.me, CRASH_THRESHOLD, 3.0)
         self.assertEqual(self._wait_s(self.me, 3.0), 0.0)
 
     def test_host_without_crashes_sends_no_crash_fields(self) -> None:
@@ -202,15 +206,15 @@
             host.directory.put(self.endpoint)
 
     def test_limit_announced_to_one_host_applies_on_the_others(self) -> None:
-        self.me.limits.note(self.endpoint.id, 1.0, 1.0)
+        self.me.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
         self.assertEqual(self.me.urgent_changes, 1)
         self.me.send_to(self.peer, 1.1)
         self.assertGreater(self.peer.limits.wait_s(self.endpoint, 1.1), 0.0)
 
     def test_removal_of_a_limit_applies_on_the_others(self) -> None:
-        self.me.limits.note(self.endpoint.id, 1.0, 1.0)
+        self.me.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
         self.me.send_to(self.peer, 1.1)
-        self.me.limits.note(self.endpoint.id, None, 2.0)
+        self.me.limits.apply_announced(self.endpoint.id, None, 2.0)
         self.me.send_to(self.peer, 2.1)
         self.assertEqual(self.peer.limits.wait_s(self.endpoint, 2.1), 0.0)
 
@@ -218,7 +222,7 @@
         hosts = [Host(f"h{number}") for number in range(8)]
         for host in hosts:
             host.directory.put(self.endpoint)
-            host.limits.note(self.endpoint.id, 1.0, 1.0)
+            host.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
         for source in hosts:
             for target in hosts:
                 source.send_to(target, 1.1)
@@ -228,6 +232,6 @@
     def test_silent_host_keeps_its_share_of_a_limit_for_a_time(self) -> None:
         """Guards against each side of a network partition using the whole limit."""
         self.me.send_to(self.peer, 1.0)
-        self.peer.board.drop_silent(10.0)
-        self.assertEqual(len(self.peer.board.sharing_hosts(10.0)), 2)
-        self.assertEqual(len(self.peer.board.sharing_hosts(1.0 + LIMIT_SHARE_RETENTION_S)), 1)
+        self.peer.peer_states.drop_expired(10.0)
+        self.assertEqual(len(self.peer.peer_states.sharing_hosts(10.0)), 2)
+        self.assertEqual(len(self.peer.peer_states.sharing_hosts(1.0 + LIMIT_SHARE_RETENTION_S)), 1)
--- a/yewloom/tests/test_peer_turns.py
+++ b/yewloom/tests/test_peer_turns.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Container, Sequence
 
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.ids import DataCentreId, EntryHostId, HostId
 from yewloom.peer_turns import (
     MIN_NEAR_RECIPIENTS,
@@ -14,7 +14,7 @@
     PeerTurns,
 )
 from yewloom.schema.entry_pb2 import EndpointLoad, EntryState
-from yewloom.tests.entry_support import HALL
+from yewloom.tests.entry_support import DATA_CENTRE
 
 
 def _hosts(name: str, count: int) -> list[EntryHostId]:
@@ -71,10 +71,10 @@
 
     def _loads_seen(self, near: int, remote: int) -> set[int]:
         """Return the loads seen by a near and a remote peer while every second message is lost."""
-        me, peers = EntryHostId("me"), (_hosts("near", near), _hosts("remote", remote))
+        own_id, peers = EntryHostId("me"), (_hosts("near", near), _hosts("remote", remote))
         boards = {
-            peers[0][-1]: PeerBoard(EntryHostId("near"), HALL),
-            peers[1][-1]: PeerBoard(EntryHostId("remote"), DataCentreId("elsewhere")),
+            peers[0][-1]: PeerStates(EntryHostId("near"), DATA_CENTRE),
+            peers[1][-1]: PeerStates(EntryHostId("remote"), DataCentreId("elsewhere")),
         }
         turns, sent, seen = PeerTurns(), dict.fromkeys(boards, 0), set[int]()
         for step in range(int(6 * REMOTE_ROUND_S / SEND_INTERVAL_S)):
@@ -84,14 +84,14 @@
                     continue
                 sent[turn.peer] += 1
                 if sent[turn.peer] % 2:
-                    state = EntryState(host_id=me, data_centre=HALL, sequence=step + 1)
+                    state = EntryState(host_id=own_id, data_centre=DATA_CENTRE, sequence=step + 1)
                     state.loads.append(EndpointLoad(endpoint="a", running=5))
                     state.interval_ms = round(turn.interval_s * 1000)
-                    boards[turn.peer].take(state, now_s)
-            for peer, board in boards.items():
-                board.drop_silent(now_s)
+                    boards[turn.peer].update(state, now_s)
+            for peer, peer_states in boards.items():
+                peer_states.drop_expired(now_s)
                 if sent[peer]:
-                    seen.add(board.running(HostId("a")))
+                    seen.add(peer_states.running(HostId("a")))
         return seen
 
     def test_load_of_a_live_peer_is_always_counted_at_any_size(self) -> None:
--- a/yewloom/tests/test_placement.py
+++ b/yewloom/tests/test_placement.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from yewloom.drafts import PlacementError, Plan, check_placement
+from yewloom.drafts import PlacementError, PlacementPlan, check_placement
 from yewloom.fleet import Fleet
 from yewloom.formation import choose_members
 from yewloom.groups import HostObservation
 from yewloom.ids import AttemptId, DataCentreId, EntryHostId, GroupId, HostId, PolicyName
 from yewloom.orders import DueOrder, due_orders
-from yewloom.placement import FleetState, PlacementTiming, Planner
+from yewloom.placement import FleetState, PlacementPlanner, PlacementTiming
 from yewloom.schema.records_pb2 import Group, GroupMember, Host, HostReport, Placement
 from yewloom.schema.table_pb2 import DowntimePlacement, PolicyRow, StrandedPlacement
 from yewloom.states import EngineState, GroupIntent, HostState
@@ -65,11 +65,11 @@
 
     name: str
     fleet: Fleet = field(default_factory=lambda: Fleet(FRESHNESS_S, GIVE_UP_S))
-    planner: Planner = field(init=False)
-    pending: tuple[Plan, int] | None = None
+    planner: PlacementPlanner = field(init=False)
+    pending: tuple[PlacementPlan, int] | None = None
 
     def __post_init__(self) -> None:
-        self.planner = Planner(EntryHostId(self.name), TIMING)
+        self.planner = PlacementPlanner(EntryHostId(self.name), TIMING)
 
 
 class PlacementMachine(RuleBasedStateMachine):
@@ -127,7 +127,7 @@
             else:
                 fleet.on_host_failed(name, self.now_s)
         for _, group in list(fleet.groups()):
-            fleet.sum_up(group, self.now_s)
+            fleet.aggregate_probes(group, self.now_s)
 
     @rule(index=st.integers(0, 1))
     def probe_all(self, index: int) -> None:
@@ -250,7 +250,7 @@
         self.policy: PolicyRow | None = policy
         self.engines = {HostId(host.id): _Engine(host) for host in hosts}
         self.fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
-        self.planner = Planner(EntryHostId("e"), TIMING)
+        self.planner = PlacementPlanner(EntryHostId("e"), TIMING)
         self.record = Placement(data_centre=DATA_CENTRE)
         self.now_s = 0.0
         self.reasons: list[str] = []
@@ -284,7 +284,7 @@
             else:
                 self.fleet.on_host_failed(name, self.now_s)
         for _, group in list(self.fleet.groups()):
-            self.fleet.sum_up(group, self.now_s)
+            self.fleet.aggregate_probes(group, self.now_s)
 
     def _state(self) -> FleetState:
         return FleetState(
@@ -295,7 +295,7 @@
         )
 
 
-class TestPlanner(unittest.TestCase):
+class TestPlacementPlanner(unittest.TestCase):
     """The life cycle of groups in individual scenarios."""
 
     def _harness(self, count: int, policy: PolicyRow, domains: int = 1) -> _Harness:
@@ -452,12 +452,12 @@
 def _answer_probe(fleet: Fleet, group: Group, answered_s: float) -> None:
     report = HostReport(host_id="h0", state=EngineState.READY.value, group_id="g", generation=1)
     fleet.on_host_answered(HostId("h0"), report, answered_s)
-    fleet.sum_up(group, answered_s)
+    fleet.aggregate_probes(group, answered_s)
 
 
 def _fail_probe(fleet: Fleet, group: Group, now_s: float) -> None:
     fleet.on_host_failed(HostId("h0"), now_s)
-    fleet.sum_up(group, now_s)
+    fleet.aggregate_probes(group, now_s)
 
 
 class TestObservation(unittest.TestCase):
@@ -476,7 +476,7 @@
         peer.apply_placement(fleet.placement(DATA_CENTRE))
         report = HostReport(host_id="h0", state=EngineState.READY.value, group_id="g", generation=1)
         peer.on_host_answered(HostId("h0"), report, 0.0)
-        peer.sum_up(group, 0.0)
+        peer.aggregate_probes(group, 0.0)
         fleet.merge_groups(peer.group_reports(1.5), asked_s=1.0)
         self.assertTrue(fleet.is_open(group, 1.4))
         self.assertFalse(fleet.is_open(group, 2.1))
@@ -541,7 +541,7 @@
         # Sent before the pause; the answers remain unread until the time-outs have passed.
         for asked_s in (0.1, 0.5):
             fleet.on_host_failed(HostId("h0"), asked_s)
-        fleet.sum_up(group, 0.5 + GIVE_UP_S)
+        fleet.aggregate_probes(group, 0.5 + GIVE_UP_S)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
 
     def test_failed_call_closes_a_group_until_it_is_seen_again(self) -> None:
--- a/yewloom/tests/test_planned_stop.py
+++ b/yewloom/tests/test_planned_stop.py
@@ -20,7 +20,7 @@
     STOP_MARGIN_S,
     PlannedStop,
 )
-from yewloom.route_durations import KEPT, LEAST, RouteDurations
+from yewloom.route_durations import MAX_SAMPLES, MIN_SAMPLES, RouteDurations
 from yewloom.tests.caller_support import PLAIN, STREAM, Caller, Server, request_bytes
 
 ROUTE = RouteName("r")
@@ -31,41 +31,43 @@
 
     def test_requests_are_accepted_during_deregistration_and_then_finish(self) -> None:
         stop = PlannedStop(grace_s=8.0)
-        self.assertFalse(stop.is_begun)
+        self.assertFalse(stop.has_begun)
         stop.begin(100.0)
         self.assertEqual(stop.stops_accepting_s, 100.0 + DEREGISTRATION_DELAY_S)
-        self.assertEqual(stop.ends_s, 108.0 - STOP_MARGIN_S)
+        self.assertEqual(stop.finish_by_s, 108.0 - STOP_MARGIN_S)
 
     def test_a_short_grace_leaves_time_for_requests_to_finish(self) -> None:
         for grace_s in (0.0, 0.3, 1.0, 2.0, 4.0):
             stop = PlannedStop(grace_s)
             stop.begin(0.0)
             self.assertLessEqual(stop.stops_accepting_s, grace_s / 2)
-            self.assertLessEqual(stop.ends_s, max(0.0, grace_s - STOP_MARGIN_S))
+            self.assertLessEqual(stop.finish_by_s, max(0.0, grace_s - STOP_MARGIN_S))
 
     def test_a_second_signal_does_not_lengthen_the_stop(self) -> None:
         stop = PlannedStop(grace_s=8.0)
         stop.begin(1.0)
-        times_s = (stop.stops_accepting_s, stop.ends_s)
+        times_s = (stop.stops_accepting_s, stop.finish_by_s)
         stop.begin(3.0)
-        self.assertEqual((stop.stops_accepting_s, stop.ends_s), times_s)
+        self.assertEqual((stop.stops_accepting_s, stop.finish_by_s), times_s)
 
     def test_a_late_start_does_not_lengthen_the_stop(self) -> None:
         stop = PlannedStop(grace_s=8.0)
         stop.begin(requested_s=10.0)
-        self.assertEqual(stop.ends_s, 18.0 - STOP_MARGIN_S)
+        self.assertEqual(stop.finish_by_s, 18.0 - STOP_MARGIN_S)
 
     def test_a_signal_noticed_late_shortens_only_the_deregistration_delay(self) -> None:
         stop = PlannedStop(grace_s=8.0)
         stop.begin(requested_s=10.0, unnoticed_s=1.5)
         self.assertEqual(stop.stops_accepting_s, 8.5 + DEREGISTRATION_DELAY_S)
-        self.assertEqual(stop.ends_s, 18.0 - STOP_MARGIN_S)
+        self.assertEqual(stop.finish_by_s, 18.0 - STOP_MARGIN_S)
 
     def test_many_open_requests_are_cut_off_earlier(self) -> None:
         stop = PlannedStop(grace_s=8.0)
         stop.begin(0.0)
-        self.assertEqual(stop.cut_off_s(open_requests=0), stop.ends_s)
-        self.assertAlmostEqual(stop.cut_off_s(50), stop.ends_s - 50 * CUT_OFF_TIME_PER_REQUEST_S)
+        self.assertEqual(stop.cut_off_s(open_requests=0), stop.finish_by_s)
+        self.assertAlmostEqual(
+            stop.cut_off_s(50), stop.finish_by_s - 50 * CUT_OFF_TIME_PER_REQUEST_S
+        )
 
     def test_no_work_is_cut_off_before_the_last_sixth_of_the_grace(self) -> None:
         """Guards against losing streams in a stop of a busy or late-scheduled host."""
@@ -74,11 +76,11 @@
         ):
             stop = PlannedStop(grace_s)
             stop.begin(100.0)
-            usual_s = stop.ends_s
+            usual_s = stop.finish_by_s
             stop.add_delay(late_s)
             min_s = min(100.0 + grace_s * 5 / 6, usual_s)
             self.assertGreaterEqual(stop.cut_off_s(open_requests), min_s - 1e-9)
-            self.assertLessEqual(stop.cut_off_s(open_requests), stop.ends_s)
+            self.assertLessEqual(stop.cut_off_s(open_requests), stop.finish_by_s)
         stop = PlannedStop(grace_s=8.0)
         stop.begin(0.0)
         self.assertAlmostEqual(stop.cut_off_s(100_000), 8.0 * 5 / 6)
@@ -87,12 +89,12 @@
         stop = PlannedStop(grace_s=8.0)
         stop.add_delay(0.5)
         stop.begin(0.0)
-        usual_s = (stop.ends_s, stop.exit_s)
+        usual_s = (stop.finish_by_s, stop.exit_s)
         stop.add_delay(0.01)
-        self.assertEqual((stop.ends_s, stop.exit_s), usual_s)
+        self.assertEqual((stop.finish_by_s, stop.exit_s), usual_s)
         stop.add_delay(0.5)
         self.assertLessEqual(stop.exit_s, 8.0 - 2 * 0.5)
-        self.assertEqual(stop.exit_s - stop.ends_s, usual_s[1] - usual_s[0])
+        self.assertEqual(stop.exit_s - stop.finish_by_s, usual_s[1] - usual_s[0])
         stop.add_delay(60.0)
         self.assertEqual(stop.exit_s, 8.0 - MAX_EXIT_MARGIN_S)
         stop.add_delay(0.0)
@@ -102,8 +104,8 @@
         stop = PlannedStop(grace_s=8.0)
         self.assertTrue(stop.has_time_for(1000.0, 0.0))
         stop.begin(0.0)
-        self.assertTrue(stop.has_time_for(1.0, stop.ends_s - 1.1))
-        self.assertFalse(stop.has_time_for(1.0, stop.ends_s - 0.9))
+        self.assertTrue(stop.has_time_for(1.0, stop.finish_by_s - 1.1))
+        self.assertFalse(stop.has_time_for(1.0, stop.finish_by_s - 0.9))
 
 
 class TestRouteDurations(unittest.TestCase):
@@ -111,20 +113,20 @@
 
     def test_too_few_samples_give_no_estimate(self) -> None:
         durations = RouteDurations()
-        for _ in range(LEAST - 1):
-            durations.note(ROUTE, 5.0)
-        self.assertEqual(durations.usual_s(ROUTE), 0.0)
-        durations.note(ROUTE, 5.0)
-        self.assertEqual(durations.usual_s(ROUTE), 5.0)
+        for _ in range(MIN_SAMPLES - 1):
+            durations.record(ROUTE, 5.0)
+        self.assertEqual(durations.median_s(ROUTE), 0.0)
+        durations.record(ROUTE, 5.0)
+        self.assertEqual(durations.median_s(ROUTE), 5.0)
 
     def test_an_outlier_changes_nothing_and_old_samples_are_forgotten(self) -> None:
         durations = RouteDurations()
-        for took_s in [1.0] * LEAST + [60.0]:
-            durations.note(ROUTE, took_s)
-        self.assertEqual(durations.usual_s(ROUTE), 1.0)
-        for _ in range(KEPT):
-            durations.note(ROUTE, 2.0)
-        self.assertEqual(durations.usual_s(ROUTE), 2.0)
+        for took_s in [1.0] * MIN_SAMPLES + [60.0]:
+            durations.record(ROUTE, took_s)
+        self.assertEqual(durations.median_s(ROUTE), 1.0)
+        for _ in range(MAX_SAMPLES):
+            durations.record(ROUTE, 2.0)
+        self.assertEqual(durations.median_s(ROUTE), 2.0)
 
 
 class Step(Enum):
@@ -177,7 +179,7 @@
             case Step.END_STREAMS:
                 self._server.may_end.set()
             case Step.BEGIN_STOP:
-                self._server.activity.start_leaving()
+                self._server.activity.begin_stop()
             case Step.DEREGISTRATION_OVER:
                 self.close()
             case Step.GRACE_OVER:
@@ -194,7 +196,7 @@
 
     def close(self) -> None:
         """Make the server reject further requests."""
-        self._server.stop_taking()
+        self._server.stop_accepting()
         if self.accepted_at_close is None:
             self.accepted_at_close = len(self._server.accepted_paths)
 
@@ -251,7 +253,7 @@
         self, server: Server, simulation: Simulation, simulated: SimulatedCaller
     ) -> None:
         """Check that a caller that stayed has a response to each accepted request."""
-        answers = await simulated.caller.answers(may_be_cut=simulation.is_over)
+        answers = await simulated.caller.responses(allow_truncated=simulation.is_over)
         own = {simulated.path(PLAIN), simulated.path(STREAM)}
         accepted_paths = [path for path in server.accepted_paths if path in own]
         served = [body for status, body in answers if status == 200]
--- a/yewloom/tests/test_platform_adapter.py
+++ b/yewloom/tests/test_platform_adapter.py
@@ -12,15 +12,15 @@
 from hypothesis import strategies as st
 from result import Err
 
-from yewloom.caller_headers import HeaderError, NamedLimit, Sending
+from yewloom.caller_headers import AnnouncedLimit, ForwardingMetadata, HeaderError
 from yewloom.directory import GroupKey, MemberState
-from yewloom.endpoint_calls import AnswerHead
-from yewloom.http_calls import HttpAnswer, HttpCaller, HttpCallError, HttpFailure
+from yewloom.endpoint_calls import ResponseHead
+from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure, HttpResponse
 from yewloom.ids import CustomerId, GroupId, HostId, ModelName
-from yewloom.platform.engines import HttpEngineOrders, order_fields
-from yewloom.platform.headers import WireHeaders
-from yewloom.platform.records import StoreRecords
-from yewloom.platform.store import ObjectStore
+from yewloom.platform.engines import HttpEngineClient, order_fields
+from yewloom.platform.headers import HttpHeaderCodec
+from yewloom.platform.records import StoreRecordDecoder
+from yewloom.platform.store import StoreClient
 from yewloom.platforms import PlatformFailure, StoredObject
 from yewloom.replica_orders import CloseGroup, EngineReport, JoinGroup, OrderAnswer, StageModel
 from yewloom.routes import RouteKind
@@ -92,7 +92,7 @@
     """Decoding of configurations and endpoints."""
 
     def setUp(self) -> None:
-        self.records = StoreRecords()
+        self.records = StoreRecordDecoder()
 
     def test_a_configuration_is_decoded(self) -> None:
         found = self.records.decode_configuration(_stored_object("config", "main", CONFIGURATION))
@@ -168,20 +168,24 @@
     """Translation of the headers of requests and answers."""
 
     def setUp(self) -> None:
-        self.codec = WireHeaders()
+        self.codec = HttpHeaderCodec()
 
     def test_a_request_is_decoded(self) -> None:
-        marks = self.codec.decode_request(REQUEST)
-        self.assertEqual((marks.request_id, marks.host, marks.api_key), ("abc", "x.example", "k1"))
-        self.assertEqual((marks.deadline_ms, marks.model, marks.last_event_id), (900, "m", 12))
+        metadata = self.codec.decode_request(REQUEST)
+        self.assertEqual(
+            (metadata.request_id, metadata.host, metadata.api_key), ("abc", "x.example", "k1")
+        )
+        self.assertEqual(
+            (metadata.deadline_ms, metadata.model, metadata.last_event_id), (900, "m", 12)
+        )
 
     def test_an_invalid_number_is_an_error(self) -> None:
         with self.assertRaises(HeaderError):
             self.codec.decode_request([(b"yewloom-deadline-ms", b"soon")])
 
     def test_the_api_key_and_forged_headers_are_not_forwarded(self) -> None:
-        sending = Sending(HostId("i1"), CustomerId("hotel"), 700, last_event_id=15)
-        sent = self.codec.outgoing_headers(REQUEST, sending)
+        sending = ForwardingMetadata(HostId("i1"), CustomerId("hotel"), 700, last_event_id=15)
+        sent = self.codec.request_headers(REQUEST, sending)
         names = [name for name, _ in sent]
         self.assertEqual(len(names), len(set(names)))
         found = dict(sent)
@@ -196,21 +200,23 @@
         self.assertEqual(found[b"yewloom-request-id"], b"abc")
 
     def test_without_a_customer_a_forged_customer_header_is_dropped(self) -> None:
-        sent = dict(self.codec.outgoing_headers(REQUEST, Sending(HostId("i1"), None, 1, None)))
+        sent = dict(
+            self.codec.request_headers(REQUEST, ForwardingMetadata(HostId("i1"), None, 1, None))
+        )
         self.assertNotIn(b"yewloom-tenant", sent)
         self.assertEqual(sent[b"last-event-id"], b"12")
 
     def test_only_a_marked_or_misdirected_answer_means_not_run(self) -> None:
-        marked = AnswerHead(503, [(b"yewloom-not-executed", b"1")])
-        self.assertTrue(self.codec.decode_answer(marked).is_not_run)
-        self.assertTrue(self.codec.decode_answer(AnswerHead(421, [])).is_not_run)
-        self.assertFalse(self.codec.decode_answer(AnswerHead(503, [])).is_not_run)
+        marked = ResponseHead(503, [(b"yewloom-not-executed", b"1")])
+        self.assertTrue(self.codec.decode_response(marked).is_not_run)
+        self.assertTrue(self.codec.decode_response(ResponseHead(421, [])).is_not_run)
+        self.assertFalse(self.codec.decode_response(ResponseHead(503, [])).is_not_run)
 
     def test_the_limit_of_an_answer_is_decoded(self) -> None:
         for text, per_s in ((b"1", 1.0), (b"0.25", 0.25), (b"0", 0.0), (b"120.50", 120.5)):
-            head = AnswerHead(200, [(b"server-limit", text)])
-            self.assertEqual(self.codec.decode_answer(head).limit, NamedLimit(per_s))
-        self.assertEqual(self.codec.decode_answer(AnswerHead(200, [])).limit, NamedLimit())
+            head = ResponseHead(200, [(b"server-limit", text)])
+            self.assertEqual(self.codec.decode_response(head).limit, AnnouncedLimit(per_s))
+        self.assertEqual(self.codec.decode_response(ResponseHead(200, [])).limit, AnnouncedLimit())
 
     def test_an_invalid_limit_is_ignored(self) -> None:
         """An invalid text must not be taken for a limit of zero, no limit, or a negative one."""
@@ -228,28 +234,28 @@
             b"9" * 400,
         )
         for text in (*texts, b"9" * 400):
-            head = AnswerHead(200, [(b"server-limit", text)])
-            limit = self.codec.decode_answer(head).limit
-            self.assertFalse(limit.is_told)
-            self.assertTrue(limit.unreadable)
-            self.assertLess(len(limit.unreadable), 60)
+            head = ResponseHead(200, [(b"server-limit", text)])
+            limit = self.codec.decode_response(head).limit
+            self.assertFalse(limit.is_announced)
+            self.assertTrue(limit.invalid_text)
+            self.assertLess(len(limit.invalid_text), 60)
 
     def test_a_limit_of_another_process_at_the_address_is_ignored(self) -> None:
-        head = AnswerHead(421, [(b"server-limit", b"1")])
-        self.assertEqual(self.codec.decode_answer(head).limit, NamedLimit(is_told=False))
+        head = ResponseHead(421, [(b"server-limit", b"1")])
+        self.assertEqual(self.codec.decode_response(head).limit, AnnouncedLimit(is_announced=False))
 
     def test_framing_headers_are_not_forwarded(self) -> None:
-        head = AnswerHead(
+        head = ResponseHead(
             200,
             [(b"yewloom-server-stamp", b"s"), (b"transfer-encoding", b"chunked")],
         )
-        self.assertEqual(self.codec.returned_headers(head), [(b"yewloom-server-stamp", b"s")])
+        self.assertEqual(self.codec.response_headers(head), [(b"yewloom-server-stamp", b"s")])
 
 
-class _FakeCaller(HttpCaller):
+class _FakeCaller(HttpClient):
     """Answers calls from a list and records them."""
 
-    def __init__(self, *answers: HttpAnswer | HttpFailure) -> None:
+    def __init__(self, *answers: HttpResponse | HttpFailure) -> None:
         super().__init__(1.0)
         self.answers = list(answers)
         self.calls: list[tuple[str, str, Any]] = []
@@ -262,8 +268,8 @@
         timeout_s: float,
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
-        fresh: bool = False,
-    ) -> HttpAnswer:
+        new_connection: bool = False,
+    ) -> HttpResponse:
         self.calls.append((method, url, json.loads(body) if body else None))
         await trio.sleep(self.pause_s)
         answer = self.answers.pop(0)
@@ -272,8 +278,8 @@
         return answer
 
 
-def _json(status: int, fields: Any) -> HttpAnswer:
-    return HttpAnswer(status, {}, json.dumps(fields).encode())
+def _json(status: int, fields: Any) -> HttpResponse:
+    return HttpResponse(status, {}, json.dumps(fields).encode())
 
 
 def _object(name: str, revision: int, spec: Any = None) -> Any:
@@ -288,7 +294,7 @@
             _json(200, {"items": [_object("a", 1)], "morePages": True, "storeRevision": 5}),
             _json(200, {"items": [_object("b", 2)], "morePages": False, "storeRevision": 9}),
         )
-        listing = run_on_mock_clock(lambda: ObjectStore(caller, "s:1", 1.0, RNG).list("k")).unwrap()
+        listing = run_on_mock_clock(lambda: StoreClient(caller, "s:1", 1.0, RNG).list("k")).unwrap()
         self.assertEqual([stored.key for stored in listing.objects], ["k/a", "k/b"])
         self.assertEqual(listing.position, 5)
         self.assertIn("sinceRev=a", caller.calls[1][1])
@@ -303,7 +309,7 @@
         ]
         caller = _FakeCaller(_json(200, {"events": events, "storeRevision": 10}))
         listing = run_on_mock_clock(
-            lambda: ObjectStore(caller, "s:1", 1.0, RNG).watch("k", 5)
+            lambda: StoreClient(caller, "s:1", 1.0, RNG).watch("k", 5)
         ).unwrap()
         self.assertEqual([(s.key, s.version, s.value) for s in listing.objects], [("k/a", 8, "2")])
         self.assertEqual(sorted(listing.removed), ["k/b", "k/c"])
@@ -312,8 +318,8 @@
         async def watch(pause_s: float) -> float:
             caller = _FakeCaller(_json(200, {"events": [], "storeRevision": 10}))
             caller.pause_s = pause_s
-            store = ObjectStore(caller, "s:1", 1.0, RNG, watch_s=1.0)
-            return (await store.watch("k", 5)).unwrap().proved_after_s
+            store = StoreClient(caller, "s:1", 1.0, RNG, watch_s=1.0)
+            return (await store.watch("k", 5)).unwrap().confirmed_after_s
 
         self.assertGreaterEqual(run_on_mock_clock(lambda: watch(1.0)), 0.75)
         self.assertEqual(run_on_mock_clock(lambda: watch(0.5)), 0.0)
@@ -324,29 +330,29 @@
         async def watch(late_s: float) -> float:
             caller = _FakeCaller(_json(200, {"events": [], "storeRevision": 10}))
             caller.pause_s = 3.0
-            store = ObjectStore(caller, "s:1", 1.0, RNG, watch_s=1.0, late_s=lambda: late_s)
-            return (await store.watch("k", 5)).unwrap().proved_after_s
+            store = StoreClient(caller, "s:1", 1.0, RNG, watch_s=1.0, loop_delay_s=lambda: late_s)
+            return (await store.watch("k", 5)).unwrap().confirmed_after_s
 
         self.assertGreaterEqual(run_on_mock_clock(lambda: watch(1.5)), 0.75)
         self.assertEqual(run_on_mock_clock(lambda: watch(2.5)), 0.0)
 
     def test_the_first_write_creates_and_later_ones_state_the_revision(self) -> None:
         caller = _FakeCaller(_json(201, _object("a", 4)), _json(200, _object("a", 6)))
-        store = ObjectStore(caller, "s:1", 1.0, RNG)
+        store = StoreClient(caller, "s:1", 1.0, RNG)
         self.assertEqual(run_on_mock_clock(lambda: store.update("k/a", "{}", 0)).unwrap(), 4)
         self.assertEqual(run_on_mock_clock(lambda: store.update("k/a", "{}", 4)).unwrap(), 6)
         self.assertEqual([call[0] for call in caller.calls], ["POST", "PUT"])
         self.assertEqual(caller.calls[1][2]["metadata"]["revision"], 4)
 
     def test_on_call_gets_the_kind_and_status_of_each_call(self) -> None:
-        answers: list[HttpAnswer | HttpFailure] = [
+        answers: list[HttpResponse | HttpFailure] = [
             _json(200, {"items": [], "storeRevision": 5}),
             HttpFailure.NOT_SENT,
         ]
         answers += [_json(200, {"events": [], "storeRevision": 5}), _json(409, {})]
         caller, calls = _FakeCaller(*answers, _json(404, {})), list[tuple[str, str, str]]()
-        store = ObjectStore(caller, "s:1", 1.0, RNG, on_call=lambda *call: calls.append(call))
-        stale = ObjectStore(
+        store = StoreClient(caller, "s:1", 1.0, RNG, on_call=lambda *call: calls.append(call))
+        stale = StoreClient(
             caller, "s:1", 1.0, RNG, allows_stale=True, on_call=lambda *call: calls.append(call)
         )
 
@@ -380,8 +386,8 @@
         self.assertIs(self._failure(HttpFailure.MAYBE_SENT), PlatformFailure.AMBIGUOUS)
         self.assertIs(self._failure(HttpFailure.TIMED_OUT), PlatformFailure.AMBIGUOUS)
 
-    def _failure(self, answer: HttpAnswer | HttpFailure) -> PlatformFailure:
-        store = ObjectStore(_FakeCaller(answer), "s:1", 1.0, RNG)
+    def _failure(self, answer: HttpResponse | HttpFailure) -> PlatformFailure:
+        store = StoreClient(_FakeCaller(answer), "s:1", 1.0, RNG)
         match run_on_mock_clock(lambda: store.update("k/a", "{}", 3)):
             case Err(error):
                 return error.failure
@@ -402,39 +408,39 @@
         self.assertEqual(order_fields(StageModel(ModelName("m"))), {"op": "phase", "model": "m"})
 
     def test_answers_are_decoded(self) -> None:
-        pairs: list[tuple[HttpAnswer | HttpFailure, OrderAnswer]] = [
-            (_json(202, {}), OrderAnswer.BEGUN),
-            (_json(200, {}), OrderAnswer.HOLDS),
-            (_json(409, {}), OrderAnswer.OUT_OF_DATE),
-            (_json(412, {}), OrderAnswer.OUT_OF_DATE),
-            (_json(421, {}), OrderAnswer.OTHER_ENGINE),
+        pairs: list[tuple[HttpResponse | HttpFailure, OrderAnswer]] = [
+            (_json(202, {}), OrderAnswer.STARTED),
+            (_json(200, {}), OrderAnswer.UNCHANGED),
+            (_json(409, {}), OrderAnswer.REFUSED),
+            (_json(412, {}), OrderAnswer.REFUSED),
+            (_json(421, {}), OrderAnswer.WRONG_ENGINE),
             (_json(500, {}), OrderAnswer.UNKNOWN),
             (HttpFailure.NOT_SENT, OrderAnswer.UNREACHABLE),
             (HttpFailure.TIMED_OUT, OrderAnswer.UNKNOWN),
         ]
         for answer, expected in pairs:
             caller = _FakeCaller(answer)
-            orders = HttpEngineOrders(caller)
+            orders = HttpEngineClient(caller)
             send = partial(orders.send, HostId("i"), "i:1", StageModel(ModelName("m")), 6)
             found = run_on_mock_clock(send)
             self.assertIs(found, expected)
             self.assertEqual(caller.calls[0][2]["expectedRev"], 6)
 
     def test_a_missing_or_invalid_report_is_none(self) -> None:
-        answers: list[HttpAnswer | HttpFailure] = [
+        answers: list[HttpResponse | HttpFailure] = [
             HttpFailure.TIMED_OUT,
             _json(200, {"sequence": 5}),
             _json(200, {"sequence": 6, "born": 1_790_000_000_000}),
             _json(200, {"sequence": 6, "born": "yesterday"}),
             _json(200, []),
         ]
-        orders = HttpEngineOrders(_FakeCaller(*answers))
+        orders = HttpEngineClient(_FakeCaller(*answers))
         found = [run_on_mock_clock(lambda: orders.read_report("i:1")) for _ in answers]
         known = EngineReport(6, 1_790_000_000_000)
         self.assertEqual(found, [None, EngineReport(5), known, None, None])
 
     def test_the_start_time_of_an_endpoint_is_decoded(self) -> None:
-        records = StoreRecords()
+        records = StoreRecordDecoder()
         for born, expected in ((None, 0), (1_790_000_000_000, 1_790_000_000_000)):
             stored = _stored_object("servers", "i1", ENDPOINT | {"born": born})
             self.assertEqual(records.decode_endpoint(stored).started_unix_ms, expected)
--- a/yewloom/tests/test_processes.py
+++ b/yewloom/tests/test_processes.py
@@ -10,7 +10,7 @@
 import openai
 
 from yewloom.standins.engine import expected_tokens
-from yewloom.tests.free_ports import free_port
+from yewloom.tests.free_ports import allocate_port
 from yewloom.tests.processes import CUSTOMER_KEY, MODEL, Fleet, call, wait_for
 
 IN_PROGRESS_PIECES = 10
@@ -290,7 +290,7 @@
         wait_for(lambda: self._share("e1"), "the granted share")
         fleet.control("platform", outage=True)
         fleet.kill("e2")
-        fleet.start_entry("e4", "a", free_port())
+        fleet.start_entry("e4", "a", allocate_port())
         wait_for(lambda: call("GET", f"{fleet.url('e4')}/readyz").status == 200, "readiness")
         wait_for(lambda: fleet.open_groups("e4"), "open groups")
         wait_for(
--- a/yewloom/tests/test_quarantine.py
+++ b/yewloom/tests/test_quarantine.py
@@ -23,8 +23,8 @@
 )
 
 
-def _quarantine(me: EntryHostId = HOSTS[0]) -> Quarantine:
-    return Quarantine(me, lambda: HOSTS)
+def _quarantine(own_id: EntryHostId = HOSTS[0]) -> Quarantine:
+    return Quarantine(own_id, lambda: HOSTS)
 
 
 class TestQuarantine(unittest.TestCase):
@@ -58,7 +58,7 @@
     def test_one_host_tries_it_once_per_interval(self) -> None:
         quarantine = Quarantine(HOSTS[0], lambda: HOSTS[:1])
         quarantine.add(F, 0.0)
-        quarantine.note_trial(F, INITIAL_HOLD_S)
+        quarantine.record_trial(F, INITIAL_HOLD_S)
         self.assertEqual(quarantine.wait_s(F, INITIAL_HOLD_S), TRIAL_INTERVAL_S)
 
     def test_a_lifted_request_is_not_quarantined_until_it_is_added_again(self) -> None:
--- a/yewloom/tests/test_quarantine_page.py
+++ b/yewloom/tests/test_quarantine_page.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.status, self.body = 0, b""
 
-    async def send_whole(self, status: int, headers: object, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: object, body: bytes) -> None:
         """Record an answer."""
         self.status, self.body = status, body
 
@@ -34,7 +34,7 @@
     def _ask(self, method: bytes, path: bytes) -> tuple[int, Any]:
         request = CallerRequest(method, path, [], b"", 0.0, 0.0, 1, None)
         reply, page = _Reply(), QuarantinePage(self.quarantine)
-        self.assertTrue(page.answers(request))
+        self.assertTrue(page.handles(request))
 
         async def main() -> None:
             self.quarantine.add(F, trio.current_time())
@@ -70,4 +70,4 @@
 
     def test_other_paths_do_not_belong_to_the_page(self) -> None:
         request = CallerRequest(b"GET", b"/metrics", [], b"", 0.0, 0.0, 1, None)
-        self.assertFalse(QuarantinePage(self.quarantine).answers(request))
+        self.assertFalse(QuarantinePage(self.quarantine).handles(request))
--- a/yewloom/tests/test_quarantine_store.py
+++ b/yewloom/tests/test_quarantine_store.py
@@ -9,13 +9,13 @@
 from yewloom.platforms import StoredObject
 from yewloom.quarantine import INITIAL_HOLD_S, Quarantine
 from yewloom.quarantine_store import (
-    KEY,
     MAX_WRITERS,
     POLL_INTERVAL_S,
     RETENTION_S,
+    STORE_KEY,
     QuarantineStore,
 )
-from yewloom.tests.support import FakePlatform, Fault, run_on_mock_clock
+from yewloom.tests.support import FakePlatform, WriteFault, run_on_mock_clock
 
 F, OTHER = Fingerprint(2**64 - 1), Fingerprint(7)
 HOSTS = [EntryHostId(f"h{number}") for number in range(9)]
@@ -102,7 +102,7 @@
             for host in HOSTS[::2]:
                 world.start(host).add(F, trio.current_time())
             await trio.sleep(SETTLED_S)
-            self.assertIn(KEY, world.platform.objects)
+            self.assertIn(STORE_KEY, world.platform.objects)
 
         run_with_world(test)
 
@@ -120,13 +120,17 @@
 
     def test_reads_and_writes_are_retried_while_the_store_is_unavailable(self) -> None:
         async def test(world: World) -> None:
-            world.platform.is_refusing = True
+            world.platform.is_unavailable = True
             quarantines = world.start_all()
             await trio.sleep(5.0)
             for quarantine in quarantines:
                 quarantine.add(F, trio.current_time())
-            world.platform.is_refusing = False
-            world.platform.faults = [Fault.REFUSE, Fault.LOSE_WRITE, Fault.LOSE_ANSWER]
+            world.platform.is_unavailable = False
+            world.platform.faults = [
+                WriteFault.REFUSE,
+                WriteFault.LOSE_WRITE,
+                WriteFault.LOSE_ANSWER,
+            ]
             await trio.sleep(3 * SETTLED_S)
             quarantine = await world.restart()
             self.assertTrue(quarantine.is_quarantined(F))
@@ -163,12 +167,12 @@
 
     def test_an_object_that_cannot_be_decoded_is_overwritten(self) -> None:
         async def test(world: World) -> None:
-            world.platform.objects[KEY] = StoredObject(KEY, 1, "[]")
+            world.platform.objects[STORE_KEY] = StoredObject(STORE_KEY, 1, "[]")
             quarantines = world.start_all()
             await trio.sleep(0.1)
             for quarantine in quarantines:
                 quarantine.add(F, trio.current_time())
             await trio.sleep(SETTLED_S)
-            self.assertIn(str(F), world.platform.objects[KEY].value)
+            self.assertIn(str(F), world.platform.objects[STORE_KEY].value)
 
         run_with_world(test)
--- a/yewloom/tests/test_reachability.py
+++ b/yewloom/tests/test_reachability.py
@@ -22,15 +22,15 @@
 )
 from yewloom.selection import EndpointRequirements
 from yewloom.tests.entry_support import (
+    DATA_CENTRE,
     ENGINES,
-    HALL,
     SMALL,
     make_configuration,
     make_selector,
     put_group,
 )
 
-DATA_CENTRES = (HALL, DataCentreId("hall-b"), DataCentreId("hall-c"))
+DATA_CENTRES = (DATA_CENTRE, DataCentreId("hall-b"), DataCentreId("hall-c"))
 CUT_OFF = DATA_CENTRES[2]
 LEADERS_PER_DATA_CENTRE = 6
 CUT_DURATION_S = 5.0
@@ -56,7 +56,7 @@
 
     def choose(self, now_s: float, tried: Container[HostId] = ()) -> Endpoint:
         """Return the endpoint that is selected for a request."""
-        chosen = self.selector.choose(REQUIREMENTS, CONFIGURATION, tried, now_s)
+        chosen = self.selector.select(REQUIREMENTS, CONFIGURATION, tried, now_s)
         assert chosen is not None
         return chosen
 
--- a/yewloom/tests/test_refused_orders.py
+++ b/yewloom/tests/test_refused_orders.py
@@ -23,7 +23,7 @@
     OrderAnswer,
     StageModel,
 )
-from yewloom.tests.engine_world import EngineWorld, Played, play
+from yewloom.tests.engine_world import CoordinatorSimulation, SimulatedEngines, run_simulation
 from yewloom.tests.entry_support import SMALL
 
 REPLACED_S = 6.0
@@ -37,16 +37,16 @@
 
     def test_join_after_a_departure_is_not_refused(self) -> None:
         """The leader's departure ends the group, so the other member is still in it at the join."""
-        world = EngineWorld()
-        world.serve("old", ["a", "b", "c"])
+        world = SimulatedEngines()
+        world.add_serving_group("old", ["a", "b", "c"])
 
-        async def test(played: Played) -> None:
+        async def test(played: CoordinatorSimulation) -> None:
             await trio.sleep(1.0)
             lost = world.engines[HostId("c")]
             lost.is_alive = lost.is_listed = False
             await trio.sleep(REPLACED_S)
 
-        play(world, test)
+        run_simulation(world, test)
         self.assertEqual(world.open_groups(), [{"a", "b"}])
         self.assertEqual(world.refused, [])
 
@@ -66,9 +66,9 @@
         """Refuse a load while another one is in progress."""
         if self.is_loading:
             self.refused_s.append(trio.current_time())
-            return OrderAnswer.OUT_OF_DATE
+            return OrderAnswer.REFUSED
         self.begun_count += 1
-        return OrderAnswer.BEGUN
+        return OrderAnswer.STARTED
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
@@ -101,10 +101,12 @@
         ends_s = trio.current_time() + for_s
         while trio.current_time() < ends_s:
             now_s = trio.current_time()
-            if LOAD.engine not in self.state.staging and not self.state.is_busy(LOAD.engine, now_s):
-                self.state.load_times_s.append(now_s)
-                self.state.staging[LOAD.engine] = Staging(SMALL, now_s)
-                delivery.give([LOAD], tasks)
+            if LOAD.engine not in self.state.loads_in_progress and not self.state.is_busy(
+                LOAD.engine, now_s
+            ):
+                self.state.recent_load_starts_s.append(now_s)
+                self.state.loads_in_progress[LOAD.engine] = Staging(SMALL, now_s)
+                delivery.send_all([LOAD], tasks)
             await trio.sleep(0.2)
 
     def test_engine_that_reports_a_load_gets_no_other_load(self) -> None:
@@ -127,7 +129,7 @@
         self._run(engine, test)
         pauses_s = [b - a for a, b in zip(engine.refused_s, engine.refused_s[1:], strict=False)]
         self.assertGreaterEqual(min(pauses_s), ORDER_REPEAT_S)
-        self.assertEqual(self.state.load_times_s, [])
+        self.assertEqual(self.state.recent_load_starts_s, [])
 
 
 class TestPauses(unittest.TestCase):
@@ -138,10 +140,10 @@
         pauses_s = []
         for _ in range(5):
             state.record_refused(LOAD, now_s)
-            pauses_s.append(state.due_s[next(iter(state.due_s))] - now_s)
+            pauses_s.append(state.next_send_s[next(iter(state.next_send_s))] - now_s)
         self.assertEqual(pauses_s, sorted(pauses_s))
         self.assertLess(pauses_s[0], pauses_s[-1])
         self.assertLessEqual(pauses_s[-1], ORDER_REPEAT_S)
         state.record_accepted(LOAD)
         state.record_refused(LOAD, now_s)
-        self.assertEqual(state.due_s[next(iter(state.due_s))] - now_s, pauses_s[0])
+        self.assertEqual(state.next_send_s[next(iter(state.next_send_s))] - now_s, pauses_s[0])
--- a/yewloom/tests/test_replica_coordinator.py
+++ b/yewloom/tests/test_replica_coordinator.py
@@ -7,7 +7,7 @@
 import trio.testing
 from result import Ok, Result
 
-from yewloom.configuration import ConfigurationBook
+from yewloom.configuration import ConfigurationState
 from yewloom.directory import EndpointDirectory
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.platform_parts import PlatformParts
@@ -54,7 +54,7 @@
     return ReplicaCoordinator(
         settings,
         cast(PlatformParts, Parts(store)),
-        ConfigurationBook(),
+        ConfigurationState(),
         EndpointDirectory(),
         StallDetector(),
         cast(Selector, None),
--- a/yewloom/tests/test_replica_machine.py
+++ b/yewloom/tests/test_replica_machine.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from yewloom.background import BackgroundTasks
-from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.directory import Endpoint, EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.ids import HostId, ModelName
 from yewloom.model_need import configured_demand
@@ -42,7 +42,14 @@
     is_complete,
     is_in_serving_group,
 )
-from yewloom.tests.entry_support import ENGINES, HALL, LARGE, SMALL, make_engine, make_profile
+from yewloom.tests.entry_support import (
+    DATA_CENTRE,
+    ENGINES,
+    LARGE,
+    SMALL,
+    make_engine,
+    make_profile,
+)
 from yewloom.weight_loads import SupplyBounds
 
 LIMITED = SupplyBounds(is_unlimited=False, max_loads=6)
@@ -90,13 +97,13 @@
         self._index = index
 
     async def send(
-        self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
+        self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
         """Execute an order now or queue it, and answer if the engine does."""
         target = self._machine.engines[engine]
         if not self._reaches(target):
             return OrderAnswer.UNREACHABLE
-        in_flight = _Order(engine, order, expected_sequence)
+        in_flight = _Order(engine, order, expected_order_count)
         if target.is_late:
             self._machine.late.append(in_flight)
             return OrderAnswer.UNKNOWN
@@ -195,7 +202,7 @@
         """Discard a coordinator's observations, as when it loses its lease."""
         coordinator = self.coordinators[index]
         coordinator.state.clear_observations()
-        coordinator.delivery.forget_sequences()
+        coordinator.delivery.clear_order_counts()
         coordinator.unsent = []
 
     @rule(index=INDEX, data=st.data(), rounds=st.integers(0, 8))
@@ -226,7 +233,7 @@
     def _plan_and_write(self, coordinator: _Coordinator) -> list[PlannedOrder]:
         demand = configured_demand(PROFILE)
         planner = ReplicaPlanner(
-            HALL, ENGINES, PROFILE, coordinator.directory, coordinator.state, LIMITED, demand
+            DATA_CENTRE, ENGINES, PROFILE, coordinator.directory, coordinator.state, LIMITED, demand
         )
         plan = planner.plan(coordinator.record, self.now_s)
         if plan.record is None:
@@ -328,7 +335,7 @@
         recorded = {m.host_id for group in self.record.groups for m in group.members}
         free = [e for e in self.engines.values() if e.is_alive and e.name not in recorded]
         for model in (LARGE, SMALL):
-            ready = [e for e in free if self._endpoint(e).is_prepared_for(model)]
+            ready = [e for e in free if self._endpoint(e).can_join_without_load(model)]
             assert len(ready) < PROFILE.models[model].group_size, (
                 f"{len(ready)} could serve {model}"
             )
@@ -356,9 +363,9 @@
         if not engine.is_alive:
             return OrderAnswer.UNREACHABLE
         if in_flight.sequence is not None and in_flight.sequence != engine.sequence:
-            return OrderAnswer.OUT_OF_DATE
+            return OrderAnswer.REFUSED
         answer = self._apply(engine, in_flight.order)
-        if answer is OrderAnswer.BEGUN:
+        if answer is OrderAnswer.STARTED:
             engine.sequence += 1
         return answer
 
@@ -370,22 +377,22 @@
                 return self._open(engine, key)
             case CloseGroup(key=key) if engine.key == key and engine.state is MemberState.OPEN:
                 engine.state = MemberState.READY
-                return OrderAnswer.BEGUN
+                return OrderAnswer.STARTED
             case LeaveGroup(key=key) if engine.key == key:
                 engine.key, engine.members = None, ()
-                return OrderAnswer.BEGUN
+                return OrderAnswer.STARTED
             case StageModel(model=model):
                 engine.staged = model
-                return OrderAnswer.BEGUN
-        return OrderAnswer.HOLDS
+                return OrderAnswer.STARTED
+        return OrderAnswer.UNCHANGED
 
     def _join(
         self, engine: _Engine, key: GroupKey, model: ModelName, members: tuple[HostId, ...]
     ) -> OrderAnswer:
         if key == engine.key:
-            return OrderAnswer.HOLDS
+            return OrderAnswer.UNCHANGED
         if engine.key is not None and key.generation < engine.key.generation:
-            return OrderAnswer.OUT_OF_DATE
+            return OrderAnswer.REFUSED
         is_held = is_in_serving_group(engine, self.engines)
         assert not is_held, f"{engine.name} was taken from a serving group"
         assert key not in engine.lost_groups, (
@@ -393,15 +400,15 @@
         )
         engine.key, engine.model, engine.members = key, model, members
         engine.state, engine.incomplete_since_s = MemberState.JOINING, None
-        return OrderAnswer.BEGUN
+        return OrderAnswer.STARTED
 
     def _open(self, engine: _Engine, key: GroupKey) -> OrderAnswer:
         if engine.key != key or engine.state is not MemberState.READY:
-            return OrderAnswer.OUT_OF_DATE
+            return OrderAnswer.REFUSED
         for member in engine.members:
             assert (key, member) in self.ready_keys, f"{member} was never ready in {key}"
         engine.state = MemberState.OPEN
-        return OrderAnswer.BEGUN
+        return OrderAnswer.STARTED
 
     def _endpoint(self, engine: _Engine) -> Endpoint:
         endpoint = make_engine(engine.name, staged=engine.staged, model=engine.model)
@@ -409,13 +416,13 @@
         if engine.key is None:
             return endpoint
         rank = engine.members.index(engine.name)
-        return replace(endpoint, membership=Membership(engine.key, rank, engine.state))
+        return replace(endpoint, membership=GroupMembership(engine.key, rank, engine.state))
 
 
 async def _deliver(delivery: OrderDelivery, orders: list[PlannedOrder]) -> None:
     """Send orders, and wait for all answers."""
     async with trio.open_nursery() as nursery:
-        delivery.give(orders, BackgroundTasks(nursery))
+        delivery.send_all(orders, BackgroundTasks(nursery))
 
 
 TestReplicaMachine = ReplicaMachine.TestCase
--- a/yewloom/tests/test_replica_plan.py
+++ b/yewloom/tests/test_replica_plan.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from yewloom.directory import EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.directory import EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.ids import GroupId, HostId, ModelName
 from yewloom.model_need import configured_demand
 from yewloom.plan_state import (
@@ -28,8 +28,8 @@
 from yewloom.schema.records_pb2 import Placement
 from yewloom.states import GroupIntent
 from yewloom.tests.entry_support import (
+    DATA_CENTRE,
     ENGINES,
-    HALL,
     LARGE,
     SMALL,
     make_engine,
@@ -47,7 +47,7 @@
     directory: EndpointDirectory, state: PlanState, bounds: SupplyBounds = UNLIMITED
 ) -> ReplicaPlanner:
     demand = configured_demand(PROFILE)
-    return ReplicaPlanner(HALL, ENGINES, PROFILE, directory, state, bounds, demand)
+    return ReplicaPlanner(DATA_CENTRE, ENGINES, PROFILE, directory, state, bounds, demand)
 
 
 def _orders_of_type(plan_orders: list[PlannedOrder], kind: type) -> list[PlannedOrder]:
@@ -81,7 +81,7 @@
         directory, state = EndpointDirectory(), PlanState()
         record = _record(directory, SMALL, ["a", "b"], MemberState.READY)
         key = GroupKey(record.groups[0].id, 1)  # type: ignore[arg-type]
-        joining = Membership(key, 1, MemberState.JOINING)
+        joining = GroupMembership(key, 1, MemberState.JOINING)
         directory.put(make_engine("b", membership=joining))
         plan = _planner(directory, state, LIMITED).plan(record, 0.0)
         self.assertEqual(_orders_of_type(plan.orders, OpenGroup), [])
@@ -103,7 +103,7 @@
         record = _record(directory, SMALL, ["a", "b"])
         directory.remove(HostId("b"))
         for now_s in (0.0, 1.0, 2.0, 3.0):
-            state.answered_s[HostId("b")] = now_s
+            state.last_answer_s[HostId("b")] = now_s
             self.assertIsNone(_planner(directory, state, LIMITED).plan(record, now_s).record)
         plan = _planner(directory, state, LIMITED).plan(record, 3.0 + UNLISTED_GRACE_S + 0.1)
         self.assertIsNotNone(plan.record)
@@ -112,7 +112,7 @@
         directory, state = EndpointDirectory(), PlanState()
         record = _record(directory, SMALL, ["a", "b"])
         directory.remove(HostId("b"))
-        state.answered_s[HostId("b")] = 5.0
+        state.last_answer_s[HostId("b")] = 5.0
         state.stalled_s[GroupKey(record.groups[0].id, 1)] = 5.0  # type: ignore[arg-type]
         self.assertIsNotNone(_planner(directory, state, LIMITED).plan(record, 5.2).record)
 
@@ -120,7 +120,7 @@
         directory, state = EndpointDirectory(), PlanState()
         record = _record(directory, SMALL, ["a", "b"])
         directory.remove(HostId("a"))
-        state.answered_s[HostId("a")] = 0.0
+        state.last_answer_s[HostId("a")] = 0.0
         self.assertIsNotNone(_planner(directory, state, LIMITED).plan(record, 0.0).record)
 
     def test_abandoned_group_keeps_its_hosts_until_its_leader_has_left(self) -> None:
@@ -273,14 +273,16 @@
         _planner(directory, state, LIMITED).plan(Placement(), 0.0)
         state.suspects.add(host)
         state.unresponsive.add(host)
-        state.staging[host] = Staging(LARGE, 0.0)
-        state.answered_s[host] = 0.0
+        state.loads_in_progress[host] = Staging(LARGE, 0.0)
+        state.last_answer_s[host] = 0.0
         _planner(directory, state, LIMITED).plan(Placement(), 0.2)
         self.assertEqual(state.suspects, {host})
         directory.put(replace(make_engine("a", staged=LARGE), started_unix_ms=9))
         _planner(directory, state, LIMITED).plan(Placement(), 0.4)
         self.assertEqual(state.suspects, set())
-        self.assertEqual((state.unresponsive, state.answered_s, state.staging), (set(), {}, {}))
+        self.assertEqual(
+            (state.unresponsive, state.last_answer_s, state.loads_in_progress), (set(), {}, {})
+        )
 
     def test_leaving_leader_ends_its_group_at_once_and_another_member_later(self) -> None:
         for leaving, ends_s in (("a", 0.0), ("b", LEAVING_SERVICE_S)):
@@ -309,9 +311,9 @@
         limit_s = LOAD_TIMEOUT_FACTOR * PROFILE.models[LARGE].load_s
         for name in ("done", "late", "loading", "lost"):
             load_began_s = -0.1 if name == "late" else 0.0
-            state.staging[HostId(name)] = Staging(LARGE, load_began_s)
+            state.loads_in_progress[HostId(name)] = Staging(LARGE, load_began_s)
         loads.drop_finished(limit_s)
-        self.assertEqual(list(state.staging), ["loading"])
+        self.assertEqual(list(state.loads_in_progress), ["loading"])
 
     def test_host_of_a_small_group_replaces_a_lost_one_without_a_load(self) -> None:
         directory, state = EndpointDirectory(), PlanState()
--- a/yewloom/tests/test_retry_window.py
+++ b/yewloom/tests/test_retry_budget.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.ids import EntryHostId
-from yewloom.retry_window import RetryBudget
-from yewloom.tests.entry_support import HALL, PLAIN
+from yewloom.retry_budget import RetryBudget
+from yewloom.tests.entry_support import DATA_CENTRE, PLAIN
 
 STEPS = st.lists(st.tuples(st.booleans(), st.floats(0, 3)), max_size=60)
 
@@ -36,10 +36,10 @@
     def test_the_shares_of_all_hosts_sum_up_to_the_extra_at_most(
         self, hosts: int, extra: float
     ) -> None:
-        board = PeerBoard(EntryHostId("h0"), HALL)
+        peer_states = PeerStates(EntryHostId("h0"), DATA_CENTRE)
         for number in range(hosts):
-            board.know(EntryHostId(f"h{number}"))
-        share = extra / board.hosts_to_share_with()
+            peer_states.add_host(EntryHostId(f"h{number}"))
+        share = extra / peer_states.sharing_host_count()
         self.assertLessEqual(share * hosts, extra * 1.000001)
 
     def test_each_service_has_its_own_budget(self) -> None:
--- a/yewloom/tests/test_routing.py
+++ b/yewloom/tests/test_routing.py
@@ -8,7 +8,13 @@
 
 from yewloom.ids import DataCentreId, GroupId, ModelName
 from yewloom.prefixes import BLOCK_CHARACTERS, MAX_EXPECTED_BLOCKS, PrefixIndex, block_hashes
-from yewloom.routing import Candidate, RouteRequest, TurnCounter, choose_group, default_routing
+from yewloom.routing import (
+    Candidate,
+    RoundRobinCounter,
+    RouteRequest,
+    choose_group,
+    default_routing,
+)
 from yewloom.schema.records_pb2 import CacheEvent
 from yewloom.schema.table_pb2 import LeastLoadRouting, RoundRobinRouting
 
@@ -25,7 +31,7 @@
 
 def _choose(policy: object, candidates: list[Candidate], avoid: str = "") -> str | None:
     request = RouteRequest(ModelName("m"), LOCAL, 4000, frozenset({GroupId(avoid)}))
-    route = choose_group(policy, request, candidates, random.Random(1), TurnCounter())  # type: ignore[arg-type]
+    route = choose_group(policy, request, candidates, random.Random(1), RoundRobinCounter())  # type: ignore[arg-type]
     return route.group_id if route is not None else None
 
 
@@ -61,7 +67,7 @@
     def test_least_load_and_round_robin_ignore_unreported_requests(self) -> None:
         candidates = [_candidate("x", load=9, own=0), _candidate("y", load=3, own=30)]
         self.assertEqual(_choose(LeastLoadRouting(), candidates), "y")
-        turns, rng = TurnCounter(), random.Random(1)
+        turns, rng = RoundRobinCounter(), random.Random(1)
         request = RouteRequest(ModelName("m"), LOCAL, 0)
         routes = [
             choose_group(RoundRobinRouting(), request, candidates, rng, turns) for _ in range(4)
@@ -72,7 +78,7 @@
     def test_the_choice_is_always_a_candidate(self, loads: list[int], seed: int) -> None:
         candidates = [_candidate(str(i), load) for i, load in enumerate(loads)]
         request = RouteRequest(ModelName("m"), LOCAL, 100)
-        route = choose_group(SCORE, request, candidates, random.Random(seed), TurnCounter())
+        route = choose_group(SCORE, request, candidates, random.Random(seed), RoundRobinCounter())
         assert route is not None
         self.assertIn(route.group_id, {c.group_id for c in candidates})
 
@@ -114,12 +120,12 @@
     def test_a_new_generation_starts_empty(self) -> None:
         index = PrefixIndex()
         index.apply(GROUP, 1, [CacheEvent(sequence=1, added=[7])], 1)
-        index.expect(GROUP, 2, [9])
+        index.add_expected_blocks(GROUP, 2, [9])
         self.assertEqual(index.matched_blocks(GROUP, [7]), 0)
         self.assertEqual(index.matched_blocks(GROUP, [9]), 1)
 
     def test_expected_blocks_are_bounded(self) -> None:
         index = PrefixIndex()
-        index.expect(GROUP, 1, range(MAX_EXPECTED_BLOCKS + 10))
+        index.add_expected_blocks(GROUP, 1, range(MAX_EXPECTED_BLOCKS + 10))
         self.assertEqual(index.matched_blocks(GROUP, [0]), 0)
         self.assertEqual(index.matched_blocks(GROUP, [MAX_EXPECTED_BLOCKS]), 1)
--- a/yewloom/tests/test_selection.py
+++ b/yewloom/tests/test_selection.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 
 from yewloom.directory import EndpointDirectory, MemberState
-from yewloom.entry_states import PeerBoard
+from yewloom.entry_states import PeerStates
 from yewloom.ids import DataCentreId, EntryHostId, HostId
 from yewloom.schema.entry_pb2 import EndpointLoad, EntryState
 from yewloom.selection import EndpointRequirements
 from yewloom.tests.entry_support import (
+    DATA_CENTRE,
     ENGINES,
-    HALL,
     LARGE,
     PLAIN,
     SMALL,
@@ -31,8 +31,8 @@
 
     def setUp(self) -> None:
         self.directory = EndpointDirectory()
-        self.board = PeerBoard(EntryHostId("me"), HALL)
-        self.selector = make_selector(self.directory, self.board)
+        self.peer_states = PeerStates(EntryHostId("me"), DATA_CENTRE)
+        self.selector = make_selector(self.directory, self.peer_states)
 
     def choose(self, *tried: str) -> str | None:
         """Select a leader of a group with the small model."""
@@ -40,7 +40,7 @@
 
     def _choose(self, requirements: EndpointRequirements, *tried: str) -> str | None:
         names = {HostId(name) for name in tried}
-        found = self.selector.choose(requirements, CONFIGURATION, names, 0.0)
+        found = self.selector.select(requirements, CONFIGURATION, names, 0.0)
         return found.id if found is not None else None
 
     def test_only_open_leaders_of_the_model_take_requests(self) -> None:
@@ -55,7 +55,7 @@
         self.directory.put(make_plain("p"))
         self.assertEqual(self._choose(EndpointRequirements(PLAIN, None)), "p")
         key = put_group(self.directory, "g", SMALL, ["a", "b"])
-        leader = self.directory.members(key)[0]
+        leader = self.directory.members_of(key)[0]
         self.directory.put(
             make_engine("a", membership=leader.membership, model=SMALL, is_leaving=True)
         )
@@ -92,7 +92,7 @@
     def test_endpoints_in_the_same_data_centre_are_preferred_until_they_are_busier(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         key = put_group(self.directory, "g2", SMALL, ["c", "d"])
-        for member in list(self.directory.members(key).values()):
+        for member in list(self.directory.members_of(key).values()):
             self.directory.put(
                 make_engine(
                     member.id,
@@ -110,18 +110,18 @@
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         loads = [EndpointLoad(endpoint="a", running=4)]
-        self.board.take(EntryState(host_id="peer", sequence=1, loads=loads), 0.0)
+        self.peer_states.update(EntryState(host_id="peer", sequence=1, loads=loads), 0.0)
         self.assertEqual(self.choose(), "c")
-        self.board.drop_silent(10.0)
+        self.peer_states.drop_expired(10.0)
         for _ in range(2):
             self.selector.begin(HostId("c"))
         self.assertEqual(self.choose(), "a")
 
     @given(st.lists(st.sampled_from("abc"), max_size=30))
     def test_counts_return_to_zero(self, names: list[str]) -> None:
-        selector = make_selector(self.directory, self.board)
+        selector = make_selector(self.directory, self.peer_states)
         for name in names:
             selector.begin(HostId(name))
         for name in names:
             selector.end(HostId(name))
-        self.assertEqual(dict(selector.running()), {})
+        self.assertEqual(dict(selector.running_here()), {})
--- a/yewloom/tests/test_shutdown.py
+++ b/yewloom/tests/test_shutdown.py
@@ -36,13 +36,13 @@
             _, request = self._open.pop(0)
             request.close()
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Close the server."""
-        self.activity.stop_taking()
+        self.activity.stop_accepting()
 
-    def end_open(self, at_most: int) -> bool:
+    def end_oldest(self, max_requests: int) -> bool:
         """Cut off some requests, and advance the clock for each."""
-        cut_off, self._open = self._open[:at_most], self._open[at_most:]
+        cut_off, self._open = self._open[:max_requests], self._open[max_requests:]
         for number, request in cut_off:
             self.ended.append(number)
             self._clock.jump(self._end_s)
@@ -51,7 +51,7 @@
 
 
 class Alarm:
-    """An alarm that records its delay, and reports a configured lateness."""
+    """An alarm that records its delay, and reports a configured delay."""
 
     delay_s = 0.0
     late_s = 0.0
--- a/yewloom/tests/test_silent_connections.py
+++ b/yewloom/tests/test_silent_connections.py
@@ -21,14 +21,14 @@
 
 import trio
 
-from yewloom.configuration import ConfigurationBook
+from yewloom.configuration import ConfigurationState
 from yewloom.followed_position import FollowedPosition
-from yewloom.followers import Follower, FollowPace
-from yewloom.http_calls import HttpCaller
+from yewloom.followers import Follower, FollowPolicy
+from yewloom.http_calls import HttpClient
 from yewloom.intake import ConfigurationIntake
 from yewloom.key_trust import KeyTrust
-from yewloom.platform.records import StoreRecords
-from yewloom.platform.store import ObjectStore
+from yewloom.platform.records import StoreRecordDecoder
+from yewloom.platform.store import StoreClient
 from yewloom.tests.entry_support import make_configuration
 from yewloom.tests.silent_network import MemoryStore, SilentNetwork
 from yewloom.tests.support import run_on_mock_clock
@@ -55,17 +55,19 @@
 
     has_duty: bool
     store: MemoryStore = field(default_factory=MemoryStore)
-    book: ConfigurationBook = field(default_factory=ConfigurationBook)
+    configuration_state: ConfigurationState = field(default_factory=ConfigurationState)
 
     def __post_init__(self) -> None:
         self.network = SilentNetwork(self.store)
-        self.caller = HttpCaller(0.5, network=self.network)
-        self.platform = ObjectStore(
+        self.caller = HttpClient(0.5, network=self.network)
+        self.platform = StoreClient(
             self.caller, "store:1", TIMEOUT_S, random.Random(1), watch_s=WATCH_S
         )
-        pace = FollowPace(lambda: self.has_duty, lambda: 0.0, lambda failures: RETRY_PAUSE_S)
-        intake = ConfigurationIntake(StoreRecords(), self.book)
-        self.follower = Follower(self.platform, "config", intake.take, FollowedPosition(), pace)
+        policy = FollowPolicy(lambda: self.has_duty, lambda: 0.0, lambda failures: RETRY_PAUSE_S)
+        intake = ConfigurationIntake(StoreRecordDecoder(), self.configuration_state)
+        self.follower = Follower(
+            self.platform, "config", intake.apply_update, FollowedPosition(), policy
+        )
 
     async def leave_idle(self, count: int) -> None:
         """Leave idle connections behind, as concurrent calls do."""
@@ -78,7 +80,10 @@
         """Return the time until a version is in force."""
         began_s = trio.current_time()
         with trio.fail_after(LIMIT_S):
-            while self.book.current is None or self.book.current.version < version:  # noqa: ASYNC110
+            while (  # noqa: ASYNC110
+                self.configuration_state.current is None
+                or self.configuration_state.current.version < version
+            ):
                 await trio.sleep(POLL_INTERVAL_S)
         return trio.current_time() - began_s
 
@@ -105,7 +110,7 @@
             await host.leave_idle(IDLE_CONNECTIONS)
             host.network.silence_open()
             host.store.write(2)
-            host.follower.list_anew()  # A peer has reported the version.
+            host.follower.relist()  # A peer has reported the version.
             took_s = await host.time_to(2)
             # The follower checks only every 0.2 s whether it must ask.
             self.assertLess(took_s, 0.2 + RESPONSE_S)
@@ -139,10 +144,10 @@
         _with_host(True, test)
 
     def test_a_host_with_an_outdated_configuration_rejects_no_key_permanently(self) -> None:
-        book = ConfigurationBook()
-        book.apply(make_configuration(version=4), proved_s=10.0)
-        trust = KeyTrust(book, 5.0, IN_FORCE_S, needs_proof=True)
-        self.assertTrue(trust.may_refuse(10.1))
-        book.note_version(5)
-        self.assertFalse(trust.may_refuse(10.1))
+        configuration_state = ConfigurationState()
+        configuration_state.apply(make_configuration(version=4), confirmed_s=10.0)
+        trust = KeyTrust(configuration_state, 5.0, IN_FORCE_S, needs_proof=True)
+        self.assertTrue(trust.may_refuse_permanently(10.1))
+        configuration_state.record_version(5)
+        self.assertFalse(trust.may_refuse_permanently(10.1))
         self.assertTrue(trust.may_accept(10.1))
--- a/yewloom/tests/test_slow_engines.py
+++ b/yewloom/tests/test_slow_engines.py
@@ -17,7 +17,7 @@
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.ids import GroupId, HostId
 from yewloom.order_delivery import JOIN_REPORT_TIMEOUT_S, OrderDelivery
-from yewloom.plan_state import PlannedOrder, PlanState, order_name
+from yewloom.plan_state import PlannedOrder, PlanState, order_id
 from yewloom.replica_orders import (
     REPORT_TIMEOUT_S,
     EngineOrder,
@@ -30,11 +30,11 @@
 )
 from yewloom.schema.records_pb2 import Group, GroupMember
 from yewloom.stalled_groups import (
-    PROBE_AFTER_STALL_S,
+    PROBE_INTERVAL_S,
     SUSPECT_REPORT_TIMEOUT_S,
     StalledGroups,
 )
-from yewloom.stalls import READ_LATE_S, StallDetector
+from yewloom.stalls import MAX_MESSAGE_DELAY_S, StallDetector
 from yewloom.states import GroupIntent
 from yewloom.tests.entry_support import SMALL, make_engine
 
@@ -63,7 +63,7 @@
         if engine == "dead":
             await trio.sleep(SILENT_AFTER_S)
             return OrderAnswer.UNREACHABLE
-        return OrderAnswer.BEGUN
+        return OrderAnswer.STARTED
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
@@ -100,24 +100,24 @@
 
     def test_a_dead_engine_does_not_delay_orders_to_others(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
-            self.delivery.give([_order("dead", LeaveGroup(KEY))], tasks)
-            self.delivery.give([_order("a", OpenGroup(KEY))], tasks)
+            self.delivery.send_all([_order("dead", LeaveGroup(KEY))], tasks)
+            self.delivery.send_all([_order("a", OpenGroup(KEY))], tasks)
             began_s = trio.current_time()
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(trio.current_time(), began_s)
             self.assertIn(("a", OpenGroup(KEY)), self.engines.orders)
             await trio.sleep(SILENT_AFTER_S * 2)
-            self.assertTrue(self.state.is_silent(HostId("dead")))
+            self.assertTrue(self.state.is_unresponsive(HostId("dead")))
 
         _run(test)
 
     def test_an_engine_gets_one_order_at_a_time_and_others_are_planned_again(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             staging = _order("dead", StageModel(SMALL))
-            self.delivery.give([_order("dead", LeaveGroup(KEY))], tasks)
-            self.assertTrue(self.state.may_order(staging, 0.0))
-            self.delivery.give([staging], tasks)
-            self.assertTrue(self.state.may_order(staging, 0.0))
+            self.delivery.send_all([_order("dead", LeaveGroup(KEY))], tasks)
+            self.assertTrue(self.state.mark_sent_if_due(staging, 0.0))
+            self.delivery.send_all([staging], tasks)
+            self.assertTrue(self.state.mark_sent_if_due(staging, 0.0))
             await trio.sleep(SILENT_AFTER_S * 2)
             self.assertEqual(len(self.engines.orders), 1)
 
@@ -126,7 +126,7 @@
     def test_a_slow_engine_is_waited_for_and_joined(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             join = JoinGroup(KEY, SMALL, [HostId("slow")])
-            self.delivery.give([_order("slow", join)], tasks)
+            self.delivery.send_all([_order("slow", join)], tasks)
             await trio.sleep(SLOW_ANSWER_S + 0.1)
             self.assertEqual(self.engines.orders, [("slow", join)])
 
@@ -136,10 +136,10 @@
         async def test(tasks: BackgroundTasks) -> None:
             for order in (StageModel(SMALL), JoinGroup(KEY, SMALL, [HostId("dead")])):
                 planned = _order("dead", order)
-                self.assertTrue(self.state.may_order(planned, trio.current_time()))
-                self.delivery.give([planned], tasks)
+                self.assertTrue(self.state.mark_sent_if_due(planned, trio.current_time()))
+                self.delivery.send_all([planned], tasks)
                 await trio.sleep(JOIN_REPORT_TIMEOUT_S + SILENT_AFTER_S)
-                is_given = self.state.due_s[order_name(planned)] > float("-inf")
+                is_given = self.state.next_send_s[order_id(planned)] > float("-inf")
                 self.assertEqual(is_given, isinstance(order, StageModel))
             self.assertEqual(self.engines.orders, [("dead", StageModel(SMALL))])
 
@@ -147,7 +147,7 @@
 
     def test_a_coordinator_without_its_lease_sends_no_more_orders(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
-            self.delivery.give([_order("a", StageModel(SMALL))], tasks)
+            self.delivery.send_all([_order("a", StageModel(SMALL))], tasks)
             tasks.cancel_all()
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(self.engines.orders, [])
@@ -158,16 +158,18 @@
         async def test(tasks: BackgroundTasks) -> None:
             self.engines.started_unix_ms = 7
             staging = PlannedOrder(HostId("a"), "a", StageModel(SMALL), 7)
-            self.delivery.give([staging], tasks)
+            self.delivery.send_all([staging], tasks)
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(len(self.engines.orders), 1)
             self.engines.started_unix_ms = 9
-            self.delivery.forget_sequences()
-            self.assertTrue(self.state.may_order(staging, 0.0))
-            self.delivery.give([staging], tasks)
+            self.delivery.clear_order_counts()
+            self.assertTrue(self.state.mark_sent_if_due(staging, 0.0))
+            self.delivery.send_all([staging], tasks)
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(len(self.engines.orders), 1)
-            self.assertTrue(self.state.may_order(staging, 0.0))  # The next plan decides again.
+            self.assertTrue(
+                self.state.mark_sent_if_due(staging, 0.0)
+            )  # The next plan decides again.
 
         _run(test)
 
@@ -176,7 +178,7 @@
             for started_unix_ms in (7, 9):
                 self.engines.started_unix_ms = started_unix_ms
                 order = PlannedOrder(HostId("a"), "a", StageModel(SMALL), started_unix_ms)
-                self.delivery.give([order], tasks)
+                self.delivery.send_all([order], tasks)
                 await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(len(self.engines.asked), 2)
 
@@ -192,9 +194,9 @@
             group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
             for name in ("a", "dead", "b"):
                 group.members.append(GroupMember(host_id=name, address=name))
-            stalls.report(HostId("a"), trio.current_time())
+            stalls.report_stalled(HostId("a"), trio.current_time())
             groups = StalledGroups(EndpointDirectory(), stalls, engines, state)
-            groups.look([group], tasks)
+            groups.start_probes([group], tasks)
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(set(engines.asked), {"a", "dead", "b"})
             self.assertEqual(state.suspects, set())
@@ -210,17 +212,20 @@
         """
 
         async def test(tasks: BackgroundTasks) -> None:
-            for report_after_s, suspects in ((READ_LATE_S, {"dead"}), (READ_LATE_S + 0.1, set())):
+            for report_after_s, suspects in (
+                (MAX_MESSAGE_DELAY_S, {"dead"}),
+                (MAX_MESSAGE_DELAY_S + 0.1, set()),
+            ):
                 engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 for name in ("dead", "b"):
                     group.members.append(GroupMember(host_id=name, address=name))
                 stalls.report_unreachable(HostId("dead"), trio.current_time())
                 groups = StalledGroups(EndpointDirectory(), stalls, engines, state)
-                groups.look([group], tasks)
+                groups.start_probes([group], tasks)
                 await trio.testing.wait_all_tasks_blocked()
                 await trio.sleep(report_after_s)
-                stalls.move_by_peer(HostId("dead"), 0.05, trio.current_time())
+                stalls.on_peer_progress(HostId("dead"), 0.05, trio.current_time())
                 await trio.sleep(SILENT_AFTER_S)
                 self.assertEqual(state.suspects, suspects)
 
@@ -239,8 +244,10 @@
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 for number, address in enumerate(members):
                     group.members.add(host_id=f"{address}-{number}", address=address)
-                stalls.report(HostId(f"{members[0]}-0"), trio.current_time())
-                StalledGroups(EndpointDirectory(), stalls, engines, state).look([group], tasks)
+                stalls.report_stalled(HostId(f"{members[0]}-0"), trio.current_time())
+                StalledGroups(EndpointDirectory(), stalls, engines, state).start_probes(
+                    [group], tasks
+                )
                 await trio.sleep(REPORT_TIMEOUT_S + 0.1)
                 self.assertEqual(state.suspects, suspects if "a" in members else set())
                 await trio.sleep(SUSPECT_REPORT_TIMEOUT_S)
@@ -257,11 +264,11 @@
                 directory.put(replace(make_engine(name), address=name))
                 state.suspects.add(HostId(name))
             groups = StalledGroups(directory, StallDetector(), engines, state)
-            groups.look([], tasks)
+            groups.start_probes([], tasks)
             await trio.sleep(SLOW_ANSWER_S + 0.1)
             self.assertEqual(state.suspects, {"dead"})
-            await trio.sleep(PROBE_AFTER_STALL_S)
-            groups.look([], tasks)
+            await trio.sleep(PROBE_INTERVAL_S)
+            groups.start_probes([], tasks)
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(sorted(engines.asked), ["dead", "dead", "slow"])
 
@@ -275,10 +282,10 @@
                 engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 group.members.add(host_id="dead", address="dead")
-                stalls.report(HostId("dead"), trio.current_time())
+                stalls.report_stalled(HostId("dead"), trio.current_time())
                 late = functools.partial(float, late_s)
                 groups = StalledGroups(EndpointDirectory(), stalls, engines, state, late)
-                groups.look([group], tasks)
+                groups.start_probes([group], tasks)
                 await trio.sleep(REPORT_TIMEOUT_S * asked - 0.1)
                 self.assertEqual(state.suspects, set())
                 await trio.sleep(0.2)
@@ -294,11 +301,11 @@
             group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
             for name, started_unix_ms in (("a", 9), ("b", 7)):
                 group.members.add(host_id=name, address=name, started_unix_ms=started_unix_ms)
-            stalls.report(HostId("a"), trio.current_time())
+            stalls.report_stalled(HostId("a"), trio.current_time())
             groups = StalledGroups(EndpointDirectory(), stalls, engines, state)
-            groups.look([group], tasks)
+            groups.start_probes([group], tasks)
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(state.suspects, {"b"})
-            self.assertEqual(state.answered_s, {})
+            self.assertEqual(state.last_answer_s, {})
 
         _run(test)
--- a/yewloom/tests/test_small_model_shortage.py
+++ b/yewloom/tests/test_small_model_shortage.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from yewloom.directory import EndpointDirectory, GroupKey, Membership, MemberState
+from yewloom.directory import EndpointDirectory, GroupKey, GroupMembership, MemberState
 from yewloom.ids import DataCentreId, GroupId, HostId, ModelName
 from yewloom.model_reserves import RESERVE_TIMEOUT_S
 from yewloom.plan_state import Departure, PlanState
@@ -15,7 +15,14 @@
 from yewloom.replica_plan import ReplicaPlanner
 from yewloom.schema.records_pb2 import Placement
 from yewloom.states import GroupIntent
-from yewloom.tests.entry_support import ENGINES, HALL, LARGE, SMALL, make_engine, make_profile
+from yewloom.tests.entry_support import (
+    DATA_CENTRE,
+    ENGINES,
+    LARGE,
+    SMALL,
+    make_engine,
+    make_profile,
+)
 from yewloom.weight_loads import SupplyBounds
 
 LIMITED = SupplyBounds(is_unlimited=False, max_loads=6)
@@ -30,7 +37,7 @@
     directory = EndpointDirectory()
     for number, model in enumerate([SMALL, SMALL, LARGE, LARGE]):
         key = GroupKey(GroupId(f"other-{number}"), 1)
-        leader = Membership(key, 0, MemberState.OPEN)
+        leader = GroupMembership(key, 0, MemberState.OPEN)
         directory.put(make_engine(f"o{number}", "o1", None, leader, model, OTHER_HALL))
     return directory
 
@@ -44,7 +51,7 @@
     def _formed(self, demand: dict[ModelName, float]) -> list[tuple[str, list[str]]]:
         """Plan once; return the model and the members of each group that is formed."""
         planner = ReplicaPlanner(
-            HALL, ENGINES, PROFILE, self.directory, self.state, LIMITED, demand
+            DATA_CENTRE, ENGINES, PROFILE, self.directory, self.state, LIMITED, demand
         )
         plan = planner.plan(Placement(), 10.0)
         self.loads = [p.engine for p in plan.orders if isinstance(p.order, StageModel)]
@@ -78,10 +85,10 @@
             self.directory.put(make_engine(name, staged=LARGE, model=LARGE))
         self.directory.put(make_engine("a", staged=LARGE, model=SMALL))
         self.key = GroupKey(GroupId("broken"), 1)
-        membership = Membership(self.key, 1, MemberState.READY)
+        membership = GroupMembership(self.key, 1, MemberState.READY)
         self.directory.put(make_engine("b", staged=LARGE, membership=membership, model=SMALL))
         self.state.unresponsive.add(HostId("lost"))
-        self.record = Placement(data_centre=HALL, generation=1)
+        self.record = Placement(data_centre=DATA_CENTRE, generation=1)
         group = self.record.groups.add(id="broken", generation=1, model=SMALL)
         group.intent = GroupIntent.REPLACING.value
         for name in ("lost", "b"):
@@ -90,7 +97,7 @@
     def _plan(self, now_s: float, demand: dict[ModelName, float]) -> list[tuple[str, list[str]]]:
         """Plan once; return the model and the members of each group that is formed."""
         planner = ReplicaPlanner(
-            HALL, ENGINES, PROFILE, self.directory, self.state, LIMITED, demand
+            DATA_CENTRE, ENGINES, PROFILE, self.directory, self.state, LIMITED, demand
         )
         self.record = planner.plan(self.record, now_s).record or self.record
         formed = [g for g in self.record.groups if g.intent == GroupIntent.ACTIVE.value]
--- a/yewloom/tests/test_soak.py
+++ b/yewloom/tests/test_soak.py
@@ -11,8 +11,8 @@
 import trio
 
 from yewloom.addresses import split_address
-from yewloom.platform.standin_engine import StandinEngine
-from yewloom.platform.standin_store import StandinStore
+from yewloom.platform.standin_engine import UserEngineStandIn
+from yewloom.platform.standin_store import StoreStandIn
 from yewloom.tests.soak.balancer import UNREADY_THRESHOLD, Balancer
 from yewloom.tests.soak.callers import LONG_EVENTS, Caller
 from yewloom.tests.soak.endpoints import EngineWatch
@@ -290,9 +290,9 @@
     """A host that joins another group is reported only while the group that it leaves serves."""
 
     def setUp(self) -> None:
-        self.ledger, store = Ledger(), StandinStore()
+        self.ledger, store = Ledger(), StoreStandIn()
         names = ("engine-0", "engine-1")
-        self.engines = [StandinEngine(n, "", "engines", "rack", "hall-a", store) for n in names]
+        self.engines = [UserEngineStandIn(n, "", "engines", "rack", "hall-a", store) for n in names]
         for rank, engine in enumerate(self.engines):
             engine.group = {"name": "old", "epoch": 1, "rank": rank, "state": "ready"}
             engine.members = list(names)
--- a/yewloom/tests/test_store_retries.py
+++ b/yewloom/tests/test_store_retries.py
@@ -35,7 +35,7 @@
             self.assertLessEqual(calls - hosts, OUTAGE_S / min_interval_s)
 
     def test_pause_in_a_small_data_centre_has_a_lower_bound(self) -> None:
-        pause_s = StoreRetries(FIRST_PAUSE_S, 0.5).pause_s(1, False, near_hosts=1)
+        pause_s = StoreRetries(FIRST_PAUSE_S, 0.5).pause_s(1, False, near_host_count=1)
         self.assertEqual(pause_s, FIRST_PAUSE_S * MIN_IDLE_FACTOR)
 
     def test_host_with_the_duty_retries_soon_and_then_less_often(self) -> None:
--- a/yewloom/tests/test_streams.py
+++ b/yewloom/tests/test_streams.py
@@ -6,52 +6,52 @@
 from hypothesis import strategies as st
 
 from yewloom.ids import GroupId, RequestId
-from yewloom.streams import StreamAssembler, StreamPiece, StreamPosition, parse_position
+from yewloom.streams import StreamAssembler, StreamChunk, StreamPosition, parse_position
 
 REQUEST = RequestId("r1")
 GENERATION = 3
 ANSWER = tuple(f"t{i}" for i in range(12))
 
 
-def _piece(start: int, end: int) -> StreamPiece:
-    return StreamPiece(REQUEST, GENERATION, start, ANSWER[start:end], is_last=end == len(ANSWER))
+def _piece(start: int, end: int) -> StreamChunk:
+    return StreamChunk(REQUEST, GENERATION, start, ANSWER[start:end], is_last=end == len(ANSWER))
 
 
 @st.composite
-def _deliveries(draw: st.DrawFn) -> list[StreamPiece]:
+def _deliveries(draw: st.DrawFn) -> list[StreamChunk]:
     """Pieces that cover the response, duplicated, overlapping, foreign and in any order."""
     cuts = sorted(draw(st.sets(st.integers(1, len(ANSWER) - 1), max_size=6)))
     edges = [0, *cuts, len(ANSWER)]
-    pieces = [_piece(a, b) for a, b in zip(edges, edges[1:], strict=False)]
+    chunks = [_piece(a, b) for a, b in zip(edges, edges[1:], strict=False)]
     starts = draw(st.lists(st.integers(0, len(ANSWER) - 2), max_size=4))
-    pieces += [_piece(start, draw(st.integers(start + 1, len(ANSWER)))) for start in starts]
-    pieces += [
-        StreamPiece(RequestId("other"), GENERATION, 0, ("wrong",), is_last=True),
-        StreamPiece(REQUEST, GENERATION - 1, 0, ("stale",), is_last=True),
+    chunks += [_piece(start, draw(st.integers(start + 1, len(ANSWER)))) for start in starts]
+    chunks += [
+        StreamChunk(RequestId("other"), GENERATION, 0, ("wrong",), is_last=True),
+        StreamChunk(REQUEST, GENERATION - 1, 0, ("stale",), is_last=True),
     ]
-    return draw(st.permutations(pieces))
+    return draw(st.permutations(chunks))
 
 
 class TestStreamAssembler(unittest.TestCase):
     """Responses are complete, in order and without duplicates."""
 
     @given(_deliveries())
-    def test_any_order_gives_the_complete_response_once(self, pieces: list[StreamPiece]) -> None:
+    def test_any_order_gives_the_complete_response_once(self, chunks: list[StreamChunk]) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
-        tokens = [token for piece in pieces for token in assembler.accept(piece)]
+        tokens = [token for chunk in chunks for token in assembler.accept(chunk)]
         self.assertEqual(tuple(tokens), ANSWER)
-        self.assertTrue(assembler.is_whole)
+        self.assertTrue(assembler.is_complete)
 
     @given(_deliveries(), st.integers(0, len(ANSWER) - 1))
     def test_a_missing_token_leaves_the_response_incomplete(
-        self, pieces: list[StreamPiece], lost: int
+        self, chunks: list[StreamChunk], lost: int
     ) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
-        kept = [p for p in pieces if not p.offset <= lost < p.offset + len(p.tokens)]
+        kept = [p for p in chunks if not p.offset <= lost < p.offset + len(p.tokens)]
         own = [p for p in kept if p.request_id == REQUEST and p.generation == GENERATION]
-        for piece in [*own, *(p for p in kept if p not in own)]:
-            assembler.accept(piece)
-        self.assertFalse(assembler.is_whole)
+        for chunk in [*own, *(p for p in kept if p not in own)]:
+            assembler.accept(chunk)
+        self.assertFalse(assembler.is_complete)
         self.assertLessEqual(assembler.offset, lost)
 
     def test_a_resumed_stream_continues_at_its_offset(self) -> None:
@@ -61,11 +61,11 @@
     def test_another_replica_completes_the_stream(self) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
         assembler.accept(_piece(0, 5))
-        assembler.move_to(GENERATION + 1)
+        assembler.switch_replica(GENERATION + 1)
         self.assertEqual(assembler.accept(_piece(5, 12)), [])
-        rest = StreamPiece(REQUEST, GENERATION + 1, 5, ANSWER[5:], is_last=True)
+        rest = StreamChunk(REQUEST, GENERATION + 1, 5, ANSWER[5:], is_last=True)
         self.assertEqual(tuple(assembler.accept(rest)), ANSWER[5:])
-        self.assertTrue(assembler.is_whole)
+        self.assertTrue(assembler.is_complete)
 
 
 class TestStreamPosition(unittest.TestCase):
--- a/yewloom/tests/test_tables.py
+++ b/yewloom/tests/test_tables.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yewloom.ids import AttemptId, RowName
-from yewloom.operations import Edit, OperationError, apply_edit, flat_cells
+from yewloom.operations import Edit, OperationError, apply_edit, cells_by_path
 from yewloom.schema.table_pb2 import CustomerRow, Row, RowChange, VersionedRow
 from yewloom.tables import (
     HISTORY_LENGTH,
@@ -17,7 +17,7 @@
     edit_row,
     parse_row_name,
 )
-from yewloom.tests.support import FakePlatform, Fault, run_on_mock_clock
+from yewloom.tests.support import FakePlatform, WriteFault, run_on_mock_clock
 from yewloom.watchers import parse_row
 
 ROW = RowName("customer/c")
@@ -137,8 +137,8 @@
         won, lost = sorted(run_on_mock_clock(scenario), key=lambda r: isinstance(r, OperationError))
         assert isinstance(won, VersionedRow) and isinstance(lost, OperationError)
         self.assertTrue(lost.is_conflict)
-        self.assertIn(f"weight={flat_cells(won)['weight']}", lost.sentence)
-        self.assertIn(won.row.history[-1].editor, lost.sentence)
+        self.assertIn(f"weight={cells_by_path(won)['weight']}", lost.message)
+        self.assertIn(won.row.history[-1].editor, lost.message)
 
     def test_edit_of_an_old_version_is_rejected(self) -> None:
         async def scenario() -> OperationError | None:
@@ -150,8 +150,10 @@
         assert error is not None
         self.assertTrue(error.is_conflict)
 
-    @given(st.lists(st.sampled_from(list(Fault)), max_size=8), st.booleans())
-    def test_reported_outcome_of_an_edit_is_true(self, faults: list[Fault], late: bool) -> None:
+    @given(st.lists(st.sampled_from(list(WriteFault)), max_size=8), st.booleans())
+    def test_reported_outcome_of_an_edit_is_true(
+        self, faults: list[WriteFault], late: bool
+    ) -> None:
         """An accepted edit was applied once; no edit is applied more than once."""
 
         async def scenario() -> tuple[bool, str, list[str]]:
@@ -163,7 +165,7 @@
                 result = await apply_edit(platform, _edit("2", "ana"))
                 await apply_edit(platform, _edit("3", "bela"))
                 nursery.cancel_scope.cancel()
-            platform.apply_late_writes()
+            platform.apply_delayed_writes()
             stored = platform.objects.get(f"{TABLE_PREFIX}{ROW}")
             editors = [c.editor for c in parse_row(stored).row.history] if stored else []
             return result.is_ok(), str(result.err()), editors
@@ -177,4 +179,4 @@
 async def _apply_late_writes(platform: FakePlatform) -> None:
     while True:
         await trio.sleep(0.25)
-        platform.apply_late_writes()
+        platform.apply_delayed_writes()
--- a/yewloom/tests/test_work.py
+++ b/yewloom/tests/test_work.py
@@ -7,16 +7,16 @@
 import trio
 import trio.testing
 
-from yewloom.admission import DEFAULT_PACE_S, Admission, Arrival
+from yewloom.admission import DEFAULT_SECONDS_PER_COST, AdmissionController, AdmissionRequest
 from yewloom.claim_writer import ClaimWriter
 from yewloom.claims import ClaimRequest, ClaimResult
-from yewloom.counted_requests import CountedRequests
+from yewloom.counted_requests import RequestTrackingMiddleware
 from yewloom.ids import AttemptId, CustomerId, EntryHostId, IdempotencyKey, RequestId
-from yewloom.places import Places
 from yewloom.problems import Problem
+from yewloom.slots import SlotPool
 from yewloom.states import ClaimState, Outcome, Phase
 from yewloom.tests.support import FakePlatform, run_on_mock_clock
-from yewloom.work import CountedTasks, Work
+from yewloom.work import CountedTasks, WorkTracker
 
 WRITE_S = 30.0
 """Time that a slow caller takes to read its response."""
@@ -42,7 +42,7 @@
     """Work counts from when it is accepted until nothing of it is left to do."""
 
     def setUp(self) -> None:
-        self.work = Work()
+        self.work = WorkTracker()
 
     def test_a_request_counts_until_its_response_is_written(self) -> None:
         async def write_slowly(message: Any) -> None:
@@ -50,7 +50,7 @@
 
         async def scenario() -> float:
             async with trio.open_nursery() as nursery:
-                counted = CountedRequests(_answer, self.work)
+                counted = RequestTrackingMiddleware(_answer, self.work)
                 nursery.start_soon(counted, _scope("1.1"), _receive, write_slowly)
                 await trio.testing.wait_all_tasks_blocked()
                 self.assertEqual(self.work.in_progress, 1)
@@ -68,7 +68,7 @@
                 sent.append(message)
 
             self.work.phase = phase
-            await CountedRequests(_answer, self.work)(_scope(version), _receive, send)
+            await RequestTrackingMiddleware(_answer, self.work)(_scope(version), _receive, send)
             return list(sent[0]["headers"])
 
         async def scenario() -> None:
@@ -100,7 +100,7 @@
 
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
-                counted = CountedRequests(application, self.work)
+                counted = RequestTrackingMiddleware(application, self.work)
                 nursery.start_soon(counted, _scope("1.1"), receive, send)
                 await trio.testing.wait_all_tasks_blocked()
                 self.work.phase = Phase.CLOSED
@@ -148,12 +148,14 @@
                 await writer.claim(claim)
                 await trio.testing.wait_all_tasks_blocked()
                 self.assertEqual(self.work.in_progress, 0)
-                platform.is_refusing = True
-                writer.store(ClaimResult(claim.key, claim.attempt, ClaimState.DONE, 200, "t", b"x"))
+                platform.is_unavailable = True
+                writer.store_result(
+                    ClaimResult(claim.key, claim.attempt, ClaimState.DONE, 200, "t", b"x")
+                )
                 with trio.move_on_after(20) as waited:
                     await self.work.wait_until_none()
                 self.assertTrue(waited.cancelled_caught)
-                platform.is_refusing = False
+                platform.is_unavailable = False
                 await self.work.wait_until_none()
                 self.assertIn("done", next(iter(platform.objects.values())).value)
 
@@ -164,15 +166,15 @@
     """Requests that would probably not finish before the stop are rejected and not started."""
 
     def setUp(self) -> None:
-        self.places = Places(Admission(1, max_queued=9))
+        self.slots = SlotPool(AdmissionController(1, max_queued=9))
         self.begun: list[str] = []
         self.refused: dict[str, Problem] = {}
 
     async def _hold(self, name: str, cost: float, hold_s: float) -> None:
         deadline_s = trio.current_time() + 1000
-        arrival = Arrival(RequestId(name), CustomerId("c"), 1.0, cost, deadline_s, share=1)
+        arrival = AdmissionRequest(RequestId(name), CustomerId("c"), 1.0, cost, deadline_s, share=1)
         try:
-            async with self.places.hold(arrival):
+            async with self.slots.acquire(arrival):
                 self.begun.append(name)
                 await trio.sleep(hold_s)
         except Problem as problem:
@@ -186,7 +188,7 @@
 
     def test_a_long_request_is_rejected_and_a_short_one_starts(self) -> None:
         async def scenario() -> None:
-            self.places.stop_by(trio.current_time() + DEFAULT_PACE_S * LONG_COST / 2)
+            self.slots.set_stop_time(trio.current_time() + DEFAULT_SECONDS_PER_COST * LONG_COST / 2)
             await self._hold("long", LONG_COST, 0)
             await self._hold("short", 1.0, 0)
 
@@ -200,7 +202,7 @@
                     nursery.start_soon(self._hold, name, cost, 1.0)
                     await trio.testing.wait_all_tasks_blocked()
                 self._check(["first"], [])
-                self.places.stop_by(trio.current_time() + 3)
+                self.slots.set_stop_time(trio.current_time() + 3)
                 await trio.testing.wait_all_tasks_blocked()
                 self._check(["first"], ["long"])
 
@@ -213,7 +215,7 @@
                 for name in ("first", "second", "third"):
                     nursery.start_soon(self._hold, name, 1.0, 1.0)
                     await trio.testing.wait_all_tasks_blocked()
-                self.places.stop_by(trio.current_time())
+                self.slots.set_stop_time(trio.current_time())
                 await self._hold("late", 1.0, 1.0)
 
         run_on_mock_clock(scenario)
--- a/yewloom/validation.py
+++ b/yewloom/validation.py
@@ -26,10 +26,10 @@
 
     field: str
     problem: str
-    remedy: str
+    correction: str
 
     def __str__(self) -> str:
-        return f"{self.field} {self.problem}; {self.remedy}"
+        return f"{self.field} {self.problem}; {self.correction}"
 
 
 def rule_of(field: FieldDescriptor) -> Rule:
--- a/yewloom/watchers.py
+++ b/yewloom/watchers.py
@@ -26,7 +26,7 @@
 platform that is down has recovered."""
 
 
-class Watcher:
+class PlatformWatcher:
     """Watches the keys with one prefix while this entry host has the duty to."""
 
     def __init__(self, node: Node, platform: Platform, prefix: str) -> None:
@@ -69,7 +69,7 @@
         match listing:
             case Ok(found):
                 for stored in found.objects:
-                    take_in_object(self._node, stored)
+                    apply_object(self._node, stored)
                 if self._prefix == TABLE_PREFIX:
                     self._node.has_table = True
                 self._position = found.position
@@ -79,7 +79,7 @@
         return False
 
 
-def take_in_object(node: Node, stored: StoredObject) -> None:
+def apply_object(node: Node, stored: StoredObject) -> None:
     """Apply one object read from the platform."""
     try:
         if stored.key.startswith(TABLE_PREFIX):
--- a/yewloom/weight_loads.py
+++ b/yewloom/weight_loads.py
@@ -57,18 +57,24 @@
 
     def is_loading(self, endpoint: Endpoint, now_s: float) -> bool:
         """Return whether a host is loading weights, by order of this or another coordinator."""
-        return endpoint.id in self._state.staging or self._state.is_busy(endpoint.id, now_s)
+        return endpoint.id in self._state.loads_in_progress or self._state.is_busy(
+            endpoint.id, now_s
+        )
 
     def load(self, endpoint: Endpoint, model: ReplicaModel, now_s: float) -> None:
         """Load weights onto a host, unless it is loading or the rate limit is reached."""
         if self.is_loading(endpoint, now_s):
             return
         bounds = self._bounds
-        recent = [time_s for time_s in self._state.load_times_s if now_s - time_s < bounds.window_s]
+        recent = [
+            time_s
+            for time_s in self._state.recent_load_starts_s
+            if now_s - time_s < bounds.window_s
+        ]
         if len(recent) >= bounds.max_loads and not bounds.is_unlimited:
             return
-        self._state.load_times_s = [*recent, now_s]
-        self._state.staging[endpoint.id] = Staging(model.name, now_s)
+        self._state.recent_load_starts_s = [*recent, now_s]
+        self._state.loads_in_progress[endpoint.id] = Staging(model.name, now_s)
         order = StageModel(model.name)
         self.orders.append(
             PlannedOrder(endpoint.id, endpoint.address, order, endpoint.started_unix_ms)
@@ -76,10 +82,10 @@
 
     def drop_finished(self, now_s: float) -> None:
         """Drop loads that have finished or timed out, or whose host is no longer listed."""
-        for host, staging in list(self._state.staging.items()):
+        for host, staging in list(self._state.loads_in_progress.items()):
             model = self._profile.models.get(staging.model)
             limit_s = LOAD_TIMEOUT_FACTOR * model.load_s if model is not None else 0.0
             endpoint = self._directory.by_id.get(host)
             is_finished = endpoint is None or staging.model in endpoint.staged
             if is_finished or now_s - staging.since_s > limit_s:
-                del self._state.staging[host]
+                del self._state.loads_in_progress[host]
--- a/yewloom/work.py
+++ b/yewloom/work.py
@@ -23,7 +23,7 @@
         """Start a task."""
 
 
-class Work:
+class WorkTracker:
     """Counts work items from when they are accepted until nothing of them is left to do.
 
     ``phase`` is the single state of a planned stop; it is checked whenever new work arrives.
@@ -83,7 +83,7 @@
 class CountedTasks:
     """Starts tasks in a nursery and counts each as work until it ends."""
 
-    def __init__(self, nursery: trio.Nursery, work: Work) -> None:
+    def __init__(self, nursery: trio.Nursery, work: WorkTracker) -> None:
         self._nursery = nursery
         self._work = work
 
--- a/yewloom/writes.py
+++ b/yewloom/writes.py
@@ -42,13 +42,13 @@
 
 
 @value_class
-class WriteUnsettled:
+class WriteOutcomeUnknown:
     """The write may have had an effect or may still have one."""
 
     detail: str
 
 
-WriteError = WriteConflict | WriteNotApplied | WriteUnsettled
+WriteError = WriteConflict | WriteNotApplied | WriteOutcomeUnknown
 
 
 def to_json(message: Message) -> str:
@@ -68,7 +68,7 @@
         raise RecordError(f"{stored.key} can't be decoded: {error}") from error
 
 
-async def write_settled(
+async def write_until_settled(
     platform: Platform,
     key: str,
     record: Message,
@@ -97,7 +97,7 @@
         if not is_ambiguous:
             return Err(WriteNotApplied(error.detail))
         if trio.current_time() >= deadline_s:
-            return Err(WriteUnsettled(error.detail))
+            return Err(WriteOutcomeUnknown(error.detail))
         await trio.sleep(_RETRY_PAUSE_S)
 
 
@@ -111,5 +111,5 @@
             return Err(WriteConflict(current))
         case Err(error):
             if is_ambiguous:
-                return Err(WriteUnsettled(error.detail))
+                return Err(WriteOutcomeUnknown(error.detail))
             return Err(WriteConflict(None))
