--- a/yewloom/claim_writer.py
+++ b/yewloom/claim_writer.py
@@ -205,7 +205,7 @@
     ) -> None:
         """Fail a batch; its claims are released later, in case the write still takes effect."""
         logger.warning(
-            "could not write claims", shard=shard.key, claims=len(batch), reason=unavailable.detail
+            "cannot write claims", shard=shard.key, claims=len(batch), reason=unavailable.detail
         )
         for pending in batch:
             pending.answer = Err(unavailable)
--- a/yewloom/coordinator_records.py
+++ b/yewloom/coordinator_records.py
@@ -69,7 +69,7 @@
             case Ok(stored):
                 self._apply_read(stored)
             case Err(error):
-                logger.info("failed to read lease record", reason=str(error))
+                logger.info("cannot read lease record", reason=str(error))
                 self._keeper.on_failed(trio.current_time())
 
     def _apply_read(self, stored: StoredObject | None) -> None:
@@ -95,7 +95,7 @@
             case Ok(stored):
                 self._keeper.on_written(lease, stored.version, sent_s, trio.current_time())
             case Err(error):
-                logger.info("failed to write lease record", reason=str(error))
+                logger.info("cannot write lease record", reason=str(error))
                 self._on_write_failed(error)
 
     def _on_write_failed(self, error: WriteError) -> None:
@@ -129,7 +129,7 @@
             case Ok(stored):
                 return self._apply_read(stored)
             case Err(error):
-                logger.info("failed to read placement record", reason=str(error))
+                logger.info("cannot read placement record", reason=str(error))
         return False
 
     def _apply_read(self, stored: StoredObject | None) -> bool:
@@ -160,6 +160,6 @@
                 self.current, self._version = record, stored.version
                 return True
             case Err(error):
-                logger.info("failed to write placement record", reason=str(error))
+                logger.info("cannot write placement record", reason=str(error))
                 self.forget()
         return False
--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -166,7 +166,7 @@
                 self._is_placement_current = True
                 return True
             case Err(error):
-                logger.warning("failed to read placement record", reason=str(error))
+                logger.warning("cannot read placement record", reason=str(error))
         return False
 
     async def _read_hosts(self) -> None:
@@ -178,7 +178,7 @@
             case Ok(hosts):
                 self._listed_hosts = {HostId(host.id): host for host in hosts}
             case Err(error):
-                logger.warning("failed to read host list", reason=str(error))
+                logger.warning("cannot read host list", reason=str(error))
 
     def _members_to_probe(self) -> list[GroupMember]:
         """Return the engines that are in no group, and the members of groups that are not open."""
@@ -228,7 +228,7 @@
                 self._log_plan(plan)
             case Err(error):
                 self._is_placement_current = False
-                logger.warning("failed to write placement record", reason=str(error))
+                logger.warning("cannot write placement record", reason=str(error))
 
     def _log_plan(self, plan: PlacementPlan) -> None:
         for decision in plan.decisions:
--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -112,7 +112,7 @@
             continue
         if is_newer:
             logger.info(
-                "placement in force",
+                "placement applied",
                 data_centre=DataCentreId(placement.data_centre),
                 generation=placement.generation,
                 groups=len(placement.groups),
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -139,7 +139,7 @@
 
     def _apply(self, update: Update) -> None:
         if self._failures and update.is_full_listing:
-            logger.info("platform regained", kind=self._kind, failures=self._failures)
+            logger.info("platform reachable again", kind=self._kind, failures=self._failures)
         if update.base is not None and self._followed.position is None:
             return  # A listing was requested while the watch's answer was in transit.
         if not self._is_outdated(update):
@@ -170,7 +170,7 @@
             self._followed.forget()
             return
         if not self._failures:
-            logger.warning("platform lost", kind=self._kind, reason=str(error))
+            logger.warning("platform unreachable", kind=self._kind, reason=str(error))
         self._failures += 1
         while (remaining_s := self._remaining_pause_s(asked_s)) > 0:
             if await self._pause(min(remaining_s, IDLE_CHECK_S)):
--- a/yewloom/intake.py
+++ b/yewloom/intake.py
@@ -118,7 +118,7 @@
             await trio.sleep(EXPIRY_CHECK_S)
             for endpoint_id in self._directory.remove_expired(trio.current_time()):
                 logger.info(
-                    "endpoint gone",
+                    "endpoint removed",
                     endpoint=endpoint_id,
                     reason="not listed again after store outage",
                 )
@@ -152,7 +152,7 @@
 
     def _remove(self, endpoint_id: HostId) -> None:
         if endpoint_id in self._directory.by_id:
-            logger.info("endpoint gone", endpoint=endpoint_id)
+            logger.info("endpoint removed", endpoint=endpoint_id)
         self._directory.remove(endpoint_id)
         self._selector.forget(endpoint_id)
 
--- a/yewloom/quarantine.py
+++ b/yewloom/quarantine.py
@@ -167,7 +167,7 @@
             first_to_end = min(self._entries, key=lambda f: self._entries[f].ends_s)
             del self._entries[first_to_end]
         logger.warning(
-            "request let go" if entry.is_lifted else "request quarantined",
+            "request released from quarantine" if entry.is_lifted else "request quarantined",
             fingerprint=format_fingerprint(fingerprint),
             count=entry.count,
             hold_s=round(entry.ends_s - entry.since_s),
--- a/yewloom/quarantine_store.py
+++ b/yewloom/quarantine_store.py
@@ -93,7 +93,7 @@
                 self._apply(current.record)
                 return current
             case Err(error):
-                logger.info("could not read quarantine", reason=str(error))
+                logger.info("cannot read quarantine", reason=str(error))
                 return None
 
     async def _write(self) -> bool:
@@ -109,7 +109,7 @@
                 logger.info("wrote quarantine", count=len(record.requests))
                 return True
             case Err(error):
-                logger.info("could not write quarantine", reason=str(error))
+                logger.info("cannot write quarantine", reason=str(error))
                 return False
 
     def _decode(self, stored: StoredObject | None) -> QuarantineRecord:
@@ -118,7 +118,7 @@
         try:
             return parse_record(stored, QuarantineRecord())
         except RecordError as error:
-            logger.error("record unreadable", reason=str(error))
+            logger.error("cannot decode record", reason=str(error))
             return QuarantineRecord()
 
     def _apply(self, record: QuarantineRecord) -> None:
--- a/yewloom/share_balancer.py
+++ b/yewloom/share_balancer.py
@@ -41,7 +41,7 @@
                 self._node.shares.apply(current)
                 await self._write(current, stored.version if stored is not None else 0, listed)
             case Err(error):
-                logger.warning("failed to read shares record", reason=str(error))
+                logger.warning("cannot read shares record", reason=str(error))
 
     async def _write(self, current: Shares, version: int, listed: Iterable[Host]) -> None:
         node = self._node
@@ -72,7 +72,7 @@
                 logger.info("shares granted", generation=next_shares.generation, holders=holders)
                 self._next_s = float("-inf")
             case Err(error):
-                logger.warning("failed to write shares record", reason=str(error))
+                logger.warning("cannot write shares record", reason=str(error))
 
     def _alive_members(self) -> list[Member]:
         return self._node.membership.alive_in(self._node.data_centre, trio.current_time())
--- a/yewloom/stalled_groups.py
+++ b/yewloom/stalled_groups.py
@@ -143,7 +143,7 @@
         return True
 
     def _probe_members(self, group: Group, tasks: BackgroundTasks) -> None:
-        logger.info("group stands still", group=str(group_key(group)))
+        logger.info("group stalled", group=str(group_key(group)))
         group_probe = _GroupProbe(HostId(group.members[0].host_id), len(group.members))
         for member in group.members:
             host = HostId(member.host_id)
@@ -175,7 +175,7 @@
             logger.info("member unreachable from this host only", engine=probe.member)
             return
         reason = "no answer" if report is None else "process was restarted"
-        logger.info("member silent", engine=probe.member, reason=reason)
+        logger.info("member unresponsive", engine=probe.member, reason=reason)
         self._state.suspects.add(probe.member)
 
     async def _query_report(self, probe: _MemberProbe) -> EngineReport | None:
--- a/yewloom/tests/test_explanation.py
+++ b/yewloom/tests/test_explanation.py
@@ -32,10 +32,10 @@
         history = RequestHistory("r1")
         history.read(
             [
-                _line(1, "a", "platform lost", reason="down"),
-                _line(2, "b", "platform lost", reason="elsewhere"),
+                _line(1, "a", "platform unreachable", reason="down"),
+                _line(2, "b", "platform unreachable", reason="elsewhere"),
                 _line(3, "a", "request", request_id="r1"),
-                _line(4, "a", "platform regained"),
+                _line(4, "a", "platform reachable again"),
             ]
         )
         text = "\n".join(history.lines())
@@ -45,10 +45,10 @@
 
     def test_context_is_bounded(self) -> None:
         history = RequestHistory("r1")
-        history.read(_line(n, "a", "endpoint gone", endpoint=f"e{n}") for n in range(30))
+        history.read(_line(n, "a", "endpoint removed", endpoint=f"e{n}") for n in range(30))
         history.read([_line(40, "a", "request", request_id="r1")])
         self.assertEqual(
-            sum("endpoint gone" in line for line in history.lines()), MAX_CONTEXT_LINES
+            sum("endpoint removed" in line for line in history.lines()), MAX_CONTEXT_LINES
         )
 
     def test_invalid_lines_are_counted(self) -> None:
--- a/yewloom/tests/test_processes.py
+++ b/yewloom/tests/test_processes.py
@@ -280,7 +280,7 @@
         self.assertTrue(self._is_coordinator(other))
         self.assertFalse(self._is_coordinator(coordinator))
         new_log_text = fleet.log_text(coordinator)[log_length:]
-        self.assertIn('"placement in force"', new_log_text)
+        self.assertIn('"placement applied"', new_log_text)
         self.assertNotIn('"event": "placed"', new_log_text)
         self.assertNotIn('"is_holding": true', new_log_text)
 
