--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -33,10 +33,10 @@
     ),
     Mutation(
         "selection: a slow group is tried again later",
-        "event_intervals",
+        "event_paces",
         "now_s - interval.updated_s <= RECENT_S",
         "True",
-        "test_event_intervals",
+        "test_event_paces",
     ),
     Mutation(
         "restart: a group with a restarted member is dissolved",
--- a/tools/mutations_lateness.py
+++ b/tools/mutations_lateness.py
@@ -68,10 +68,10 @@
     ),
     Mutation(
         "delays: a signal may have arrived while the event loop was blocked",
-        "loop_delay",
+        "loop_lateness",
         "return noticed_s - min(began, default=noticed_s)",
         "return 0.0",
-        "test_loop_delay",
+        "test_loop_lateness",
     ),
     Mutation(
         "delays: time spent waiting for the caller does not count towards a route's time-out",
@@ -89,10 +89,10 @@
     ),
     Mutation(
         "delays: an event loop that was blocked knows since when",
-        "loop_delay",
+        "loop_lateness",
         "if late_s >= MIN_BLOCKED_S:",
         "if False:",
-        "test_loop_delay",
+        "test_loop_lateness",
     ),
     Mutation(
         "delays: yewloomd refuses a request that is read after its deadline",
--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -28,6 +28,7 @@
 from yewloom.node import build_node, unix_now_ms
 from yewloom.observers import EndpointProber
 from yewloom.peers import PeerExchange, serve_peers
+from yewloom.places import SlotPool
 from yewloom.platforms import HttpPlatform
 from yewloom.process_signals import ProcessSignals
 from yewloom.retries import RetryBudget
@@ -35,7 +36,6 @@
 from yewloom.schema.table_pb2 import CustomerRow
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import read_settings
-from yewloom.slots import SlotPool
 from yewloom.states import Phase
 from yewloom.tables import TABLE_PREFIX
 from yewloom.watchers import PLACEMENT_PREFIX, SHARES_PREFIX, PlatformWatcher
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -17,6 +17,7 @@
 from yewloom.experiments import Side, assign_side, policy_for_side
 from yewloom.ids import DataCentreId, GroupId, ModelName, PolicyName, RequestId
 from yewloom.node import Node
+from yewloom.places import SlotPool
 from yewloom.prefixes import block_hashes
 from yewloom.problems import Problem, bad_request_problem, unavailable_problem
 from yewloom.progress import Progress
@@ -32,7 +33,6 @@
 )
 from yewloom.schema.records_pb2 import Group
 from yewloom.schema.table_pb2 import PolicyRow
-from yewloom.slots import SlotPool
 from yewloom.states import Outcome
 from yewloom.streams import StreamAssembler, StreamOverflowError, StreamPosition
 from yewloom.work import TaskStarter
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -28,7 +28,7 @@
 from yewloom.fingerprints import format_fingerprint
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forward_request import BufferedResponse, ForwardRequest
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.reachability import Reachability
 from yewloom.selection import Selector
 from yewloom.stalls import STALLED_AVOIDANCE_S, StallDetector
--- a/yewloom/endpoint_choice.py
+++ b/yewloom/endpoint_choice.py
@@ -12,7 +12,7 @@
 from yewloom.forward_request import ForwardRequest
 from yewloom.planned_stop import PlannedStop
 from yewloom.quarantine import Quarantine
-from yewloom.retry_budget import RetryBudget
+from yewloom.retry_window import RetryBudget
 from yewloom.route_durations import RouteDurations
 from yewloom.selection import Selector
 
--- a/yewloom/entry_host.py
+++ b/yewloom/entry_host.py
@@ -31,7 +31,7 @@
 from yewloom.ids import DataCentreId, EntryHostId, HostId
 from yewloom.intake import ConfigurationIntake, EndpointIntake
 from yewloom.limit_messages import LimitMessages
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.own_state import EntryHostProcess, OwnStateBuilder
 from yewloom.peer_configurations import PeerConfigurations
 from yewloom.peer_intake import PeerIntake
--- a/yewloom/forward_parts.py
+++ b/yewloom/forward_parts.py
@@ -12,10 +12,10 @@
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forwarding import Forwarder
 from yewloom.key_trust import KeyTrust
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.planned_stop import PlannedStop
 from yewloom.reachability import Reachability
-from yewloom.retry_budget import RetryBudget
+from yewloom.retry_window import RetryBudget
 from yewloom.schema.entry_pb2 import ServingBounds
 from yewloom.selection import Selector
 from yewloom.stalls import StallDetector
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -23,7 +23,7 @@
 from yewloom.key_trust import KeyTrust
 from yewloom.quarantine import Quarantine
 from yewloom.request_admission import QUARANTINED, RequestAdmission
-from yewloom.retry_budget import RetryBudget
+from yewloom.retry_window import RetryBudget
 from yewloom.selection import Selector
 
 logger = structlog.get_logger(__name__)
--- a/yewloom/node.py
+++ b/yewloom/node.py
@@ -10,7 +10,7 @@
 from yewloom.fleet import Fleet
 from yewloom.ids import DataCentreId, EntryHostId
 from yewloom.limits import LocalShares
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.membership import Membership
 from yewloom.metrics import Metrics
 from yewloom.prefixes import PrefixIndex
--- a/yewloom/platform/program.py
+++ b/yewloom/platform/program.py
@@ -19,7 +19,7 @@
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.http_calls import HttpClient
 from yewloom.log_sink import LogSink, configure_logs
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.platform.engines import HttpEngineClient
 from yewloom.platform.headers import HttpHeaderCodec
 from yewloom.platform.records import StoreRecordDecoder
--- a/yewloom/selection.py
+++ b/yewloom/selection.py
@@ -8,7 +8,7 @@
 from yewloom.directory import Endpoint, EndpointDirectory, MemberState
 from yewloom.endpoint_limits import EndpointLimits
 from yewloom.entry_states import PeerStates
-from yewloom.event_intervals import EventIntervals
+from yewloom.event_paces import EventIntervals
 from yewloom.ids import DataCentreId, HostId, ModelName, ServiceName
 from yewloom.reachability import Reachability
 from yewloom.routes import Route
--- a/yewloom/service_dispatch.py
+++ b/yewloom/service_dispatch.py
@@ -7,11 +7,11 @@
 from yewloom.http_calls import HttpResponse
 from yewloom.ids import HostId
 from yewloom.node import Node
+from yewloom.places import SlotPool
 from yewloom.problems import unavailable_problem
 from yewloom.recovery import next_step
 from yewloom.requests import ServiceRequest, ShareLookup, to_admission_request
 from yewloom.retries import AttemptTracker, RetryBudget
-from yewloom.slots import SlotPool
 from yewloom.states import Outcome
 
 logger = structlog.get_logger(__name__)
--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -17,7 +17,7 @@
 from yewloom.entry_states import PeerStates
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.forward_parts import ForwarderComponents, build_forwarder
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.planned_stop import PlannedStop
 from yewloom.platform.headers import HttpHeaderCodec
 from yewloom.reachability import Reachability
--- a/yewloom/tests/test_boot_clock.py
+++ b/yewloom/tests/test_boot_clock.py
@@ -17,7 +17,7 @@
 from yewloom.ids import AttemptId, EntryHostId
 from yewloom.key_trust import KeyTrust
 from yewloom.leases import LeaseKeeper, LeaseTiming, WriteLease
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.platform import program
 from yewloom.socket_ages import ReadAges
 from yewloom.tests.entry_support import make_configuration
--- a/yewloom/tests/test_callers.py
+++ b/yewloom/tests/test_callers.py
@@ -15,13 +15,13 @@
 from yewloom.dispatch import Dispatcher
 from yewloom.idempotency import IdempotentRunner
 from yewloom.ids import AttemptId, CustomerId
-from yewloom.loop_delay import LoopDelayMonitor
+from yewloom.loop_lateness import LoopDelayMonitor
 from yewloom.node import build_node
+from yewloom.places import SlotPool
 from yewloom.retries import RetryBudget
 from yewloom.schema.table_pb2 import CustomerRow, Row, ServiceRow, VersionedRow
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import parse_settings
-from yewloom.slots import SlotPool
 from yewloom.tests.support import FakeEngines, FakePlatform, make_policy, run_on_mock_clock
 from yewloom.tests.test_dispatch import ANSWER, SETTINGS
 
--- a/yewloom/tests/test_dispatch.py
+++ b/yewloom/tests/test_dispatch.py
@@ -14,6 +14,7 @@
 from yewloom.endpoints import ServiceCall
 from yewloom.ids import CustomerId, HostId, ModelName, RequestId
 from yewloom.node import Node, build_node
+from yewloom.places import SlotPool
 from yewloom.problems import Problem
 from yewloom.requests import ModelRequest, ServiceRequest
 from yewloom.retries import RetryBudget
@@ -28,7 +29,6 @@
 from yewloom.schema.table_pb2 import CustomerRow, Row, VersionedRow
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import parse_settings
-from yewloom.slots import SlotPool
 from yewloom.states import EngineState, GroupIntent, Outcome
 from yewloom.streams import StreamPosition
 from yewloom.tests.support import CallFault, FakeEngines, make_policy, run_on_mock_clock
--- a/yewloom/tests/test_event_intervals.py
+++ b/yewloom/tests/test_event_paces.py
@@ -5,7 +5,7 @@
 
 import unittest
 
-from yewloom.event_intervals import MIN_SLOW_INTERVAL_S, RECENT_S, EventIntervals
+from yewloom.event_paces import MIN_SLOW_INTERVAL_S, RECENT_S, EventIntervals
 from yewloom.ids import HostId
 
 NORMAL_INTERVAL_S = 0.05
--- a/yewloom/tests/test_loop_delay.py
+++ b/yewloom/tests/test_loop_lateness.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from yewloom.loop_delay import CATCH_UP_S, MIN_BLOCKED_S, LoopDelayMonitor
+from yewloom.loop_lateness import CATCH_UP_S, MIN_BLOCKED_S, LoopDelayMonitor
 
 BLOCKED_S = 3.0
 SHORT_S = MIN_BLOCKED_S / 2
--- a/yewloom/tests/test_retry_budget.py
+++ b/yewloom/tests/test_retry_window.py
@@ -7,7 +7,7 @@
 
 from yewloom.entry_states import PeerStates
 from yewloom.ids import EntryHostId
-from yewloom.retry_budget import RetryBudget
+from yewloom.retry_window import RetryBudget
 from yewloom.tests.entry_support import DATA_CENTRE, PLAIN
 
 STEPS = st.lists(st.tuples(st.booleans(), st.floats(0, 3)), max_size=60)
--- a/yewloom/tests/test_work.py
+++ b/yewloom/tests/test_work.py
@@ -12,8 +12,8 @@
 from yewloom.claims import ClaimRequest, ClaimResult
 from yewloom.counted_requests import RequestTrackingMiddleware
 from yewloom.ids import AttemptId, CustomerId, EntryHostId, IdempotencyKey, RequestId
+from yewloom.places import SlotPool
 from yewloom.problems import Problem
-from yewloom.slots import SlotPool
 from yewloom.states import ClaimState, Outcome, Phase
 from yewloom.tests.support import FakePlatform, run_on_mock_clock
 from yewloom.work import CountedTasks, WorkTracker
