--- a/yewloom/coordinator_records.py
+++ b/yewloom/coordinator_records.py
@@ -16,9 +16,9 @@
     WriteConflict,
     WriteError,
     WriteNotApplied,
-    WriteUnsettled,
+    WriteOutcomeUnknown,
     parse_record,
-    write_settled,
+    write_until_settled,
 )
 
 logger = structlog.get_logger(__name__)
@@ -69,7 +69,7 @@
             case Ok(stored):
                 self._apply_read(stored)
             case Err(error):
-                logger.info("failed to read lease record", reason=str(error))
+                logger.info("cannot read lease record", reason=str(error))
                 self._keeper.on_failed(trio.current_time())
 
     def _apply_read(self, stored: StoredObject | None) -> None:
@@ -83,7 +83,7 @@
 
     async def _write(self, lease: Lease, version: int) -> None:
         sent_s = trio.current_time()
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             self._key,
             lease,
@@ -95,7 +95,7 @@
             case Ok(stored):
                 self._keeper.on_written(lease, stored.version, sent_s, trio.current_time())
             case Err(error):
-                logger.info("failed to write lease record", reason=str(error))
+                logger.info("cannot write lease record", reason=str(error))
                 self._on_write_failed(error)
 
     def _on_write_failed(self, error: WriteError) -> None:
@@ -105,7 +105,7 @@
                 self._keeper.on_conflict()
             case WriteNotApplied():
                 self._keeper.on_failed(now_s)
-            case WriteUnsettled():
+            case WriteOutcomeUnknown():
                 self._keeper.on_unsettled(now_s)
 
 
@@ -129,7 +129,7 @@
             case Ok(stored):
                 return self._apply_read(stored)
             case Err(error):
-                logger.info("failed to read placement record", reason=str(error))
+                logger.info("cannot read placement record", reason=str(error))
         return False
 
     def _apply_read(self, stored: StoredObject | None) -> bool:
@@ -147,7 +147,7 @@
         """Replace the current record; return whether the write took effect."""
         attempt = uuid.uuid4().hex
         record.attempt_id = attempt
-        written = await write_settled(
+        written = await write_until_settled(
             self._platform,
             self._key,
             record,
@@ -160,6 +160,6 @@
                 self.current, self._version = record, stored.version
                 return True
             case Err(error):
-                logger.info("failed to write placement record", reason=str(error))
+                logger.info("cannot write placement record", reason=str(error))
                 self.forget()
         return False
--- a/yewloom/tests/test_event_paces.py
+++ b/yewloom/tests/test_event_paces.py
@@ -12,7 +12,7 @@
 A, B, C = (HostId(name) for name in "abc")
 
 
-class TestEventPaces(unittest.TestCase):
+class TestEventIntervals(unittest.TestCase):
     """A group counts as slow relative to others, by several events, while these are recent."""
 
     def setUp(self) -> None:
