--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -76,7 +76,7 @@
     Mutation(
         "peers: each message goes to more peers in a large fleet",
         "peer_turns",
-        "max(self._min_recipients, ceil(peers / self._round_messages))",
+        "max(self._min_recipients, ceil(peer_count / self._round_messages))",
         "self._min_recipients",
         "test_peer_turns",
     ),
--- a/yewloom/entry_exchange.py
+++ b/yewloom/entry_exchange.py
@@ -1,8 +1,8 @@
 """Exchange of state among entry hosts over UDP.
 
-Datagrams are used instead of calls: each message holds the full state of its sender, the next one
-follows a fifth of a second later, and no host waits for an unreachable peer. With many peers, each
-message goes to some of them in turn (``peer_turns``).
+Datagrams are used instead of remote procedure calls: each message holds the full state of its
+sender, the next one follows a fifth of a second later, and no host waits for an unreachable peer.
+With many peers, each message goes to some of them in turn (``peer_turns``).
 """
 
 import socket
@@ -20,7 +20,7 @@
 from yewloom.listed_endpoints import ChangedEndpoints, encode_changes
 from yewloom.own_state import OwnStateBuilder
 from yewloom.peer_intake import PeerIntake
-from yewloom.peer_turns import SEND_INTERVAL_S, PeerTurns, Turn
+from yewloom.peer_turns import SEND_INTERVAL_S, Recipient, RecipientSelector
 from yewloom.schema.entry_pb2 import EntryMessage, EntryState
 
 logger = structlog.get_logger(__name__)
@@ -56,7 +56,7 @@
         self._own_state = own_state
         self._intake = intake
         self._loop_delay_s = loop_delay_s
-        self._turns = PeerTurns()
+        self._recipient_selector = RecipientSelector()
         self._new_peers: set[EntryHostId] = set()
         self._send_event = trio.Event()
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -74,7 +74,7 @@
             nursery.start_soon(self._send)
 
     def send_changes(self, changes: ChangedEndpoints) -> None:
-        """Send changed endpoints to the peers in this data centre, if this host has the duty to."""
+        """Send changed endpoints to the peers in this data centre, if this host is a follower."""
         if not self._duty.has_duty():
             return
         data = EntryMessage(changes=encode_changes(changes)).SerializeToString()
@@ -111,24 +111,24 @@
             now_s = trio.current_time()
             self._peer_states.drop_expired(now_s)
             common = EntryMessage(state=self._own_state.next_state(now_s)).SerializeToString()
-            for turn in self._next_turns(is_urgent):
+            for recipient in self._next_recipients(is_urgent):
                 # Concatenated protobuf messages are parsed as one merged message.
-                peer_part = EntryMessage(state=self._peer_fields(turn)).SerializeToString()
-                self._send_to(turn.peer, common + peer_part)
+                peer_part = EntryMessage(state=self._peer_fields(recipient)).SerializeToString()
+                self._send_to(recipient.peer, common + peer_part)
 
-    def _peer_fields(self, turn: Turn) -> EntryState:
-        """Return the fields meant for one peer: the echo, or this host's address before the first.
+    def _peer_fields(self, recipient: Recipient) -> EntryState:
+        """Return the fields for one peer: the echo of its last message, or this host's address.
 
-        A peer from which no message was received may not know this host; it needs the address to
+        A peer from which no message was received may not know this host and needs the address to
         answer.
         """
-        fields = self._peer_states.echo_for(turn.peer)
-        fields.interval_ms = round(turn.interval_s * 1000)
+        fields = self._peer_states.echo_for(recipient.peer)
+        fields.interval_ms = round(recipient.interval_s * 1000)
         if not fields.echoed_started_unix_ms:
             fields.address = self._addresses.own.address
         return fields
 
-    def _next_turns(self, is_urgent: bool) -> list[Turn]:
+    def _next_recipients(self, is_urgent: bool) -> list[Recipient]:
         """Return the recipients of the next message.
 
         Urgent changes, the messages of hosts that follow the store, and the first messages of a
@@ -139,7 +139,7 @@
         to_all_near = is_urgent or self._duty.has_duty() or self._duty.is_starting()
         always = set(near) if to_all_near else self._duty.near_followers() | self._new_peers
         self._new_peers = set()
-        return self._turns.next_turns(near, remote, always)
+        return self._recipient_selector.next_recipients(near, remote, always)
 
     def _near_peers(self) -> list[EntryHostId]:
         """Return the peers in this data centre."""
@@ -187,7 +187,7 @@
             except BlockingIOError:
                 return
             except DecodeError as error:
-                logger.info("cannot parse datagram", reason=str(error))
+                logger.info("cannot decode datagram", reason=str(error))
             except OSError as error:
-                # Reports that an earlier datagram reached a host without a listener on its port.
+                # Reports that nothing listens on the port to which an earlier datagram was sent.
                 logger.debug("datagram not delivered", reason=str(error))
--- a/yewloom/peer_turns.py
+++ b/yewloom/peer_turns.py
@@ -1,9 +1,9 @@
 """Selects the recipients of the next message: all peers that need each one, others in turn.
 
-The known loads of endpoints may be some hundred milliseconds old. Messages between the hosts of a
-data centre and those of them that follow the store must not be delayed: the age of a host's
-information counts from the last of its messages that a follower had read before it sent its own. So
-followers get each message, and the work of a host grows with the number of followers in its data
+The known loads of endpoints may be some hundred milliseconds old. Messages between the followers of
+the store and the other hosts of their data centre must not be delayed, though. A host dates a
+follower's information to the last of its own messages that the follower had read before sending it.
+So followers get each message, and the work of a host grows with the number of followers in its data
 centre, not with the number of hosts. With very many peers, more of them get each message, so that
 none waits too long for its turn.
 """
@@ -19,8 +19,10 @@
 """Interval between two messages of a host."""
 
 MIN_NEAR_RECIPIENTS = 8
-"""Minimum number of peers in the same data centre, besides followers, that get each message of a
-host that does not follow the store."""
+"""Minimum number of near peers, besides followers, that get each message of a host.
+
+Near peers are those in the same data centre. A host that follows the store itself sends each
+message to all of them."""
 
 MIN_REMOTE_RECIPIENTS = 8
 """Minimum number of peers in other data centres that get each message."""
@@ -33,8 +35,8 @@
 
 
 @value_class
-class Turn:
-    """A recipient of a message, and the longest time until it gets the next one."""
+class Recipient:
+    """A peer that gets a message, and the longest time until it gets the next one."""
 
     peer: EntryHostId
     interval_s: float
@@ -48,35 +50,39 @@
         self._round_messages = round(round_s / SEND_INTERVAL_S)
         self._first = 0
 
-    def recipients(self, peers: int) -> int:
+    def recipient_count(self, peer_count: int) -> int:
         """Return the number of peers that get each message, given the number of all peers."""
-        return min(peers, max(self._min_recipients, ceil(peers / self._round_messages)))
+        return min(peer_count, max(self._min_recipients, ceil(peer_count / self._round_messages)))
 
-    def interval_s(self, peers: int) -> float:
+    def interval_s(self, peer_count: int) -> float:
         """Return the longest time between two messages to a peer, given the number of all peers."""
-        return ceil(peers / self.recipients(peers)) * SEND_INTERVAL_S if peers else SEND_INTERVAL_S
+        return (
+            ceil(peer_count / self.recipient_count(peer_count)) * SEND_INTERVAL_S
+            if peer_count
+            else SEND_INTERVAL_S
+        )
 
     def next_peers(self, peers: Sequence[EntryHostId]) -> list[EntryHostId]:
         """Return the peers that get the next message."""
-        count = self.recipients(len(peers))
+        count = self.recipient_count(len(peers))
         first = self._first % max(1, len(peers))
         self._first = first + count
         return list(islice([*peers, *peers], first, first + count))
 
 
-class PeerTurns:
+class RecipientSelector:
     """Selects the recipients of each message."""
 
     def __init__(self) -> None:
         self._near = RoundRobin(MIN_NEAR_RECIPIENTS, NEAR_ROUND_S)
         self._remote = RoundRobin(MIN_REMOTE_RECIPIENTS, REMOTE_ROUND_S)
 
-    def next_turns(
+    def next_recipients(
         self,
         near: Sequence[EntryHostId],
         remote: Sequence[EntryHostId],
         always: Container[EntryHostId],
-    ) -> list[Turn]:
+    ) -> list[Recipient]:
         """Return the recipients of the next message.
 
         ``near`` and ``remote`` are the peers in this and in other data centres; those near peers
@@ -85,13 +91,13 @@
         chosen = [peer for peer in near if peer in always]
         others = [peer for peer in near if peer not in always]
         return [
-            *(Turn(peer, SEND_INTERVAL_S) for peer in chosen),
+            *(Recipient(peer, SEND_INTERVAL_S) for peer in chosen),
             *(
-                Turn(peer, self._near.interval_s(len(others)))
+                Recipient(peer, self._near.interval_s(len(others)))
                 for peer in self._near.next_peers(others)
             ),
             *(
-                Turn(peer, self._remote.interval_s(len(remote)))
+                Recipient(peer, self._remote.interval_s(len(remote)))
                 for peer in self._remote.next_peers(remote)
             ),
         ]
--- a/yewloom/tests/test_entry_exchange.py
+++ b/yewloom/tests/test_entry_exchange.py
@@ -16,7 +16,7 @@
 from yewloom.tests.free_ports import allocate_address
 from yewloom.tests.support import FakePlatform
 
-ME = EntryHostId("me")
+OWN_ID = EntryHostId("me")
 
 
 class TestEntryExchange(unittest.TestCase):
@@ -24,9 +24,9 @@
 
     def test_exchange_can_be_run_again_after_an_error(self) -> None:
         async def main() -> None:
-            peer_states = PeerStates(ME, DATA_CENTRE)
+            peer_states = PeerStates(OWN_ID, DATA_CENTRE)
             own = PeerAddress(allocate_address(), DATA_CENTRE)
-            addresses = EntryAddresses(ME, own, FakePlatform(), FakePlatform(), peer_states)
+            addresses = EntryAddresses(OWN_ID, own, FakePlatform(), FakePlatform(), peer_states)
             parts = [Mock(spec=part) for part in (FollowDuty, OwnStateBuilder, PeerIntake)]
             exchange = EntryExchange(addresses, peer_states, *parts)
             for _ in range(2):
--- a/yewloom/tests/test_peer_turns.py
+++ b/yewloom/tests/test_peer_turns.py
@@ -1,4 +1,4 @@
-"""Tests of the selection of recipients, modelled on a data centre of many entry hosts."""
+"""Tests of the selection of recipients in data centres with many entry hosts."""
 
 import unittest
 from collections.abc import Container, Sequence
@@ -11,7 +11,7 @@
     NEAR_ROUND_S,
     REMOTE_ROUND_S,
     SEND_INTERVAL_S,
-    PeerTurns,
+    RecipientSelector,
 )
 from yewloom.schema.entry_pb2 import EndpointLoad, EntryState
 from yewloom.tests.entry_support import DATA_CENTRE
@@ -22,45 +22,45 @@
 
 
 def _recipients(
-    turns: PeerTurns,
+    selector: RecipientSelector,
     near: Sequence[EntryHostId],
     remote: Sequence[EntryHostId],
     always: Container[EntryHostId],
 ) -> list[EntryHostId]:
-    return [turn.peer for turn in turns.next_turns(near, remote, always)]
+    return [recipient.peer for recipient in selector.next_recipients(near, remote, always)]
 
 
-class TestPeerTurns(unittest.TestCase):
+class TestRecipientSelector(unittest.TestCase):
     """The number of recipients grows with the number of peers up to a bound."""
 
     def test_all_peers_of_a_small_deployment_get_each_message(self) -> None:
         near, remote = _hosts("near", 2), _hosts("remote", 6)
-        self.assertEqual(_recipients(PeerTurns(), near, remote, ()), [*near, *remote])
+        self.assertEqual(_recipients(RecipientSelector(), near, remote, ()), [*near, *remote])
 
     def test_peers_of_a_large_deployment_get_equally_many_messages(self) -> None:
-        near, remote, turns = _hosts("near", 22), _hosts("remote", 45), PeerTurns()
+        near, remote, selector = _hosts("near", 22), _hosts("remote", 45), RecipientSelector()
         recipients: list[EntryHostId] = []
         for _ in range(22 * 45):
-            next_recipients = _recipients(turns, near, remote, ())
+            next_recipients = _recipients(selector, near, remote, ())
             self.assertEqual(len(next_recipients), MIN_NEAR_RECIPIENTS + MIN_REMOTE_RECIPIENTS)
             recipients += next_recipients
         self.assertEqual(len({recipients.count(peer) for peer in near}), 1)
         self.assertEqual(len({recipients.count(peer) for peer in remote}), 1)
 
     def test_all_near_peers_get_the_message_if_all_are_in_always(self) -> None:
-        near, turns = _hosts("near", 22), PeerTurns()
-        self.assertEqual(_recipients(turns, near, [], near), near)
+        near, selector = _hosts("near", 22), RecipientSelector()
+        self.assertEqual(_recipients(selector, near, [], near), near)
 
     def test_followers_get_each_message_in_addition_to_the_rotation(self) -> None:
-        near, turns = _hosts("near", 22), PeerTurns()
+        near, selector = _hosts("near", 22), RecipientSelector()
         for _ in range(5):
-            recipients = _recipients(turns, near, [], {near[3], near[9]})
+            recipients = _recipients(selector, near, [], {near[3], near[9]})
             self.assertLessEqual({near[3], near[9]}, set(recipients))
             self.assertEqual(len(recipients), len(set(recipients)))
             self.assertEqual(len(recipients), MIN_NEAR_RECIPIENTS + 2)
 
     def test_host_without_peers_sends_nothing(self) -> None:
-        self.assertEqual(_recipients(PeerTurns(), [], [], ()), [])
+        self.assertEqual(_recipients(RecipientSelector(), [], [], ()), [])
 
 
 class TestIntervals(unittest.TestCase):
@@ -70,25 +70,25 @@
     """
 
     def _loads_seen(self, near: int, remote: int) -> set[int]:
-        """Return the loads seen by a near and a remote peer while every second message is lost."""
+        """Return the loads seen by a near and a remote peer if every second message is lost."""
         own_id, peers = EntryHostId("me"), (_hosts("near", near), _hosts("remote", remote))
-        boards = {
+        states_by_peer = {
             peers[0][-1]: PeerStates(EntryHostId("near"), DATA_CENTRE),
             peers[1][-1]: PeerStates(EntryHostId("remote"), DataCentreId("elsewhere")),
         }
-        turns, sent, seen = PeerTurns(), dict.fromkeys(boards, 0), set[int]()
+        selector, sent, seen = RecipientSelector(), dict.fromkeys(states_by_peer, 0), set[int]()
         for step in range(int(6 * REMOTE_ROUND_S / SEND_INTERVAL_S)):
             now_s = step * SEND_INTERVAL_S
-            for turn in turns.next_turns(*peers, always=()):
-                if turn.peer not in boards:
+            for recipient in selector.next_recipients(*peers, always=()):
+                if recipient.peer not in states_by_peer:
                     continue
-                sent[turn.peer] += 1
-                if sent[turn.peer] % 2:
+                sent[recipient.peer] += 1
+                if sent[recipient.peer] % 2:
                     state = EntryState(host_id=own_id, data_centre=DATA_CENTRE, sequence=step + 1)
                     state.loads.append(EndpointLoad(endpoint="a", running=5))
-                    state.interval_ms = round(turn.interval_s * 1000)
-                    boards[turn.peer].update(state, now_s)
-            for peer, peer_states in boards.items():
+                    state.interval_ms = round(recipient.interval_s * 1000)
+                    states_by_peer[recipient.peer].update(state, now_s)
+            for peer, peer_states in states_by_peer.items():
                 peer_states.drop_expired(now_s)
                 if sent[peer]:
                     seen.add(peer_states.running(HostId("a")))
@@ -101,10 +101,12 @@
                 self.assertEqual(self._loads_seen(near, max(1, hosts - near)), {5})
 
     def test_no_peer_waits_longer_than_a_round(self) -> None:
-        turns = PeerTurns()
+        selector = RecipientSelector()
         for near, remote in ((2, 6), (42, 152), (220, 880)):
-            next_turns = turns.next_turns(_hosts("near", near), _hosts("remote", remote), always=())
-            near_s = max(t.interval_s for t in next_turns if t.peer.startswith("near"))
-            remote_s = max(t.interval_s for t in next_turns if t.peer.startswith("remote"))
+            recipients = selector.next_recipients(
+                _hosts("near", near), _hosts("remote", remote), always=()
+            )
+            near_s = max(r.interval_s for r in recipients if r.peer.startswith("near"))
+            remote_s = max(r.interval_s for r in recipients if r.peer.startswith("remote"))
             self.assertLessEqual(round(near_s, 6), NEAR_ROUND_S)
             self.assertLessEqual(round(remote_s, 6), REMOTE_ROUND_S)
