--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -360,7 +360,7 @@
     Mutation(
         "unanswered calls: the pause after a failed call counts from the start of the call",
         "followers",
-        "asked_s + self._policy.retry_pause_s(self._failures) - trio.current_time()",
+        "called_s + self._policy.retry_pause_s(self._failures) - trio.current_time()",
         "self._policy.retry_pause_s(self._failures)",
         "test_followers",
     ),
@@ -374,14 +374,14 @@
     Mutation(
         "delays: a host that knows of a newer configuration gives no final refusal",
         "key_trust",
-        "return not is_late and not self._configuration_state.is_outdated",
-        "return not is_late",
+        "return not is_too_old and not self._configuration_state.is_outdated",
+        "return not is_too_old",
         "test_silent_connections",
     ),
     Mutation(
         "delays: no final refusal is given once changes may have been missed",
         "key_trust",
-        "return not is_late and not self._configuration_state.is_outdated",
+        "return not is_too_old and not self._configuration_state.is_outdated",
         "return not self._configuration_state.is_outdated",
         "test_key_trust",
     ),
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -16,8 +16,9 @@
 logger = structlog.get_logger(__name__)
 
 IDLE_CHECK_S = 0.2
-"""Interval at which an idle host checks whether it must call the platform: the interval of peers'
-messages."""
+"""Interval at which an idle host checks whether it must call the platform.
+
+Peers send their messages at the same interval."""
 
 
 @value_class
@@ -61,19 +62,19 @@
 
 
 class Follower:
-    """Follows the objects of one kind and passes each update to ``take``."""
+    """Follows the objects of one kind and passes each update to ``apply_update``."""
 
     def __init__(
         self,
         platform: Platform,
         kind: str,
-        take: Callable[[Update], None],
+        apply_update: Callable[[Update], None],
         followed: FollowedPosition,
         policy: FollowPolicy,
     ) -> None:
         self._platform = platform
         self._kind = kind
-        self._take = take
+        self._apply_update = apply_update
         self._followed = followed
         self._policy = policy
         self._failures = 0
@@ -118,7 +119,7 @@
         return self._followed.position is None or self._failures > 0
 
     async def _step(self) -> None:
-        asked_s = trio.current_time()
+        called_s = trio.current_time()
         base = None if self._must_list() else self._followed.position
         if base is None:
             found = await self._platform.list(self._kind)
@@ -129,21 +130,21 @@
                 return
         match found:
             case Ok(listing):
-                confirmed_s = asked_s + listing.confirmed_after_s
+                confirmed_s = called_s + listing.confirmed_after_s
                 update = Update(listing, base, confirmed_s, self._failures > 0)
                 self._apply(update)
                 if base is not None and update.has_changes:
                     await trio.sleep(self._policy.batch_pause_s())
             case Err(error):
-                await self._on_error(error, asked_s)
+                await self._on_error(error, called_s)
 
     def _apply(self, update: Update) -> None:
         if self._failures and update.is_full_listing:
             logger.info("platform reachable again", kind=self._kind, failures=self._failures)
         if update.base is not None and self._followed.position is None:
-            return  # A listing was requested while the watch's answer was in transit.
+            return  # A listing was requested while the response to the watch was in transit.
         if not self._is_outdated(update):
-            self._take(update)
+            self._apply_update(update)
         position = update.listing.position
         if update.is_full_listing:
             self._followed.record_listing(position, update.confirmed_s)
@@ -157,11 +158,11 @@
         known = self._followed.position
         return update.has_changes and known is not None and update.listing.position < known
 
-    async def _on_error(self, error: PlatformError, asked_s: float) -> None:
+    async def _on_error(self, error: PlatformError, called_s: float) -> None:
         """Wait before the next call; changes from peers are still applied meanwhile.
 
         The pause counts from the start of the failed call. So a call that waited for its time-out
-        is retried at once, since the fault may be in its connection alone. The pause is evaluated
+        is retried at once, since the fault may lie only in its connection. The pause is evaluated
         again at each step, so a host that becomes a follower meanwhile waits no longer than other
         followers do.
         """
@@ -172,9 +173,9 @@
         if not self._failures:
             logger.warning("platform unreachable", kind=self._kind, reason=str(error))
         self._failures += 1
-        while (remaining_s := self._remaining_pause_s(asked_s)) > 0:
+        while (remaining_s := self._remaining_pause_s(called_s)) > 0:
             if await self._pause(min(remaining_s, IDLE_CHECK_S)):
                 return
 
-    def _remaining_pause_s(self, asked_s: float) -> float:
-        return asked_s + self._policy.retry_pause_s(self._failures) - trio.current_time()
+    def _remaining_pause_s(self, called_s: float) -> float:
+        return called_s + self._policy.retry_pause_s(self._failures) - trio.current_time()
--- a/yewloom/key_trust.py
+++ b/yewloom/key_trust.py
@@ -21,7 +21,11 @@
 
 
 class KeyTrust:
-    """Decides by the configuration's age whether keys may be accepted or refused."""
+    """Decides by the configuration's age whether keys may be accepted or refused.
+
+    If ``needs_proof`` is true, as in strict deployments, keys are accepted only while the
+    configuration is confirmed to be recent enough.
+    """
 
     def __init__(
         self,
@@ -43,5 +47,5 @@
 
     def may_refuse_permanently(self, now_s: float) -> bool:
         """Return whether an unknown route or key may be refused permanently."""
-        is_late = self._configuration_state.age_s(now_s) > self._configuration_apply_s
-        return not is_late and not self._configuration_state.is_outdated
+        is_too_old = self._configuration_state.age_s(now_s) > self._configuration_apply_s
+        return not is_too_old and not self._configuration_state.is_outdated
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -14,10 +14,10 @@
 from yewloom.schema.records_pb2 import Host
 from yewloom.tests.support import run_on_mock_clock
 
-LOST = PlatformError(PlatformFailure.NOT_APPLIED, "down")
+DOWN = PlatformError(PlatformFailure.NOT_APPLIED, "down")
 EXPIRED = PlatformError(PlatformFailure.EXPIRED, "history gone")
 RETRY_PAUSE_S = 0.2
-PACE = FollowPolicy(lambda: True, lambda: 0.1, lambda failures: RETRY_PAUSE_S)
+POLICY = FollowPolicy(lambda: True, lambda: 0.1, lambda failures: RETRY_PAUSE_S)
 STORED = StoredObject("k/a", 3, "{}")
 
 
@@ -58,7 +58,7 @@
 
 
 def _follow(
-    platform: _ScriptedPlatform, for_s: float = 60.0, policy: FollowPolicy = PACE
+    platform: _ScriptedPlatform, for_s: float = 60.0, policy: FollowPolicy = POLICY
 ) -> list[Update]:
     """Follow for a time and return the updates."""
     updates: list[Update] = []
@@ -81,7 +81,7 @@
         self.assertEqual(platform.calls, ["list", "watch 5", "watch 7", "watch 9"])
         self.assertEqual([update.is_full_listing for update in updates], [True, False, False])
 
-    def test_update_is_dated_to_the_start_of_its_call_or_to_proved_after_s(self) -> None:
+    def test_update_is_dated_to_the_start_of_its_call_or_to_confirmed_after_s(self) -> None:
         confirmed = Listing([], 7, confirmed_after_s=0.4)
         updates = _follow(_ScriptedPlatform(Listing([], 5), confirmed))
         self.assertAlmostEqual(updates[1].confirmed_s - updates[0].confirmed_s, 0.5 + 0.4)
@@ -94,7 +94,7 @@
 
     def test_first_listing_after_an_outage_is_marked(self) -> None:
         platform = _ScriptedPlatform(
-            Listing([], 5), LOST, LOST, Listing([], 9), Listing([], 11), EXPIRED, Listing([], 12)
+            Listing([], 5), DOWN, DOWN, Listing([], 9), Listing([], 11), EXPIRED, Listing([], 12)
         )
         updates = _follow(platform)
         self.assertEqual(platform.calls[2:4], ["list", "list"])
@@ -102,24 +102,24 @@
 
     def test_host_without_the_duty_lists_once_and_then_stays_idle(self) -> None:
         platform = _ScriptedPlatform(Listing([STORED], 5), Listing([], 7))
-        idle = replace(PACE, must_call=lambda: False)
+        idle = replace(POLICY, must_call=lambda: False)
         self.assertEqual(len(_follow(platform, policy=idle)), 1)
         self.assertEqual(platform.calls, ["list"])
 
     def test_pauses_depend_on_the_number_of_failures_during_an_outage(self) -> None:
-        idle = replace(PACE, must_call=lambda: False, retry_pause_s=lambda failures: 2 * failures)
+        idle = replace(POLICY, must_call=lambda: False, retry_pause_s=lambda failures: 2 * failures)
         waited_s = 2.0 + 4.0
-        platform = _ScriptedPlatform(LOST, LOST, Listing([], 9), pause_s=0.0)
+        platform = _ScriptedPlatform(DOWN, DOWN, Listing([], 9), pause_s=0.0)
         self.assertEqual(len(_follow(platform, for_s=waited_s - 0.1, policy=idle)), 0)
-        platform = _ScriptedPlatform(LOST, LOST, Listing([], 9), pause_s=0.0)
+        platform = _ScriptedPlatform(DOWN, DOWN, Listing([], 9), pause_s=0.0)
         self.assertEqual(len(_follow(platform, for_s=waited_s + 0.1, policy=idle)), 1)
 
     def test_host_that_becomes_a_follower_waits_no_longer_than_other_followers(self) -> None:
-        platform = _ScriptedPlatform(LOST, Listing([], 9), pause_s=0.0)
+        platform = _ScriptedPlatform(DOWN, Listing([], 9), pause_s=0.0)
         pause_s = [60.0]
 
         async def main() -> None:
-            policy = replace(PACE, retry_pause_s=lambda failures: pause_s[0])
+            policy = replace(POLICY, retry_pause_s=lambda failures: pause_s[0])
             follower = Follower(platform, "k", lambda update: None, FollowedPosition(), policy)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
@@ -133,11 +133,11 @@
         run_on_mock_clock(main)
 
     def test_host_without_access_to_the_platform_continues_with_changes_from_peers(self) -> None:
-        platform = _ScriptedPlatform(Listing([], 5), *[LOST] * 20, Listing([STORED], 8))
+        platform = _ScriptedPlatform(Listing([], 5), *[DOWN] * 20, Listing([STORED], 8))
         followed, updates = FollowedPosition(), list[Update]()
 
         async def main() -> None:
-            follower = Follower(platform, "k", updates.append, followed, PACE)
+            follower = Follower(platform, "k", updates.append, followed, POLICY)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(5)
@@ -158,7 +158,7 @@
         followed = FollowedPosition()
 
         async def main() -> None:
-            follower = Follower(platform, "k", lambda update: None, followed, PACE)
+            follower = Follower(platform, "k", lambda update: None, followed, POLICY)
             original_watch = platform.watch
 
             async def watch(prefix: str, position: int) -> Result[Listing, PlatformError]:
@@ -177,11 +177,11 @@
         platform = _ScriptedPlatform(Listing([], 5), Listing([STORED], 8))
         followed, updates = FollowedPosition(), list[Update]()
 
-        def take(update: Update) -> None:
+        def apply_update(update: Update) -> None:
             updates.append(update)
 
         async def main() -> None:
-            follower = Follower(platform, "k", take, followed, PACE)
+            follower = Follower(platform, "k", apply_update, followed, POLICY)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(0.7)  # The watch from 5 is in progress.
@@ -197,7 +197,7 @@
         platform = _ScriptedPlatform(Listing([], 5), pause_s=0.1)
 
         async def main() -> None:
-            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), PACE)
+            follower = Follower(platform, "k", lambda update: None, FollowedPosition(), POLICY)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(1.0)
@@ -209,8 +209,8 @@
         self.assertEqual(platform.calls, ["list", "watch 5", "list"])
 
     def test_host_that_waits_after_a_failed_call_lists_as_soon_as_requested(self) -> None:
-        platform = _ScriptedPlatform(Listing([], 5), LOST, Listing([], 9), pause_s=0.0)
-        slow_retry = replace(PACE, retry_pause_s=lambda failures: 5 * RETRY_PAUSE_S)
+        platform = _ScriptedPlatform(Listing([], 5), DOWN, Listing([], 9), pause_s=0.0)
+        slow_retry = replace(POLICY, retry_pause_s=lambda failures: 5 * RETRY_PAUSE_S)
 
         async def main() -> None:
             follower = Follower(platform, "k", lambda update: None, FollowedPosition(), slow_retry)
@@ -236,7 +236,7 @@
             return False
 
         async def main() -> None:
-            idle = replace(PACE, must_call=must_call)
+            idle = replace(POLICY, must_call=must_call)
             follower = Follower(platform, "k", lambda update: None, FollowedPosition(), idle)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
@@ -249,6 +249,6 @@
         self.assertLess(checks, 5.0 / IDLE_CHECK_S + 5)
 
     def test_call_that_waited_for_its_timeout_is_retried_without_a_pause(self) -> None:
-        silent = PlatformError(PlatformFailure.AMBIGUOUS, "timed out")
-        platform = _ScriptedPlatform(Listing([], 5), silent, Listing([], 9), pause_s=1.5)
+        timed_out = PlatformError(PlatformFailure.AMBIGUOUS, "timed out")
+        platform = _ScriptedPlatform(Listing([], 5), timed_out, Listing([], 9), pause_s=1.5)
         self.assertEqual(len(_follow(platform, for_s=4.6)), 2)
--- a/yewloom/tests/test_key_trust.py
+++ b/yewloom/tests/test_key_trust.py
@@ -1,6 +1,6 @@
-"""Tests of which requests a host serves in a store outage that outlasts its confirmations.
+"""Tests of which requests a host serves during a store outage that outlasts its confirmations.
 
-The outage takes 11 s, like the longest one in the trial deployments. Meanwhile callers keep sending
+The outage lasts 11 s, like the longest one in the trial deployments. Meanwhile callers keep sending
 requests with known and unknown keys, hosts start, and other hosts may learn of changes.
 """
 
@@ -53,7 +53,7 @@
         )
 
     def status(self, at_s: float, key: str = "k1", path: str = "/s/1") -> int:
-        """Return the status of the answer to a request received at some time."""
+        """Return the status of the response to a request received at some time."""
         headers = [(b"host", b"x.example"), (b"authorization", f"Token {key}".encode())]
         headers.append((b"yewloom-request-id", b"r1"))
         source = CallerRequest(b"POST", path.encode(), headers, b"", at_s, at_s, 1, None)
@@ -67,7 +67,7 @@
 
 
 class TestOutage(unittest.TestCase):
-    """Answers while the configuration is not confirmed."""
+    """Responses while the configuration is not confirmed."""
 
     def test_strict_host_refuses_keys_once_its_confirmation_is_too_old(self) -> None:
         host = Host(needs_proof=True)
