--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -1,8 +1,8 @@
-"""Exchange of state between entry hosts: building requests, answering them, applying answers.
+"""Exchange of state between entry hosts: builds requests and responses, and applies responses.
 
-State is exchanged only by request and answer. The requesting host counts the age of an answer from
-before it sent the request, so a slow or paused peer can only make data look older than it is, never
-more recent.
+State is exchanged only by request and response. The requesting host counts the age of a response
+from before it sent the request, so a slow or paused peer can only make data look older than it is,
+never more recent.
 """
 
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 def build_request(node: Node, now_s: float, wants_members: bool = True) -> ExchangeRequest:
     """Return the request for a peer.
 
-    ``wants_members`` asks for the list of entry hosts, which is the largest part of an answer.
+    ``wants_members`` asks for the list of entry hosts, which is the largest part of a response.
     """
     return ExchangeRequest(
         sender=node.membership.own_member,
@@ -41,7 +41,7 @@
 
 
 def build_response(node: Node, request: ExchangeRequest, now_s: float) -> ExchangeResponse:
-    """Return the answer to a peer's request."""
+    """Return the response to a peer's request."""
     node.membership.merge([request.sender], now_s)
     response = ExchangeResponse(
         responder=node.membership.own_member,
@@ -52,14 +52,14 @@
         services=node.fleet.service_reports(now_s),
     )
     if request.sender.data_centre == node.data_centre:
-        _answer_shares(node, request, response, now_s)
+        _add_shares(node, request, response, now_s)
     return response
 
 
-def _answer_shares(
+def _add_shares(
     node: Node, request: ExchangeRequest, response: ExchangeResponse, now_s: float
 ) -> None:
-    """Add the shares to the answer for a peer in the same data centre, and lend to it."""
+    """Add the shares to the response to a peer in the same data centre, and loans to it."""
     node.obeyed_shares[request.share_state.instance] = request.share_state.obeyed_generation
     response.share_state.CopyFrom(node.share_state(now_s))
     if node.shares.record.generation > request.shares_generation:
@@ -68,17 +68,19 @@
     response.loans.extend(node.shares.lend(request.share_state, in_flight, now_s))
 
 
-def apply_response(node: Node, response: ExchangeResponse, asked_s: float, now_s: float) -> bool:
-    """Apply a peer's answer; return whether its table differs from this host's."""
+def apply_response(
+    node: Node, response: ExchangeResponse, requested_s: float, now_s: float
+) -> bool:
+    """Apply a peer's response; return whether its table differs from this host's."""
     node.membership.merge([*response.members, response.responder], now_s)
     node.shares.instance = node.instance
     apply_placements(node, response.placements)
-    node.fleet.merge_groups(response.groups, asked_s)
-    node.fleet.merge_services(response.services, asked_s)
+    node.fleet.merge_groups(response.groups, requested_s)
+    node.fleet.merge_services(response.services, requested_s)
     if response.responder.data_centre == node.data_centre:
         node.obeyed_shares[response.share_state.instance] = response.share_state.obeyed_generation
         node.shares.apply(response.shares)
-        node.shares.add_loans(response.loans, asked_s)
+        node.shares.add_loans(response.loans, requested_s)
     return response.table_digest != node.table.digest
 
 
--- a/yewloom/peers.py
+++ b/yewloom/peers.py
@@ -33,7 +33,7 @@
 
 
 class PeerServicer(peer_pb2_grpc.PeerServicer):
-    """Answers the requests of peers."""
+    """Responds to the requests of peers."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -103,12 +103,12 @@
         return True
 
     async def _exchange_with(self, address: str, wants_members: bool) -> None:
-        asked_s = trio.current_time()
+        requested_s = trio.current_time()
         stub = peer_pb2_grpc.PeerStub(self._channel(address))  # type: ignore[no-untyped-call]
         try:
-            request = exchange.build_request(self._node, asked_s, wants_members)
+            request = exchange.build_request(self._node, requested_s, wants_members)
             response = await self._call(stub.Exchange, request)
-            if exchange.apply_response(self._node, response, asked_s, trio.current_time()):
+            if exchange.apply_response(self._node, response, requested_s, trio.current_time()):
                 rows = await self._call(stub.FetchRows, exchange.build_rows_request(self._node))
                 exchange.apply_rows(self._node, rows.rows, f"peer {response.responder.id}")
         except grpc.aio.AioRpcError as error:
--- a/yewloom/platforms.py
+++ b/yewloom/platforms.py
@@ -22,7 +22,7 @@
 _WATCH_SLACK_S = 2.0
 
 DOWN_AFTER_FAILURES = 2
-"""Consecutive calls without an answer after which the platform is considered down."""
+"""Consecutive calls without an answer after which the platform is considered to be down."""
 
 T = TypeVar("T")
 
@@ -64,8 +64,8 @@
     """Objects, and the position in the platform's history from which to watch for changes.
 
     ``removed`` contains the keys that a watch reports as deleted. ``confirmed_after_s`` is the time
-    after sending the call up to which the answer is known to be complete: the duration of a watch
-    that ended without changes, otherwise 0.
+    after the start of the call up to which the result is known to be complete: the duration of a
+    watch that ended without changes, otherwise 0.
     """
 
     objects: Sequence[StoredObject]
@@ -110,13 +110,13 @@
 
     def __init__(
         self,
-        caller: HttpClient,
+        client: HttpClient,
         url: str,
         timeout_s: float,
         watch_timeout_s: float,
         token: str = "",
     ) -> None:
-        self._caller = caller
+        self._client = client
         self._url = url.rstrip("/")
         self._timeout_s = timeout_s
         self._watch_timeout_s = watch_timeout_s
@@ -134,8 +134,8 @@
         match await self._call("get", "GET", f"/v1/objects/{quote(key)}"):
             case Ok(HttpResponse(status=404)):
                 return Ok(None)
-            case Ok(answer):
-                return _decode(answer, _stored_object)
+            case Ok(response):
+                return _decode(response, _stored_object)
             case Err(error):
                 return Err(error)
 
@@ -148,16 +148,16 @@
         )
         path = f"/v1/objects/{quote(key)}"
         match await self._call("update", "PUT", path, value.encode(), condition):
-            case Ok(answer):
-                return _decode(answer, lambda fields: int(fields["version"]))
+            case Ok(response):
+                return _decode(response, lambda fields: int(fields["version"]))
             case Err(error):
                 return Err(error)
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
         """Read all objects whose keys start with a prefix."""
         match await self._call("list", "GET", f"/v1/objects?{urlencode({'prefix': prefix})}"):
-            case Ok(answer):
-                return _decode(answer, _listing)
+            case Ok(response):
+                return _decode(response, _listing)
             case Err(error):
                 return Err(error)
 
@@ -172,8 +172,8 @@
         )
         timeout_s = self._watch_timeout_s + _WATCH_SLACK_S
         match await self._call("watch", "GET", f"/v1/watch?{query}", timeout_s=timeout_s):
-            case Ok(answer):
-                return _decode(answer, _listing)
+            case Ok(response):
+                return _decode(response, _listing)
             case Err(error):
                 return Err(error)
 
@@ -181,9 +181,9 @@
         """Read the list of a data centre's hosts, which may be out of date."""
         path = f"/v1/hosts?{urlencode({'data_centre': data_centre})}"
         match await self._call("hosts", "GET", path):
-            case Ok(answer):
+            case Ok(response):
                 return _decode(
-                    answer,
+                    response,
                     lambda fields: list(
                         json_format.ParseDict(fields, HostList(), ignore_unknown_fields=True).hosts
                     ),
@@ -202,7 +202,7 @@
     ) -> Result[HttpResponse, PlatformError]:
         self.calls[kind] += 1
         try:
-            answer = await self._caller.call(
+            response = await self._client.call(
                 method,
                 self._url + path,
                 timeout_s or self._timeout_s,
@@ -214,30 +214,30 @@
             was_sent = error.failure is not HttpFailure.NOT_SENT
             failure = PlatformFailure.AMBIGUOUS if was_sent else PlatformFailure.NOT_APPLIED
             return Err(PlatformError(failure, str(error)))
-        self._failures = self._failures + 1 if answer.status >= 500 else 0
-        return _check_status(answer)
+        self._failures = self._failures + 1 if response.status >= 500 else 0
+        return _check_status(response)
 
 
-def _check_status(answer: HttpResponse) -> Result[HttpResponse, PlatformError]:
-    if answer.status in (200, 201, 404):
-        return Ok(answer)
-    if answer.status in (409, 412):
+def _check_status(response: HttpResponse) -> Result[HttpResponse, PlatformError]:
+    if response.status in (200, 201, 404):
+        return Ok(response)
+    if response.status in (409, 412):
         return Err(PlatformError(PlatformFailure.CONFLICT, "the object has another version"))
-    if answer.status in (401, 403):
+    if response.status in (401, 403):
         return Err(
             PlatformError(PlatformFailure.FORBIDDEN, "the token is missing or lacks permission")
         )
-    if answer.status in (429, 503):
-        return Err(PlatformError(PlatformFailure.NOT_APPLIED, f"status {answer.status}"))
-    failure = PlatformFailure.AMBIGUOUS if answer.status >= 500 else PlatformFailure.INVALID
-    return Err(PlatformError(failure, f"status {answer.status}"))
+    if response.status in (429, 503):
+        return Err(PlatformError(PlatformFailure.NOT_APPLIED, f"status {response.status}"))
+    failure = PlatformFailure.AMBIGUOUS if response.status >= 500 else PlatformFailure.INVALID
+    return Err(PlatformError(failure, f"status {response.status}"))
 
 
-def _decode(answer: HttpResponse, build: Callable[[Any], T]) -> Result[T, PlatformError]:
+def _decode(response: HttpResponse, build: Callable[[Any], T]) -> Result[T, PlatformError]:
     try:
-        return Ok(build(answer.json()))
+        return Ok(build(response.json()))
     except (ValueError, KeyError, TypeError, json_format.ParseError) as error:
-        return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"invalid answer: {error}"))
+        return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"invalid response: {error}"))
 
 
 def _stored_object(fields: Any) -> StoredObject:
--- a/yewloom/tests/test_peers.py
+++ b/yewloom/tests/test_peers.py
@@ -1,7 +1,7 @@
 """Tests of gRPC channels to peers: an unresponsive channel is not used forever.
 
-Connections to the store have become unresponsive without a reset, and connections to peers can do
-the same. A channel does not detect this: further calls on it keep timing out.
+Connections to the store have become unresponsive without a reset, and the same can happen to
+connections to peers. A channel does not detect this: further calls on it keep timing out.
 """
 
 import unittest
--- a/yewloom/watchers.py
+++ b/yewloom/watchers.py
@@ -1,7 +1,8 @@
 """Watches the platform for changes of the table, the placements and the shares.
 
 Only a few entry hosts of each data centre watch it; the others get changes by exchange with peers.
-Rows and placements are applied by version, so their source and repetition do not matter.
+Rows and placements are applied by version, so it does not matter from where and how often they
+arrive.
 """
 
 import structlog
@@ -22,8 +23,8 @@
 SHARES_PREFIX = "shares/"
 
 MAX_RECHECK_FACTOR = 40
-"""Longest interval, in poll intervals, at which a host without the duty to watch checks whether a
-platform that is down has recovered."""
+"""Longest interval, in poll intervals, at which a host without the duty to watch checks whether the
+platform has recovered from an outage."""
 
 
 class PlatformWatcher:
@@ -75,7 +76,7 @@
                 self._position = found.position
                 return True
             case Err(error):
-                logger.warning("platform not answering", prefix=self._prefix, reason=str(error))
+                logger.warning("cannot read from platform", prefix=self._prefix, reason=str(error))
         return False
 
 
--- a/yewloom/writes.py
+++ b/yewloom/writes.py
@@ -65,7 +65,7 @@
     try:
         return json_format.Parse(stored.value, record, ignore_unknown_fields=True)
     except json_format.ParseError as error:
-        raise RecordError(f"{stored.key} can't be decoded: {error}") from error
+        raise RecordError(f"cannot decode {stored.key}: {error}") from error
 
 
 async def write_until_settled(
