--- a/yewloom/entry_addresses.py
+++ b/yewloom/entry_addresses.py
@@ -40,7 +40,10 @@
 
 
 class EntryAddresses:
-    """Publishes this host's address and reads those of its peers."""
+    """Publishes this host's address and reads those of its peers.
+
+    ``stale_platform`` answers reads from a cache that may lag behind the store.
+    """
 
     def __init__(
         self,
@@ -131,4 +134,4 @@
         if peer != self._host_id:
             self.by_peer[peer] = peer_address
         elif peer_address == self.own:
-            self._is_published = True  # Written by an earlier process of this host.
+            self._is_published = True  # An earlier process of this host wrote it.
--- a/yewloom/entry_states.py
+++ b/yewloom/entry_states.py
@@ -73,7 +73,10 @@
 
 
 class PeerStates:
-    """Holds the latest state of each peer, and the set of all entry hosts known so far."""
+    """Holds the latest state of each peer, and the set of all entry hosts known so far.
+
+    Near peers are those in the same data centre.
+    """
 
     def __init__(
         self, own_id: EntryHostId, data_centre: DataCentreId, started_unix_ms: int = 0
@@ -186,7 +189,7 @@
 
 
 def _confirmations_in(state: EntryState) -> PeerConfirmations:
-    """Return what a message confirms, dated by the echoed send time of this host's message."""
+    """Return what a message confirms, dated to the echoed send time of this host's message."""
     echoed_s = state.echoed_ms / 1000
     configuration = listing = None
     if state.configuration_version:
--- a/yewloom/own_state.py
+++ b/yewloom/own_state.py
@@ -24,11 +24,11 @@
 
 
 class OwnStateBuilder:
-    """Collects this host's state, with sequence numbers by which peers recognise the latest one."""
+    """Builds this host's states, numbered so that peers can recognise the latest one."""
 
     def __init__(
         self,
-        me: EntryHostProcess,
+        process: EntryHostProcess,
         configuration_state: ConfigurationState,
         selector: Selector,
         stalls: StallDetector,
@@ -37,7 +37,7 @@
         topics: Sequence[PeerTopic],
     ) -> None:
         self._topics = topics
-        self._me = me
+        self._process = process
         self._configuration_state = configuration_state
         self._selector = selector
         self._stalls = stalls
@@ -50,9 +50,9 @@
         self._sequence += 1
         configuration, status = self._configuration_state.current, self._status()
         state = EntryState(
-            host_id=self._me.host_id,
-            data_centre=self._me.data_centre,
-            started_unix_ms=self._me.started_unix_ms,
+            host_id=self._process.host_id,
+            data_centre=self._process.data_centre,
+            started_unix_ms=self._process.started_unix_ms,
             sequence=self._sequence,
             sent_ms=int(now_s * 1000),
             configuration_version=configuration.version if configuration is not None else 0,
--- a/yewloom/peer_configurations.py
+++ b/yewloom/peer_configurations.py
@@ -1,10 +1,10 @@
 """Transfer of configurations between entry hosts, for hosts that cannot reach the store.
 
-A host that learns of a newer configuration but cannot read it may not accept any key, since the
-newer configuration may have revoked it. Its peers keep the object in its stored form; the host
-requests it from one of them over HTTP, at the port number that the peer also uses for datagrams.
-The answer is decoded like an object from the store and never replaces a newer one. It does not
-confirm that the configuration is current; as always, that follows from the peers' reports.
+A host that learns of a newer configuration but cannot read it soon has to refuse all keys, since
+the newer configuration may have revoked them. Its peers keep the object in its stored form; the
+host requests it from one of them over HTTP, at the port number that the peer also uses for
+datagrams. The response is decoded like an object from the store and never replaces a newer one. It
+does not confirm that the configuration is current; only the peers' reports do (``entry_states``).
 """
 
 from collections.abc import Callable, Iterable
@@ -35,8 +35,8 @@
 CHECK_INTERVAL_S = 0.1
 """Pause between checks for a newer configuration, and between rounds of requests to peers."""
 
-ANSWER_TIMEOUT_S = 0.5
-"""Longest wait for a peer's answer, which is some 100 KB at most and comes from within a region."""
+RESPONSE_TIMEOUT_S = 0.5
+"""Longest wait for a peer's response, of some 100 KB at most and from the same region."""
 
 NOT_FOUND = 404
 OK = 200
@@ -71,17 +71,17 @@
         self._receiver = receiver
         self._addresses_with_version = addresses_with_version
 
-    async def answer(self, request: CallerRequest, reply: ResponseWriter) -> None:
-        """Answer a peer's request with the configuration in its stored form."""
+    async def answer(self, request: CallerRequest, response: ResponseWriter) -> None:
+        """Respond to a peer's request with the configuration in its stored form."""
         stored = self._receiver.latest
         if stored is None:
-            await reply.send_complete(NOT_FOUND, [], b"")
+            await response.send_complete(NOT_FOUND, [], b"")
             return
         shared = SharedObject(key=stored.key, version=stored.version, value=stored.value)
-        await reply.send_complete(OK, [], shared.SerializeToString())
+        await response.send_complete(OK, [], shared.SerializeToString())
 
     async def run(self) -> None:
-        """Until cancelled, get newer configurations from peers if the store does not send them."""
+        """Get newer configurations from peers if the store provides none, until cancelled."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
             if self._configuration_state.is_outdated:
@@ -95,7 +95,7 @@
             await self._fetch(address)
 
     async def _fetch(self, address: str) -> None:
-        with trio.move_on_after(ANSWER_TIMEOUT_S) as limit:
+        with trio.move_on_after(RESPONSE_TIMEOUT_S) as limit:
             try:
                 shared = await _request(address)
             except (ExchangeError, DecodeError) as error:
--- a/yewloom/peer_intake.py
+++ b/yewloom/peer_intake.py
@@ -17,7 +17,7 @@
 
 
 class PeerIntake:
-    """Passes each part of a message to the component that handles it.
+    """Passes each part of a peer's message to the component that handles it.
 
     ``read_configuration`` is called once for each reported version newer than this host's.
     """
--- a/yewloom/peer_topics.py
+++ b/yewloom/peer_topics.py
@@ -6,12 +6,12 @@
 
 
 class PeerTopic(Protocol):
-    """A component's part of the messages sent to peers and received from them."""
+    """A component with its own fields in the messages sent to peers and received from them."""
 
     def add_fields(self, state: EntryState, now_s: float) -> None:
-        """Add this topic's fields to an outgoing message."""
+        """Add this component's fields to an outgoing message."""
         ...
 
     def process(self, state: EntryState, arrived_s: float, now_s: float) -> None:
-        """Process a message read at ``now_s`` that arrived no earlier than ``arrived_s``."""
+        """Process a message read at ``now_s`` that arrived at ``arrived_s`` at the earliest."""
         ...
--- a/yewloom/tests/test_entry_addresses.py
+++ b/yewloom/tests/test_entry_addresses.py
@@ -1,4 +1,4 @@
-"""Tests of the discovery of entry hosts, in view of very many that start at once."""
+"""Tests of the discovery of entry hosts, of which very many may start at once."""
 
 import unittest
 from typing import cast
@@ -20,10 +20,10 @@
 from yewloom.tests.support import FakePlatform, run_on_mock_clock
 from yewloom.writes import to_json
 
-ME, PEER = EntryHostId("me"), EntryHostId("peer")
+OWN_ID, PEER = EntryHostId("me"), EntryHostId("peer")
 
 LIMIT_S = 20.0
-"""Longest wait for peers to hear each other, which takes some 0.4 s."""
+"""Longest wait for peers to hear from each other, which takes some 0.4 s."""
 
 
 class _OwnState:
@@ -78,13 +78,13 @@
         async def main() -> None:
             if stored is not None:
                 before = to_json(EntryAddress(address=stored, data_centre=DATA_CENTRE))
-                await platform.update(f"{ADDRESS_KIND}/{ME}", before, 0)
+                await platform.update(f"{ADDRESS_KIND}/{OWN_ID}", before, 0)
             platform.calls.clear()
             with trio.move_on_after(60):
-                await _addresses(ME, "10.0.0.1:1", platform).run()
+                await _addresses(OWN_ID, "10.0.0.1:1", platform).run()
 
         run_on_mock_clock(main)
-        self.assertIn("10.0.0.1:1", platform.objects[f"{ADDRESS_KIND}/{ME}"].value)
+        self.assertIn("10.0.0.1:1", platform.objects[f"{ADDRESS_KIND}/{OWN_ID}"].value)
         return platform.calls["update"]
 
     def test_host_that_restarts_at_the_same_address_writes_nothing(self) -> None:
@@ -102,7 +102,7 @@
 
     def test_address_from_the_store_takes_precedence_over_a_reported_one(self) -> None:
         platform = FakePlatform()
-        addresses = _addresses(ME, "10.0.0.1:1", platform)
+        addresses = _addresses(OWN_ID, "10.0.0.1:1", platform)
         reported, stored = (
             PeerAddress("10.0.0.2:1", DATA_CENTRE),
             PeerAddress("10.0.0.3:1", DATA_CENTRE),
@@ -111,12 +111,12 @@
         self.assertEqual(addresses.by_peer, {PEER: reported})
         addresses.by_peer[PEER] = stored
         self.assertFalse(addresses.add_reported(PEER, reported))
-        self.assertFalse(addresses.add_reported(ME, reported))
+        self.assertFalse(addresses.add_reported(OWN_ID, reported))
         self.assertEqual(addresses.by_peer, {PEER: stored})
 
-    def test_two_hosts_hear_each_other_although_only_one_knows_the_other(self) -> None:
+    def test_two_hosts_hear_from_each_other_although_only_one_knows_the_other(self) -> None:
         async def main() -> None:
-            hosts = [_Host(ME), _Host(PEER)]
+            hosts = [_Host(OWN_ID), _Host(PEER)]
             hosts[0].addresses.by_peer[PEER] = hosts[1].addresses.own
             async with trio.open_nursery() as nursery:
                 for host in hosts:
--- a/yewloom/tests/test_peer_configurations.py
+++ b/yewloom/tests/test_peer_configurations.py
@@ -53,11 +53,11 @@
         self.intake = ConfigurationIntake(StoreRecordDecoder(), self.configuration_state)
         self.address = allocate_address()
         self._peers = peers
-        self.sharing = PeerConfigurations(
-            self.configuration_state, self.intake, self._addresses_knowing
+        self.peer_configurations = PeerConfigurations(
+            self.configuration_state, self.intake, self._addresses_with_version
         )
 
-    def _addresses_knowing(self, version: int) -> list[str]:
+    def _addresses_with_version(self, version: int) -> list[str]:
         return [peer.address for peer in self._peers]
 
     def read(self, stored: StoredObject) -> None:
@@ -67,10 +67,10 @@
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start answering requests from peers and sending requests to them."""
-        server = CallerServer(Handlers(self.sharing.answer), CallerLimits)
+        """Start responding to peers' requests and sending requests to peers."""
+        server = CallerServer(Handlers(self.peer_configurations.answer), CallerLimits)
         await nursery.start(server.serve, listen(self.address))
-        nursery.start_soon(self.sharing.run)
+        nursery.start_soon(self.peer_configurations.run)
 
     @property
     def _version(self) -> int:
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -46,18 +46,18 @@
         self.urgent_changes = 0
         self.stalls = StallDetector(self._count_change)
         selector = cast(Selector, NoSelector())
-        me = EntryHostProcess(EntryHostId(name), DATA_CENTRE, 1)
-        peer_states = self.peer_states = PeerStates(me.host_id, DATA_CENTRE, 1)
+        process = EntryHostProcess(EntryHostId(name), DATA_CENTRE, 1)
+        peer_states = self.peer_states = PeerStates(process.host_id, DATA_CENTRE, 1)
         directory = self.directory = EndpointDirectory()
         configuration_state, followed = ConfigurationState(), FollowedPosition()
         self.crashes = CrashDetection(
-            me.host_id, peer_states.known_hosts, directory, self._count_change
+            process.host_id, peer_states.known_hosts, directory, self._count_change
         )
         self.limits = EndpointLimits(
-            me.host_id, directory, peer_states.sharing_hosts, self._count_change
+            process.host_id, directory, peer_states.sharing_hosts, self._count_change
         )
         self._own = OwnStateBuilder(
-            me,
+            process,
             configuration_state,
             selector,
             self.stalls,
@@ -93,60 +93,60 @@
     """A host that cannot reach a leader learns whether its group makes progress for other hosts."""
 
     def setUp(self) -> None:
-        self.me, self.peer = Host("me"), Host("peer")
+        self.host, self.peer = Host("me"), Host("peer")
         self.peer.stalls.on_stream_start(LEADER, 0.0)
         self.peer.stalls.on_event(LEADER, 1.0)
 
     def test_peer_reports_progress_once_it_receives_the_suspicion(self) -> None:
-        self.peer.send_to(self.me, 1.1)
-        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 0.0))
-        self.me.stalls.report_unreachable(LEADER, 1.1)
-        self.me.send_to(self.peer, 1.1)
+        self.peer.send_to(self.host, 1.1)
+        self.assertFalse(self.host.stalls.has_progress_since(LEADER, 0.0))
+        self.host.stalls.report_unreachable(LEADER, 1.1)
+        self.host.send_to(self.peer, 1.1)
         self.assertEqual(self.peer.urgent_changes, 1)
-        self.peer.send_to(self.me, 1.1)
-        self.assertTrue(self.me.stalls.has_progress_since(LEADER, 0.89))
+        self.peer.send_to(self.host, 1.1)
+        self.assertTrue(self.host.stalls.has_progress_since(LEADER, 0.89))
 
     def test_report_is_dated_to_the_latest_progress(self) -> None:
         """The message may have been read late."""
-        self.me.stalls.report_unreachable(LEADER, 1.1)
-        self.me.send_to(self.peer, 1.1)
-        self.peer.send_to(self.me, 1.1)
-        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 1.0 - MAX_MESSAGE_DELAY_S))
-        self.peer.send_to(self.me, 1.0 + RECENT_EVENT_S + 0.1)  # No progress since.
-        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 1.0 - MAX_MESSAGE_DELAY_S))
+        self.host.stalls.report_unreachable(LEADER, 1.1)
+        self.host.send_to(self.peer, 1.1)
+        self.peer.send_to(self.host, 1.1)
+        self.assertFalse(self.host.stalls.has_progress_since(LEADER, 1.0 - MAX_MESSAGE_DELAY_S))
+        self.peer.send_to(self.host, 1.0 + RECENT_EVENT_S + 0.1)  # No progress since.
+        self.assertFalse(self.host.stalls.has_progress_since(LEADER, 1.0 - MAX_MESSAGE_DELAY_S))
 
     def test_report_that_is_read_late_is_dated_to_its_arrival(self) -> None:
         """Guards against a host that resumes after a pause and takes old reports for new ones."""
-        self.me.stalls.report_unreachable(LEADER, 1.1)
-        self.me.send_to(self.peer, 1.1)
-        self.peer.send_to(self.me, 1.1, read_delay_s=5.0)
-        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 1.1))
+        self.host.stalls.report_unreachable(LEADER, 1.1)
+        self.host.send_to(self.peer, 1.1)
+        self.peer.send_to(self.host, 1.1, read_delay_s=5.0)
+        self.assertFalse(self.host.stalls.has_progress_since(LEADER, 1.1))
         self.peer.stalls.report_stalled(LEADER, 1.2)
-        self.peer.send_to(self.me, 1.2, read_delay_s=5.0)
-        self.assertEqual(self.me.stalls.suspected(2.1), {LEADER})
-        self.assertEqual(self.me.stalls.suspected(6.2), set())
+        self.peer.send_to(self.host, 1.2, read_delay_s=5.0)
+        self.assertEqual(self.host.stalls.suspected(2.1), {LEADER})
+        self.assertEqual(self.host.stalls.suspected(6.2), set())
 
     def test_stream_that_waits_for_its_first_event_is_no_progress(self) -> None:
         self.peer.stalls.on_stream_end(LEADER)
         self.peer.stalls.on_stream_start(LEADER, 1.1)
-        self.me.stalls.report_unreachable(LEADER, 1.1)
-        self.me.send_to(self.peer, 1.1)
+        self.host.stalls.report_unreachable(LEADER, 1.1)
+        self.host.send_to(self.peer, 1.1)
         self.assertEqual(self.peer.urgent_changes, 0)
-        self.peer.send_to(self.me, 1.1)
-        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 0.0))
+        self.peer.send_to(self.host, 1.1)
+        self.assertFalse(self.host.stalls.has_progress_since(LEADER, 0.0))
 
     def test_own_streams_show_progress_too_and_a_restart_discards_all_reports(self) -> None:
         self.assertTrue(self.peer.stalls.has_progress_since(LEADER, 0.9))
-        self.me.stalls.on_peer_progress(LEADER, 0.0, 1.0)
-        self.me.stalls.forget(LEADER)
-        self.assertFalse(self.me.stalls.has_progress_since(LEADER, 0.0))
+        self.host.stalls.on_peer_progress(LEADER, 0.0, 1.0)
+        self.host.stalls.forget(LEADER)
+        self.assertFalse(self.host.stalls.has_progress_since(LEADER, 0.0))
 
 
 class TestCrashes(unittest.TestCase):
     """All hosts learn which requests crashed endpoints, whichever host reports it."""
 
     def setUp(self) -> None:
-        self.me, self.peer, self.third = Host("me"), Host("peer"), Host("third")
+        self.host, self.peer, self.third = Host("me"), Host("peer"), Host("third")
 
     def _crash(self, host: Host, number: int, now_s: float = 1.0) -> None:
         process = EndpointProcess(HostId(f"e{number}"), 0)
@@ -156,43 +156,43 @@
         return host.crashes.quarantine.wait_s(CRASHING_REQUEST, now_s)
 
     def test_crashes_seen_by_different_hosts_add_up_to_a_quarantine(self) -> None:
-        for number, host in enumerate((self.me, self.peer, self.third)):
+        for number, host in enumerate((self.host, self.peer, self.third)):
             self._crash(host, number)
-        self.me.send_to(self.peer, 1.1)
+        self.host.send_to(self.peer, 1.1)
         self.assertEqual(self._wait_s(self.peer, 1.1), 0.0)
         self.third.send_to(self.peer, 1.1)
         self.assertGreater(self._wait_s(self.peer, 1.1), 0.0)
         self.assertGreater(self.peer.urgent_changes, 0)
 
     def test_host_that_missed_all_crashes_learns_of_the_quarantine_from_any_other(self) -> None:
-        """Guards against hosts that just started or were partitioned and send the request again."""
+        """Guards against hosts that just started or were cut off and send the request again."""
         for number in range(CRASH_THRESHOLD):
-            self._crash(self.me, number)
-        self.me.send_to(self.peer, 1.1)
-        late_s = 1.1 + 2 * REPORT_PERIOD_S
-        self.peer.send_to(self.third, late_s)
-        held_s = self._wait_s(self.me, late_s)
-        self.assertAlmostEqual(self._wait_s(self.third, late_s), held_s, delta=0.01)
+            self._crash(self.host, number)
+        self.host.send_to(self.peer, 1.1)
+        later_s = 1.1 + 2 * REPORT_PERIOD_S
+        self.peer.send_to(self.third, later_s)
+        wait_s = self._wait_s(self.host, later_s)
+        self.assertAlmostEqual(self._wait_s(self.third, later_s), wait_s, delta=0.01)
 
     def test_lifted_quarantine_is_lifted_on_all_hosts(self) -> None:
         for number in range(CRASH_THRESHOLD):
-            self._crash(self.me, number)
-        self.me.send_to(self.peer, 1.1)
+            self._crash(self.host, number)
+        self.host.send_to(self.peer, 1.1)
         self.peer.crashes.quarantine.lift(CRASHING_REQUEST)
-        self.peer.send_to(self.me, 1.2)
-        self.assertEqual(self._wait_s(self.me, 1.2), 0.0)
+        self.peer.send_to(self.host, 1.2)
+        self.assertEqual(self._wait_s(self.host, 1.2), 0.0)
 
     def test_answered_request_is_cleared_on_all_hosts(self) -> None:
         for number in range(CRASH_THRESHOLD - 1):
-            self._crash(self.me, number)
-        self.me.send_to(self.peer, 1.1)
+            self._crash(self.host, number)
+        self.host.send_to(self.peer, 1.1)
         self.peer.crashes.record.record_answer(CRASHING_REQUEST, 2.0)
-        self.peer.send_to(self.me, 2.1)
-        self._crash(self.me, CRASH_THRESHOLD, 3.0)
-        self.assertEqual(self._wait_s(self.me, 3.0), 0.0)
+        self.peer.send_to(self.host, 2.1)
+        self._crash(self.host, CRASH_THRESHOLD, 3.0)
+        self.assertEqual(self._wait_s(self.host, 3.0), 0.0)
 
     def test_host_without_crashes_sends_no_crash_fields(self) -> None:
-        message = self.me.message(1.0)
+        message = self.host.message(1.0)
         self.assertFalse(message.crashed or message.answered or message.quarantined)
 
 
@@ -200,22 +200,22 @@
     """Hosts learn of limits that an endpoint announced to another host."""
 
     def setUp(self) -> None:
-        self.me, self.peer = Host("me"), Host("peer")
+        self.host, self.peer = Host("me"), Host("peer")
         self.endpoint = make_plain("e")
-        for host in (self.me, self.peer):
+        for host in (self.host, self.peer):
             host.directory.put(self.endpoint)
 
     def test_limit_announced_to_one_host_applies_on_the_others(self) -> None:
-        self.me.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
-        self.assertEqual(self.me.urgent_changes, 1)
-        self.me.send_to(self.peer, 1.1)
+        self.host.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
+        self.assertEqual(self.host.urgent_changes, 1)
+        self.host.send_to(self.peer, 1.1)
         self.assertGreater(self.peer.limits.wait_s(self.endpoint, 1.1), 0.0)
 
     def test_removal_of_a_limit_applies_on_the_others(self) -> None:
-        self.me.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
-        self.me.send_to(self.peer, 1.1)
-        self.me.limits.apply_announced(self.endpoint.id, None, 2.0)
-        self.me.send_to(self.peer, 2.1)
+        self.host.limits.apply_announced(self.endpoint.id, 1.0, 1.0)
+        self.host.send_to(self.peer, 1.1)
+        self.host.limits.apply_announced(self.endpoint.id, None, 2.0)
+        self.host.send_to(self.peer, 2.1)
         self.assertEqual(self.peer.limits.wait_s(self.endpoint, 2.1), 0.0)
 
     def test_hosts_that_hear_each_other_divide_a_limit(self) -> None:
@@ -231,7 +231,7 @@
 
     def test_silent_host_keeps_its_share_of_a_limit_for_a_time(self) -> None:
         """Guards against each side of a network partition using the whole limit."""
-        self.me.send_to(self.peer, 1.0)
+        self.host.send_to(self.peer, 1.0)
         self.peer.peer_states.drop_expired(10.0)
         self.assertEqual(len(self.peer.peer_states.sharing_hosts(10.0)), 2)
         self.assertEqual(len(self.peer.peer_states.sharing_hosts(1.0 + LIMIT_SHARE_RETENTION_S)), 1)
