--- a/yewloom/directory.py
+++ b/yewloom/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints listed in the store, and the groups to which they report to belong."""
+"""The endpoints listed in the store, and the groups of which they report to be members."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -26,7 +26,7 @@
 
 @value_class
 class GroupKey:
-    """Identifies one formation of a group; each new formation has a higher generation."""
+    """Identifies a group and its generation, which increases each time the group is formed."""
 
     group_id: GroupId
     generation: int
--- a/yewloom/follow_duty.py
+++ b/yewloom/follow_duty.py
@@ -19,9 +19,9 @@
 may die or lose its connection to the store."""
 
 STARTUP_LISTEN_S = 0.6
-"""Time for which a starting host only listens to its peers before it may become a follower.
+"""Time for which a starting host only receives messages before it may become a follower.
 
-Peers send messages every 0.2 s, so hosts that start together have heard each other by then.
+Peers send messages every 0.2 s, so hosts that start together have heard from each other by then.
 """
 
 
@@ -37,7 +37,10 @@
 
 
 class FollowDuty:
-    """Decides whether this host follows the store now."""
+    """Decides whether this host follows the store now.
+
+    Near hosts are those in the same data centre.
+    """
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
 
         ``fallback_jitter`` is a random number from 0 to 1, drawn for this host. ``is_starting``
         returns whether this host started within the last STARTUP_LISTEN_S, so that it may not have
-        heard its peers yet.
+        heard from its peers yet.
         """
         self.is_starting = is_starting
         self._ranks: dict[EntryHostId, int] = {}
@@ -76,14 +79,14 @@
         near = self._peer_states.near_states()
         peers = [peer for peer, state in near.items() if state.can_follow]
         if not peers and not status.can_follow:
-            peers = list(near)  # While the store answers no host, the chosen few keep calling it.
+            peers = list(near)  # If the store answers no host, the chosen ones keep calling.
         others = [peer for peer in peers if not near[peer].is_coordinator]
-        places = FOLLOWERS - min(len(peers) - len(others), FOLLOWERS - 1)
-        before = sum(self._rank(peer) < self._rank(self._own_id) for peer in others)
-        return before < places
+        needed = FOLLOWERS - min(len(peers) - len(others), FOLLOWERS - 1)
+        ranked_before = sum(self._rank(peer) < self._rank(self._own_id) for peer in others)
+        return ranked_before < needed
 
     def near_followers(self) -> set[EntryHostId]:
-        """Return the peers that may be followers of this data centre, as seen from this host.
+        """Return the peers that may be followers in this data centre, by this host's information.
 
         Including too many is harmless: the extra messages that they get cost little.
         """
@@ -96,9 +99,9 @@
     def must_call_store(self, age_s: float) -> bool:
         """Return whether this host must call the store, given the age of its information.
 
-        A standby calls the store if the coordinator's messages do not keep it up to date; its
-        threshold is lower than that of the hosts without the duty, so it passes changes on before
-        they call.
+        A standby calls the store if the coordinator's messages do not keep it up to date. Its
+        threshold is lower than that of the hosts without the duty, so it sends them the changes
+        before they call the store themselves.
         """
         if not self.has_duty():
             return age_s > self._fallback_s
--- a/yewloom/follow_times.py
+++ b/yewloom/follow_times.py
@@ -2,16 +2,16 @@
 
 A change must take effect on every host within the time set by ``configuration_apply_ms``, even if
 the host that follows the store for its data centre dies or loses its connection right before the
-change. So watches are kept short enough for the standby and then the other hosts to call the store
-in time. They should not be shorter than that, since each watch that ends without changes costs a
-call, and they never exceed the limits in the settings.
+change. So a watch must be short enough for the standby and then the other hosts to call the store
+in time afterwards. It should not be shorter than that, since each watch that ends without changes
+costs a call. It never exceeds the limits in the settings.
 """
 
 from yewloom.schema.entry_pb2 import EntrySettings
 from yewloom.values import value_class
 
 MAX_WATCH_FRACTION = 0.4
-"""Longest watch, as a fraction of the time within which a change must take effect."""
+"""Longest duration of a watch, as a fraction of the time within which a change must take effect."""
 
 PROPAGATION_S = 0.35
 """Time from the end of a watch until all peers know its result: about one and a half message
--- a/yewloom/followed_position.py
+++ b/yewloom/followed_position.py
@@ -16,10 +16,10 @@
 
 
 class FollowedPosition:
-    """The position up to which all changes are known; None before the first listing.
+    """The position up to which all changes are known; None until a listing has been recorded.
 
-    No object changed after ``changed_at``, up to ``position``. At ``confirmed_s`` no change was
-    missing. Times are seconds on this host's clock.
+    No object changed after ``changed_at``, up to ``position``. All changes made until
+    ``confirmed_s`` are known. Times are seconds on this host's clock.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._behind_since_s = float("inf")
 
     def forget(self) -> None:
-        """Reset the position, since changes may have been missed."""
+        """Reset the position to None, since changes may have been missed."""
         self.position = None
 
     def record_listing(self, position: int, confirmed_s: float) -> None:
--- a/yewloom/intake.py
+++ b/yewloom/intake.py
@@ -77,7 +77,9 @@
         self._selector = selector
         self._followed = followed
         self._send_changes = send_changes
-        self._unreadable: dict[HostId, int] = {}  # The revision last logged, by id.
+        self._unreadable: dict[
+            HostId, int
+        ] = {}  # The revision that was logged last, by endpoint id.
 
     def apply_update(self, update: Update) -> None:
         """Apply a full listing, or the endpoints that were changed or removed.
--- a/yewloom/membership.py
+++ b/yewloom/membership.py
@@ -14,7 +14,7 @@
 from yewloom.schema.peer_pb2 import Member
 
 FORGET_FACTOR = 10
-"""A silent member is forgotten after this multiple of ``dead_after_s``."""
+"""A member without heartbeats is forgotten after this multiple of ``dead_after_s``."""
 
 
 @dataclass
@@ -48,9 +48,9 @@
         """Announce that this entry host is about to stop."""
         self._own_member.leaving = True
 
-    def set_platform_unreachable(self, is_cut_off: bool) -> None:
+    def set_platform_unreachable(self, is_unreachable: bool) -> None:
         """Announce whether the platform is unreachable from this entry host."""
-        self._own_member.is_cut_off = is_cut_off
+        self._own_member.is_cut_off = is_unreachable
 
     def merge(self, members: Iterable[Member], now_s: float) -> None:
         """Merge the members known to another entry host."""
@@ -73,9 +73,10 @@
         return [m for m in self.alive(now_s) if m.data_centre == data_centre]
 
     def has_platform_duty(self, duty: str, count: int, now_s: float) -> bool:
-        """Return the same as ``has_duty`` for a duty that needs the platform.
+        """Return whether this entry host is chosen for a duty that needs the platform.
 
-        Members that cannot reach the platform are not chosen, unless no member can.
+        This is as in ``has_duty``, but members that cannot reach the platform are not chosen,
+        unless no member can reach it.
         """
         members = self.alive_in(DataCentreId(self._own_member.data_centre), now_s)
         connected = [member for member in members if not member.is_cut_off]
--- a/yewloom/node.py
+++ b/yewloom/node.py
@@ -24,7 +24,7 @@
 """Duty of watching the platform for a data centre."""
 
 COORDINATE_DUTY = "coordinate"
-"""Duty of monitoring the coordinator's lease."""
+"""Duty of monitoring the coordinator's lease for a data centre."""
 
 COORDINATE_COUNT = 3
 """Entry hosts of a data centre that monitor the coordinator's lease; one of them holds it."""
@@ -77,7 +77,7 @@
         return f"{member.id}/{member.incarnation}"
 
     def share_state(self, now_s: float) -> ShareState:
-        """Return the use of shares on this host, for its peers."""
+        """Return the use of shares on this host, for its peers; reset the counted demand."""
         demand = dict.fromkeys(self.table.customers(), 0) | self.admission.read_and_reset_demand()
         return self.shares.state(self.admission.in_flight_by_customer(), demand, now_s)
 
@@ -85,8 +85,8 @@
     def accepts_requests(self) -> bool:
         """Return whether requests are accepted.
 
-        While the host stops, they are accepted for longer than ``is_ready`` tells the load balancer
-        to send them.
+        During a planned stop they are still accepted for some time after ``is_ready``, which is
+        reported to the load balancer, has become false.
         """
         return self.has_table and self.work.phase is not Phase.CLOSED
 
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -49,7 +49,7 @@
 
 
 class Table:
-    """The rows that an entry host applies.
+    """The rows known to an entry host, each in its newest version.
 
     ``digest`` is an 8-byte hash of all names and versions; equal digests mean equal tables. If the
     digests of two tables differ, those of their buckets show which rows to send.
@@ -180,8 +180,8 @@
         error = _set_cell(target, path, text)
         if error is not None:
             return Err(TableError(f"{name}: {error}."))
-    for broken in check_message(target):
-        return Err(TableError(f"{name}: {broken}."))
+    for violation in check_message(target):
+        return Err(TableError(f"{name}: {violation}."))
     return Ok(edited)
 
 
--- a/yewloom/tests/test_configuration.py
+++ b/yewloom/tests/test_configuration.py
@@ -18,8 +18,8 @@
     ) -> None:
         configuration_state = ConfigurationState()
         highest = 0
-        for version, asked_s in reads:
-            is_newer = configuration_state.apply(make_configuration(version=version), asked_s)
+        for version, confirmed_s in reads:
+            is_newer = configuration_state.apply(make_configuration(version=version), confirmed_s)
             self.assertEqual(is_newer, version > highest)
             highest = max(highest, version)
             assert configuration_state.current is not None
--- a/yewloom/tests/test_followed_position.py
+++ b/yewloom/tests/test_followed_position.py
@@ -121,11 +121,11 @@
     def forget_position(self, number: int) -> None:
         self.hosts[number].followed.forget()
 
-    @rule(number=st.integers(0, 2), pick=st.integers(0, 100))
-    def receive_changes(self, number: int, pick: int) -> None:
+    @rule(number=st.integers(0, 2), index=st.integers(0, 100))
+    def receive_changes(self, number: int, index: int) -> None:
         if not self.sent_changes:
             return
-        base, position, value = self.sent_changes[pick % len(self.sent_changes)]
+        base, position, value = self.sent_changes[index % len(self.sent_changes)]
         host = self.hosts[number]
         if host.followed.can_apply(base, position):
             host.value = value
@@ -138,10 +138,10 @@
         if report is not None:
             self.sent_reports.append((report, round(max(followed.confirmed_s, 0.0))))
 
-    @rule(number=st.integers(0, 2), pick=st.integers(0, 100))
-    def receive_report(self, number: int, pick: int) -> None:
+    @rule(number=st.integers(0, 2), index=st.integers(0, 100))
+    def receive_report(self, number: int, index: int) -> None:
         if self.sent_reports:
-            report, confirmed = self.sent_reports[pick % len(self.sent_reports)]
+            report, confirmed = self.sent_reports[index % len(self.sent_reports)]
             self.hosts[number].followed.on_peer_report(report, float(confirmed), 0.0)
 
     @invariant()
--- a/yewloom/tests/test_foreign_entries.py
+++ b/yewloom/tests/test_foreign_entries.py
@@ -86,7 +86,7 @@
         message = encode_changes(changes).SerializeToString()
         self.sent.append(decode_changes(type(encode_changes(changes)).FromString(message)))
 
-    def take(self, listing: Listing, base: int | None, after_outage: bool = False) -> None:
+    def apply(self, listing: Listing, base: int | None, after_outage: bool = False) -> None:
         """Apply a listing, or a watch from a position."""
 
         async def main() -> None:
@@ -160,15 +160,15 @@
             with self.subTest(what):
                 items = [_item("a", _text(GOOD)), _item("b", spec), _item("c", _text(GOOD))]
                 host = Host()
-                host.take(_read_listing(items), None)
+                host.apply(_read_listing(items), None)
                 self.assertEqual(host.listed, {"a", "c"})
 
     def test_invalid_entry_in_a_watch_removes_the_endpoint_of_its_id(self) -> None:
         for what, spec in BAD_SPECS.items():
             with self.subTest(what):
                 host = Host()
-                host.take(_read_listing([_item("b", _text(GOOD))]), None)
-                host.take(_read_watch([_item("a", _text(GOOD)), _item("b", spec)]), 1)
+                host.apply(_read_listing([_item("b", _text(GOOD))]), None)
+                host.apply(_read_watch([_item("a", _text(GOOD)), _item("b", spec)]), 1)
                 self.assertEqual(host.listed, {"a"})
                 [sent] = host.sent
                 self.assertEqual([endpoint.id for endpoint in sent.endpoints], ["a"])
@@ -178,23 +178,23 @@
         self,
     ) -> None:
         host = Host()
-        host.take(_read_listing([_item("b", _text(GOOD))]), None)
-        host.take(_read_listing([_item("b", b"{}")]), None, after_outage=True)
+        host.apply(_read_listing([_item("b", _text(GOOD))]), None)
+        host.apply(_read_listing([_item("b", b"{}")]), None, after_outage=True)
         self.assertEqual(host.listed, set())
 
     def test_each_invalid_revision_is_logged_once(self) -> None:
         host = Host()
         with mock.patch("yewloom.intake.logger") as logger:
             for _ in range(3):
-                host.take(_read_listing([_item("b", b"{}")]), None)
-            host.take(_read_watch([_item("b", b"[]", revision=4)]), 1)
+                host.apply(_read_listing([_item("b", b"{}")]), None)
+            host.apply(_read_watch([_item("b", b"[]", revision=4)]), 1)
         revisions = [line.kwargs["revision"] for line in logger.error.call_args_list]
         self.assertEqual(revisions, [3, 4])
 
     def test_entry_that_becomes_valid_again_adds_the_endpoint_again(self) -> None:
         host = Host()
-        host.take(_read_listing([_item("b", b"{}")]), None)
-        host.take(_read_watch([_item("b", _text(GOOD), revision=4)]), 1)
+        host.apply(_read_listing([_item("b", b"{}")]), None)
+        host.apply(_read_watch([_item("b", _text(GOOD), revision=4)]), 1)
         self.assertEqual(host.listed, {"b"})
 
     @given(JSON_VALUES, st.sampled_from([None, *GOOD]), st.booleans())
@@ -202,11 +202,11 @@
         spec = _text(value if field is None else GOOD | {field: value})
         items = [_item("a", _text(GOOD)), _item("b", spec)]
         host = Host()
-        host.take(_read_listing([_item("b", _text(GOOD))]), None)
+        host.apply(_read_listing([_item("b", _text(GOOD))]), None)
         if watches:
-            host.take(_read_watch(items), 1)
+            host.apply(_read_watch(items), 1)
         else:
-            host.take(_read_listing(items), None)
+            host.apply(_read_listing(items), None)
         self.assertIn("a", host.listed)
 
 
--- a/yewloom/tests/test_intake.py
+++ b/yewloom/tests/test_intake.py
@@ -89,7 +89,7 @@
             decode_endpoint(message)
 
 
-async def _take(intake: EndpointIntake, update: Update) -> None:
+async def _apply(intake: EndpointIntake, update: Update) -> None:
     intake.apply_update(update)
 
 
@@ -116,7 +116,7 @@
     def _is_avoided(self) -> bool:
         return self.selector._is_avoided(self.directory.by_id[HostId("a")], 1.0)
 
-    def _take(self, started_unix_ms: int, source: str) -> None:
+    def _apply(self, started_unix_ms: int, source: str) -> None:
         """Apply an entry from a listing, a watch or a peer."""
         stored = _stored("a", 9)
         value = stored.value.replace("{", f'{{"born": {started_unix_ms}, ', 1)
@@ -124,7 +124,7 @@
         match source:
             case "listing":
                 update = Update(Listing([stored], 9), None, 0.0, False)
-                run_on_mock_clock(partial(_take, self.intake, update))
+                run_on_mock_clock(partial(_apply, self.intake, update))
             case "watch":
                 self.intake.apply_update(Update(Listing([stored], 9), 5, 0.0, False))
             case "peer":
@@ -136,7 +136,7 @@
             for started_unix_ms in (9, 3):
                 with self.subTest(source=source, started_unix_ms=started_unix_ms):
                     self.setUp()
-                    self._take(started_unix_ms, source)
+                    self._apply(started_unix_ms, source)
                     self.assertFalse(self._is_avoided())
                     self.assertEqual(self.restarted, ["a"])
                     listed = self.directory.by_id[HostId("a")]
@@ -145,18 +145,18 @@
     def test_state_is_kept_for_an_entry_of_the_same_process(self) -> None:
         for source in ("listing", "watch", "peer"):
             self.setUp()
-            self._take(7, source)
+            self._apply(7, source)
             self.assertTrue(self._is_avoided())
             self.assertEqual(self.restarted, [])
 
     def test_late_change_from_a_peer_about_the_earlier_process_is_ignored(self) -> None:
-        self._take(9, "watch")
+        self._apply(9, "watch")
         self.followed.record_changes(9, True, 0.0)
         late = replace(make_plain("a"), started_unix_ms=7)
         self.intake.apply_peer_changes(ChangedEndpoints(5, 8, [late], []))
         self.assertEqual(self.directory.by_id[HostId("a")].started_unix_ms, 9)
 
     def test_start_time_is_sent_to_peers(self) -> None:
-        self._take(9, "watch")
+        self._apply(9, "watch")
         [endpoint] = self.sent[0].endpoints
         self.assertEqual(decode_endpoint(encode_endpoint(endpoint)).started_unix_ms, 9)
--- a/yewloom/tests/test_membership.py
+++ b/yewloom/tests/test_membership.py
@@ -48,18 +48,18 @@
             self.memberships[name].increment_heartbeat()
             self.last_beat_s[name] = self.now_s
 
-    @rule(asker=st.sampled_from(NAMES), answerer=st.sampled_from(NAMES))
-    def exchange(self, asker: str, answerer: str) -> None:
-        if self.is_alive[asker] and self.is_alive[answerer]:
-            members = _copy(self.memberships[answerer].alive(self.now_s))
+    @rule(requester=st.sampled_from(NAMES), responder=st.sampled_from(NAMES))
+    def exchange(self, requester: str, responder: str) -> None:
+        if self.is_alive[requester] and self.is_alive[responder]:
+            members = _copy(self.memberships[responder].alive(self.now_s))
             self.sent.append(members)
-            self.memberships[asker].merge(members, self.now_s)
+            self.memberships[requester].merge(members, self.now_s)
 
-    @rule(asker=st.sampled_from(NAMES), data=st.data())
-    def repeat_an_old_message(self, asker: str, data: st.DataObject) -> None:
+    @rule(requester=st.sampled_from(NAMES), data=st.data())
+    def repeat_an_old_message(self, requester: str, data: st.DataObject) -> None:
         if self.sent:
             members = data.draw(st.sampled_from(self.sent))
-            self.memberships[asker].merge(_copy(members), self.now_s)
+            self.memberships[requester].merge(_copy(members), self.now_s)
 
     @rule(name=st.sampled_from(NAMES))
     def kill(self, name: str) -> None:
--- a/yewloom/tests/test_store_retries.py
+++ b/yewloom/tests/test_store_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the back-off during store outages, modelled on a data centre of many entry hosts."""
+"""Tests of the back-off during store outages in data centres with many entry hosts."""
 
 import unittest
 
--- a/yewloom/tests/test_tables.py
+++ b/yewloom/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Tests of the table: no value is reverted, no edit is lost, and one of two edits at once wins."""
+"""Tests of the table: no value is reverted, no edit is lost, one of two concurrent edits wins."""
 
 import unittest
 
@@ -95,9 +95,9 @@
             "colour": ("red", "use one of"),
             "max_in_flight": ("-1", "from 0 to 1000000"),
         }
-        for cell, (value, remedy) in cases.items():
+        for cell, (value, correction) in cases.items():
             error = edit_row(ROW, None, {cell: value, DIGEST: "d"}, RowChange()).err()
-            self.assertIn(remedy, str(error))
+            self.assertIn(correction, str(error))
         missing = edit_row(ROW, None, {}, RowChange()).err()
         self.assertIn("key_digest is missing", str(missing))
 
@@ -152,7 +152,7 @@
 
     @given(st.lists(st.sampled_from(list(WriteFault)), max_size=8), st.booleans())
     def test_reported_outcome_of_an_edit_is_true(
-        self, faults: list[WriteFault], late: bool
+        self, faults: list[WriteFault], is_delayed: bool
     ) -> None:
         """An accepted edit was applied once; no edit is applied more than once."""
 
@@ -160,8 +160,8 @@
             platform = FakePlatform()
             platform.faults = list(faults)
             async with trio.open_nursery() as nursery:
-                if late:
-                    nursery.start_soon(_apply_late_writes, platform)
+                if is_delayed:
+                    nursery.start_soon(_apply_delayed_writes, platform)
                 result = await apply_edit(platform, _edit("2", "ana"))
                 await apply_edit(platform, _edit("3", "bela"))
                 nursery.cancel_scope.cancel()
@@ -170,13 +170,13 @@
             editors = [c.editor for c in parse_row(stored).row.history] if stored else []
             return result.is_ok(), str(result.err()), editors
 
-        accepted, sentence, editors = run_on_mock_clock(scenario)
+        accepted, message, editors = run_on_mock_clock(scenario)
         self.assertLessEqual(editors.count("ana"), 1)
         if accepted:
             self.assertEqual(editors.count("ana"), 1)
 
 
-async def _apply_late_writes(platform: FakePlatform) -> None:
+async def _apply_delayed_writes(platform: FakePlatform) -> None:
     while True:
         await trio.sleep(0.25)
         platform.apply_delayed_writes()
