--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -388,14 +388,14 @@
     Mutation(
         "invalid entries: peers are told that the endpoint was removed",
         "intake",
-        "[*removed, *unreadable]",
+        "[*removed, *invalid]",
         "removed",
         "test_foreign_entries",
     ),
     Mutation(
         "invalid entries: a listing removes the endpoint immediately",
         "intake",
-        "            self._remove_unreadable(unreadable)\n",
+        "            self._remove_invalid(invalid)\n",
         "",
         "test_foreign_entries",
     ),
--- a/yewloom/intake.py
+++ b/yewloom/intake.py
@@ -1,4 +1,4 @@
-"""Decodes updates of configurations and endpoints from followers and peers, and applies them."""
+"""Decodes and applies configurations and endpoints read from the store or received from peers."""
 
 from collections.abc import Callable, Iterable
 
@@ -77,18 +77,16 @@
         self._selector = selector
         self._followed = followed
         self._send_changes = send_changes
-        self._unreadable: dict[
-            HostId, int
-        ] = {}  # The revision that was logged last, by endpoint id.
+        self._logged_revisions: dict[HostId, int] = {}  # Revisions of invalid entries.
 
     def apply_update(self, update: Update) -> None:
         """Apply a full listing, or the endpoints that were changed or removed.
 
         An entry that cannot be decoded counts as removed, even if it was valid before.
         """
-        endpoints, unreadable = self._decode(update)
+        endpoints, invalid = self._decode(update)
         if update.base is None:
-            self._remove_unreadable(unreadable)
+            self._remove_invalid(invalid)
             for endpoint in endpoints:
                 self._check_restart(endpoint)
             self._directory.replace_all(endpoints, trio.current_time(), update.after_outage)
@@ -96,7 +94,7 @@
             return
         removed = [self._records.endpoint_id(key) for key in update.listing.removed]
         changes = ChangedEndpoints(
-            update.base, update.listing.position, endpoints, [*removed, *unreadable]
+            update.base, update.listing.position, endpoints, [*removed, *invalid]
         )
         self._apply(changes)
         if update.has_changes:
@@ -126,30 +124,33 @@
                 )
 
     def _decode(self, update: Update) -> tuple[list[Endpoint], list[HostId]]:
-        """Return the endpoints of an update, and the ids of entries that cannot be decoded."""
+        """Return the endpoints of an update, and the ids of its invalid entries.
+
+        Each revision of an invalid entry is logged once.
+        """
         endpoints: list[Endpoint] = []
-        unreadable: dict[HostId, int] = {}
+        invalid: dict[HostId, int] = {}
         for stored in update.listing.objects:
             endpoint_id = self._records.endpoint_id(stored.key)
             try:
                 endpoints.append(self._records.decode_endpoint(stored))
             except RecordError as error:
-                unreadable[endpoint_id] = stored.version
-                if self._unreadable.get(endpoint_id) != stored.version:
+                invalid[endpoint_id] = stored.version
+                if self._logged_revisions.get(endpoint_id) != stored.version:
                     logger.error("invalid endpoint", reason=str(error), revision=stored.version)
         if update.is_full_listing:
-            self._unreadable.clear()
+            self._logged_revisions.clear()
         for endpoint in endpoints:
-            self._unreadable.pop(endpoint.id, None)
-        self._unreadable |= unreadable
-        return endpoints, list(unreadable)
+            self._logged_revisions.pop(endpoint.id, None)
+        self._logged_revisions |= invalid
+        return endpoints, list(invalid)
 
-    def _remove_unreadable(self, unreadable: Iterable[HostId]) -> None:
+    def _remove_invalid(self, invalid: Iterable[HostId]) -> None:
         """Remove endpoints whose entries are invalid.
 
         They are removed without the grace period of missing endpoints: their entries do exist.
         """
-        for endpoint_id in unreadable:
+        for endpoint_id in invalid:
             self._remove(endpoint_id)
 
     def _remove(self, endpoint_id: HostId) -> None:
--- a/yewloom/tests/test_foreign_entries.py
+++ b/yewloom/tests/test_foreign_entries.py
@@ -110,7 +110,7 @@
 
 
 def _read(body: bytes, watches: bool) -> Listing:
-    """Return the adapter's result for the body of a listing or a watch."""
+    """Return the store client's result for the body of a listing or a watch."""
 
     async def main() -> Listing:
         store = StoreClient(_Caller(body), "store:1", 1.5, random.Random(1))
@@ -131,23 +131,23 @@
 
 BAD_SPECS = {
     "no fields": b"{}",
-    "no object": b'"text"',
-    "nothing": b"null",
+    "not an object": b'"text"',
+    "null": b"null",
     "a service of another type": _text(GOOD | {"service": 7}),
     "an unknown state": _text(GOOD | {"state": "asleep"}),
     "a state of another type": _text(GOOD | {"state": {"a": 1}}),
     "no state": _text({name: GOOD[name] for name in GOOD if name != "state"}),
     "no address": _text(GOOD | {"address": None}),
-    "an address that is none": _text(GOOD | {"address": "somewhere"}),
-    "a port beyond range": _text(GOOD | {"address": "10.1.0.1:99999"}),
+    "an invalid address": _text(GOOD | {"address": "somewhere"}),
+    "a port out of range": _text(GOOD | {"address": "10.1.0.1:99999"}),
     "a data centre of another type": _text(GOOD | {"zone": []}),
     "a group of another type": _text(GOOD | {"group": 3}),
     "an unknown state in its group": _text(GOOD | {"group": GOOD["group"] | {"state": "x"}}),  # type: ignore[operator]
-    "a number beyond range": _text(GOOD | {"group": GOOD["group"] | {"epoch": 2**70}}),  # type: ignore[operator]
+    "a number out of range": _text(GOOD | {"group": GOOD["group"] | {"epoch": 2**70}}),  # type: ignore[operator]
     "an infinite number": _text(GOOD).replace(b'"epoch": 4', b'"epoch": 1e999'),
     "a number of many digits": _text(GOOD).replace(b'"epoch": 4', b'"epoch": ' + b"9" * 5000),
-    "half a character": _text(GOOD | {"service": "\ud800"}),
-    "bytes that are no text": _text(GOOD).replace(b"plain", b"pl\xff\xfein"),
+    "a lone surrogate": _text(GOOD | {"service": "\ud800"}),
+    "bytes that are not UTF-8": _text(GOOD).replace(b"plain", b"pl\xff\xfein"),
     "deep nesting": _text(GOOD).replace(b'"plain"', DEEP),
 }
 
