--- a/yewloom/configuration.py
+++ b/yewloom/configuration.py
@@ -45,7 +45,10 @@
 
 @value_class
 class EngineProfile:
-    """Capabilities of the endpoints of a model engine service."""
+    """Capabilities of the endpoints of a model engine service.
+
+    ``loads_per_s`` is the rate limit of the weight store, from which they load models' weights.
+    """
 
     slots: int
     models: Mapping[ModelName, ReplicaModel]
@@ -76,7 +79,7 @@
         return bool(self.customers)
 
     def engine_services(self) -> list[Service]:
-        """Return the services that are backed by model engines."""
+        """Return the services whose endpoints are model engines."""
         return [service for service in self.services.values() if service.engine is not None]
 
 
--- a/yewloom/entry_addresses.py
+++ b/yewloom/entry_addresses.py
@@ -28,7 +28,7 @@
 the peers whose addresses it reads."""
 
 READ_RETRY_S = 0.5
-"""Pause between reads while no peer is known or the own address is not published yet."""
+"""Pause between reads while no peer is known or this host's address is not published yet."""
 
 
 @value_class
@@ -62,7 +62,7 @@
         self.by_peer: dict[EntryHostId, PeerAddress] = {}
 
     async def run(self) -> None:
-        """Publish the own address and read those of the peers until cancelled."""
+        """Publish this host's address and read those of its peers until cancelled."""
         interval_s = FIRST_READ_INTERVAL_S
         while True:
             await self._read()
--- a/yewloom/entry_exchange.py
+++ b/yewloom/entry_exchange.py
@@ -120,7 +120,7 @@
         """Return the fields for one peer: the echo of its last message, or this host's address.
 
         A peer from which no message was received may not know this host and needs the address to
-        answer.
+        reply.
         """
         fields = self._peer_states.echo_for(recipient.peer)
         fields.interval_ms = round(recipient.interval_s * 1000)
--- a/yewloom/entry_states.py
+++ b/yewloom/entry_states.py
@@ -24,7 +24,7 @@
 """Message intervals for which a peer's state is valid, so that one message may be lost."""
 
 TTL_SLACK_S = 0.4
-"""Delay of a message that is tolerated beyond those intervals."""
+"""Tolerated delay of a message, added to TTL_INTERVALS."""
 
 LIMIT_SHARE_RETENTION_S = 30.0
 """Time for which a silent host keeps its share of a divided limit: most partitions are shorter."""
@@ -128,7 +128,7 @@
         """Process a peer's state and return what it confirms; outdated messages are ignored."""
         peer = EntryHostId(state.host_id)
         known = self._live.get(peer)
-        if peer == self._own_id or (known is not None and _order(state) <= _order(known.state)):
+        if peer == self._own_id or (known is not None and _recency(state) <= _recency(known.state)):
             return PeerConfirmations()
         if known is not None:
             self._add_loads(known.state, -1)
@@ -200,5 +200,5 @@
     return PeerConfirmations(configuration, listing)
 
 
-def _order(state: EntryState) -> tuple[int, int]:
+def _recency(state: EntryState) -> tuple[int, int]:
     return state.started_unix_ms, state.sequence
--- a/yewloom/follow_duty.py
+++ b/yewloom/follow_duty.py
@@ -3,7 +3,7 @@
 A few hosts of each data centre follow it; the others learn the configuration's age and changes of
 endpoints from those followers. So the number of calls to the store grows with the number of data
 centres and not with the number of entry hosts. A host whose information gets too old calls the
-store itself, whatever the reason: followers that died, are partitioned, or do not do their duty.
+store itself, whatever the reason: the followers may have died, be cut off, or not do their duty.
 """
 
 from collections.abc import Callable
--- a/yewloom/followed_position.py
+++ b/yewloom/followed_position.py
@@ -53,7 +53,7 @@
         return self.position is not None and base <= self.position < position
 
     def on_peer_report(self, report: ListingWord, confirmed_s: float, now_s: float) -> None:
-        """Process a peer's report that it knew all changes at ``confirmed_s``."""
+        """Process a peer's report that it knew all changes made until ``confirmed_s``."""
         if self.position is None:
             return
         if report.changed_at > self.position:
--- a/yewloom/membership.py
+++ b/yewloom/membership.py
@@ -96,7 +96,7 @@
         return any(member.id == self._own_member.id for member in chosen)
 
     def _supersede(self, reported: Member) -> None:
-        """Raise the own incarnation above that of an earlier process of this host.
+        """Raise this process's incarnation above that of an earlier process of this host.
 
         The earlier incarnation may be higher if the clock ran faster then.
         """
--- a/yewloom/peer_configurations.py
+++ b/yewloom/peer_configurations.py
@@ -28,7 +28,7 @@
 logger = structlog.get_logger(__name__)
 
 STORE_HEAD_START_S = 0.3
-"""Time for which only the store is asked for a newer configuration before peers are asked too.
+"""Time for which only the store is queried for a newer configuration before peers are queried too.
 
 The store answers in some 10 ms, even under load."""
 
--- a/yewloom/peers.py
+++ b/yewloom/peers.py
@@ -58,7 +58,7 @@
         self._node = node
         self._tls = node.settings.tls
         self._channels: dict[str, Any] = {}
-        self._members_due_s = float("-inf")
+        self._member_list_due_s = float("-inf")
 
     async def run(self) -> None:
         """Exchange with peers until cancelled."""
@@ -66,7 +66,7 @@
         try:
             while True:
                 self._node.membership.increment_heartbeat()
-                wants_members = self._is_members_due()
+                wants_members = self._is_member_list_due()
                 async with trio.open_nursery() as nursery:
                     for address in self._choose_peers():
                         nursery.start_soon(self._exchange_with, address, wants_members)
@@ -95,11 +95,11 @@
         missing = sorted(set(self._node.settings.peers.seeds.split()) - live)
         return {self._node.rng.choice(missing)} if missing else set()
 
-    def _is_members_due(self) -> bool:
+    def _is_member_list_due(self) -> bool:
         now_s = trio.current_time()
-        if now_s < self._members_due_s:
+        if now_s < self._member_list_due_s:
             return False
-        self._members_due_s = now_s + self._node.settings.peers.members_interval_ms / 1000
+        self._member_list_due_s = now_s + self._node.settings.peers.members_interval_ms / 1000
         return True
 
     async def _exchange_with(self, address: str, wants_members: bool) -> None:
--- a/yewloom/store_retries.py
+++ b/yewloom/store_retries.py
@@ -26,21 +26,21 @@
 
 @value_class
 class StoreRetries:
-    """Pauses of one host.
+    """Pauses of one host between calls to a store that does not answer.
 
-    ``first_pause_s`` comes from the settings; ``draw`` is a random number from 0 to 1, drawn for
-    this host.
+    ``first_pause_s`` comes from the settings; ``random_fraction`` is a random number from 0 to 1,
+    drawn once for this host.
     """
 
     first_pause_s: float
-    draw: float
+    random_fraction: float
 
     def pause_s(self, failures: int, has_duty: bool, near_host_count: int) -> float:
         """Return the pause after a number of consecutive failures.
 
         ``near_host_count`` is the number of hosts in this data centre.
         """
-        jitter = 1 - JITTER / 2 + JITTER * self.draw
+        jitter = 1 - JITTER / 2 + JITTER * self.random_fraction
         if has_duty:
             factor = min(2.0 ** max(0, failures - 1), MAX_DUTY_FACTOR)
             return self.first_pause_s * factor * jitter
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -193,7 +193,7 @@
 
 
 def contains_attempt(row: Row, attempt: AttemptId) -> bool:
-    """Return whether an attempt is among the latest writes recorded in a row."""
+    """Return whether a write attempt is among the latest edits recorded in a row."""
     return any(change.attempt_id == attempt for change in row.history)
 
 
--- a/yewloom/tests/test_entry_exchange.py
+++ b/yewloom/tests/test_entry_exchange.py
@@ -27,8 +27,8 @@
             peer_states = PeerStates(OWN_ID, DATA_CENTRE)
             own = PeerAddress(allocate_address(), DATA_CENTRE)
             addresses = EntryAddresses(OWN_ID, own, FakePlatform(), FakePlatform(), peer_states)
-            parts = [Mock(spec=part) for part in (FollowDuty, OwnStateBuilder, PeerIntake)]
-            exchange = EntryExchange(addresses, peer_states, *parts)
+            mocks = [Mock(spec=kind) for kind in (FollowDuty, OwnStateBuilder, PeerIntake)]
+            exchange = EntryExchange(addresses, peer_states, *mocks)
             for _ in range(2):
                 with trio.move_on_after(0.05) as timer:
                     await exchange.run()
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -73,7 +73,7 @@
 
 
 class TestFollower(unittest.TestCase):
-    """When a follower lists again, and how long it pauses."""
+    """When a follower lists again, how long it pauses, and which updates it applies."""
 
     def test_watch_continues_from_the_position_of_the_listing(self) -> None:
         platform = _ScriptedPlatform(Listing([STORED], 5), Listing([], 7), Listing([STORED], 9))
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -40,7 +40,7 @@
 
 
 class Host:
-    """The parts of an entry host that send and process reports."""
+    """The components of an entry host that send and process reports."""
 
     def __init__(self, name: str) -> None:
         self.urgent_changes = 0
