--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -254,7 +254,7 @@
     Mutation(
         "exchange: followers receive every message",
         "follow_duty",
-        "return coordinators | set(first_able) | set(ranked[:FOLLOWERS])",
+        "return coordinators | set(first_able) | set(ranked[:FOLLOWER_COUNT])",
         "return set()",
         "test_follow_duty",
     ),
--- a/yewloom/entry_addresses.py
+++ b/yewloom/entry_addresses.py
@@ -42,7 +42,7 @@
 class EntryAddresses:
     """Publishes this host's address and reads those of its peers.
 
-    ``stale_platform`` answers reads from a cache that may lag behind the store.
+    ``stale_platform`` reads from a cache that may lag behind the store by seconds.
     """
 
     def __init__(
--- a/yewloom/entry_states.py
+++ b/yewloom/entry_states.py
@@ -24,14 +24,17 @@
 """Message intervals for which a peer's state is valid, so that one message may be lost."""
 
 TTL_SLACK_S = 0.4
-"""Tolerated delay of a message, added to TTL_INTERVALS."""
+"""Tolerated delay of a message beyond TTL_INTERVALS message intervals."""
 
 LIMIT_SHARE_RETENTION_S = 30.0
-"""Time for which a silent host keeps its share of a divided limit: most partitions are shorter."""
+"""Time for which a host that sends no messages keeps its share of a divided limit.
+
+Most network partitions are shorter."""
 
 MIN_SHARING_HOSTS = 12
-"""Minimum number of entry hosts among which a global bound is divided, since some may not be known
-yet."""
+"""Minimum number of entry hosts among which a common bound is divided.
+
+Some of them may not be known yet."""
 
 
 @value_class
@@ -99,17 +102,18 @@
         return self._known
 
     def sharing_host_count(self) -> int:
-        """Return the number of entry hosts among which a global bound is divided, with this one.
+        """Return the number of entry hosts among which a common bound is divided.
 
-        Silent hosts still count: they may be serving on the other side of a network partition.
+        This host counts, and so do known hosts that send no messages: they may still be serving on
+        the other side of a network partition.
         """
         return max(MIN_SHARING_HOSTS, len(self._known))
 
     def sharing_hosts(self, now_s: float) -> list[LimitSharingHost]:
         """Return the hosts among which a limit is divided, this one included.
 
-        A silent host is kept for LIMIT_SHARE_RETENTION_S, since it may still be serving on the
-        other side of a network partition.
+        A host that sends no messages is kept for LIMIT_SHARE_RETENTION_S, since it may still be
+        serving on the other side of a network partition.
         """
         recent = {
             peer: received
--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -20,7 +20,7 @@
 )
 from yewloom.schema.records_pb2 import Placement
 from yewloom.schema.table_pb2 import VersionedRow
-from yewloom.tables import BUCKETS
+from yewloom.tables import BUCKET_COUNT
 
 logger = structlog.get_logger(__name__)
 
@@ -91,7 +91,7 @@
 
 def build_rows_response(node: Node, request: FetchRowsRequest) -> FetchRowsResponse:
     """Return the rows that a peer may lack; none if the request is malformed."""
-    if len(request.bucket_digests) != BUCKETS:
+    if len(request.bucket_digests) != BUCKET_COUNT:
         return FetchRowsResponse()
     return FetchRowsResponse(rows=node.table.rows_where_different(request.bucket_digests))
 
--- a/yewloom/follow_duty.py
+++ b/yewloom/follow_duty.py
@@ -14,7 +14,7 @@
 from yewloom.ids import EntryHostId
 from yewloom.values import value_class
 
-FOLLOWERS = 2
+FOLLOWER_COUNT = 2
 """Entry hosts of a data centre that follow the store: the coordinator and a standby, since either
 may die or lose its connection to the store."""
 
@@ -81,7 +81,7 @@
         if not peers and not status.can_follow:
             peers = list(near)  # If the store answers no host, the chosen ones keep calling.
         others = [peer for peer in peers if not near[peer].is_coordinator]
-        needed = FOLLOWERS - min(len(peers) - len(others), FOLLOWERS - 1)
+        needed = FOLLOWER_COUNT - min(len(peers) - len(others), FOLLOWER_COUNT - 1)
         ranked_before = sum(self._rank(peer) < self._rank(self._own_id) for peer in others)
         return ranked_before < needed
 
@@ -93,8 +93,8 @@
         near = self._peer_states.near_states()
         ranked = sorted(near, key=self._rank)
         coordinators = {peer for peer, state in near.items() if state.is_coordinator}
-        first_able = [peer for peer in ranked if near[peer].can_follow][:FOLLOWERS]
-        return coordinators | set(first_able) | set(ranked[:FOLLOWERS])
+        first_able = [peer for peer in ranked if near[peer].can_follow][:FOLLOWER_COUNT]
+        return coordinators | set(first_able) | set(ranked[:FOLLOWER_COUNT])
 
     def must_call_store(self, age_s: float) -> bool:
         """Return whether this host must call the store, given the age of its information.
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -31,7 +31,7 @@
 """Number of latest edits recorded in a row, so that a client that got no answer can find its own
 edit."""
 
-BUCKETS = 64
+BUCKET_COUNT = 64
 """Number of parts of the table that are compared separately when two tables differ."""
 
 TABLE_PREFIX = "table/"
@@ -57,8 +57,8 @@
 
     def __init__(self) -> None:
         self._rows: dict[RowName, VersionedRow] = {}
-        self._buckets: list[set[RowName]] = [set() for _ in range(BUCKETS)]
-        self._bucket_digests = [0] * BUCKETS
+        self._buckets: list[set[RowName]] = [set() for _ in range(BUCKET_COUNT)]
+        self._bucket_digests = [0] * BUCKET_COUNT
         self._digest = 0
         # Cached, since requests look up rows by kind far more often than rows change.
         self._by_kind: dict[RowKind, list[tuple[str, Row]]] = {}
@@ -80,7 +80,7 @@
         change = _row_hash(name, row.version)
         if current is not None:
             change ^= _row_hash(name, current.version)
-        bucket = hash64(name) % BUCKETS
+        bucket = hash64(name) % BUCKET_COUNT
         self._digest ^= change
         self._bucket_digests[bucket] ^= change
         self._buckets[bucket].add(name)
--- a/yewloom/tests/test_follow_duty.py
+++ b/yewloom/tests/test_follow_duty.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from yewloom.entry_states import MIN_STATE_TTL_S, PeerStates
-from yewloom.follow_duty import FOLLOWERS, FollowDuty, FollowStatus
+from yewloom.follow_duty import FOLLOWER_COUNT, FollowDuty, FollowStatus
 from yewloom.follow_times import MAX_FALLBACK_JITTER_S, FollowTimes, follow_times
 from yewloom.ids import EntryHostId
 from yewloom.schema.entry_pb2 import EntrySettings, EntryState
@@ -49,9 +49,9 @@
         states = [_state(name, name not in cut_off, name == coordinator) for name in NAMES]
         followers = {name for name in NAMES if _duty(name, states, name == coordinator).has_duty()}
         able = set(NAMES) - cut_off
-        self.assertGreaterEqual(len(followers & able), min(FOLLOWERS, len(able)))
+        self.assertGreaterEqual(len(followers & able), min(FOLLOWER_COUNT, len(able)))
         if not cut_off:
-            self.assertEqual(len(followers), FOLLOWERS)
+            self.assertEqual(len(followers), FOLLOWER_COUNT)
         if coordinator is not None:
             self.assertIn(coordinator, followers)
 
@@ -65,12 +65,12 @@
         followers = {name for name in able if duties[name].has_duty()}
         for name, duty in duties.items():
             self.assertLessEqual(followers - {name}, set(duty.near_followers()))
-            self.assertLessEqual(len(duty.near_followers()), 2 * FOLLOWERS + 1)
+            self.assertLessEqual(len(duty.near_followers()), 2 * FOLLOWER_COUNT + 1)
 
     def test_chosen_hosts_keep_following_while_the_store_answers_no_host(self) -> None:
         states = [_state(name, can_follow=False) for name in NAMES]
         followers = [name for name in NAMES if _duty(name, states).has_duty()]
-        self.assertEqual(len(followers), FOLLOWERS)
+        self.assertEqual(len(followers), FOLLOWER_COUNT)
 
     def test_host_without_live_peers_follows(self) -> None:
         self.assertTrue(_duty("e1", []).has_duty())
@@ -125,7 +125,7 @@
     def test_all_followers_call_the_store_while_there_is_no_coordinator(self) -> None:
         states = [_state(name) for name in NAMES]
         calling = [name for name in NAMES if _duty(name, states).must_call_store(0.0)]
-        self.assertEqual(len(calling), FOLLOWERS)
+        self.assertEqual(len(calling), FOLLOWER_COUNT)
 
 
 class TestFollowTimes(unittest.TestCase):
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -218,7 +218,7 @@
         self.host.send_to(self.peer, 2.1)
         self.assertEqual(self.peer.limits.wait_s(self.endpoint, 2.1), 0.0)
 
-    def test_hosts_that_hear_each_other_divide_a_limit(self) -> None:
+    def test_hosts_that_hear_from_each_other_divide_a_limit(self) -> None:
         hosts = [Host(f"h{number}") for number in range(8)]
         for host in hosts:
             host.directory.put(self.endpoint)
