--- a/yewloom/entry_addresses.py
+++ b/yewloom/entry_addresses.py
@@ -28,7 +28,7 @@
 the peers whose addresses it reads."""
 
 READ_RETRY_S = 0.5
-"""Pause between reads while no peer is known or the own address is not published yet."""
+"""Pause between reads while no peer is known or this host's address is not published yet."""
 
 
 @value_class
@@ -40,7 +40,10 @@
 
 
 class EntryAddresses:
-    """Publishes this host's address and reads those of its peers."""
+    """Publishes this host's address and reads those of its peers.
+
+    ``stale_platform`` reads from a cache that may lag behind the store by seconds.
+    """
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
         self.by_peer: dict[EntryHostId, PeerAddress] = {}
 
     async def run(self) -> None:
-        """Publish the own address and read those of the peers until cancelled."""
+        """Publish this host's address and read those of its peers until cancelled."""
         interval_s = FIRST_READ_INTERVAL_S
         while True:
             await self._read()
@@ -131,4 +134,4 @@
         if peer != self._host_id:
             self.by_peer[peer] = peer_address
         elif peer_address == self.own:
-            self._is_published = True  # Written by an earlier process of this host.
+            self._is_published = True  # An earlier process of this host wrote it.
--- a/yewloom/entry_states.py
+++ b/yewloom/entry_states.py
@@ -24,14 +24,17 @@
 """Message intervals for which a peer's state is valid, so that one message may be lost."""
 
 TTL_SLACK_S = 0.4
-"""Delay of a message that is tolerated beyond those intervals."""
+"""Tolerated delay of a message beyond TTL_INTERVALS message intervals."""
 
 LIMIT_SHARE_RETENTION_S = 30.0
-"""Time for which a silent host keeps its share of a divided limit: most partitions are shorter."""
+"""Time for which a host that sends no messages keeps its share of a divided limit.
+
+Most network partitions are shorter."""
 
 MIN_SHARING_HOSTS = 12
-"""Minimum number of entry hosts among which a global bound is divided, since some may not be known
-yet."""
+"""Minimum number of entry hosts among which a common bound is divided.
+
+Some of them may not be known yet."""
 
 
 @value_class
@@ -73,7 +76,10 @@
 
 
 class PeerStates:
-    """Holds the latest state of each peer, and the set of all entry hosts known so far."""
+    """Holds the latest state of each peer, and the set of all entry hosts known so far.
+
+    Near peers are those in the same data centre.
+    """
 
     def __init__(
         self, own_id: EntryHostId, data_centre: DataCentreId, started_unix_ms: int = 0
@@ -96,17 +102,18 @@
         return self._known
 
     def sharing_host_count(self) -> int:
-        """Return the number of entry hosts among which a global bound is divided, with this one.
+        """Return the number of entry hosts among which a common bound is divided.
 
-        Silent hosts still count: they may be serving on the other side of a network partition.
+        This host counts, and so do known hosts that send no messages: they may still be serving on
+        the other side of a network partition.
         """
         return max(MIN_SHARING_HOSTS, len(self._known))
 
     def sharing_hosts(self, now_s: float) -> list[LimitSharingHost]:
         """Return the hosts among which a limit is divided, this one included.
 
-        A silent host is kept for LIMIT_SHARE_RETENTION_S, since it may still be serving on the
-        other side of a network partition.
+        A host that sends no messages is kept for LIMIT_SHARE_RETENTION_S, since it may still be
+        serving on the other side of a network partition.
         """
         recent = {
             peer: received
@@ -125,7 +132,7 @@
         """Process a peer's state and return what it confirms; outdated messages are ignored."""
         peer = EntryHostId(state.host_id)
         known = self._live.get(peer)
-        if peer == self._own_id or (known is not None and _order(state) <= _order(known.state)):
+        if peer == self._own_id or (known is not None and _recency(state) <= _recency(known.state)):
             return PeerConfirmations()
         if known is not None:
             self._add_loads(known.state, -1)
@@ -186,7 +193,7 @@
 
 
 def _confirmations_in(state: EntryState) -> PeerConfirmations:
-    """Return what a message confirms, dated by the echoed send time of this host's message."""
+    """Return what a message confirms, dated to the echoed send time of this host's message."""
     echoed_s = state.echoed_ms / 1000
     configuration = listing = None
     if state.configuration_version:
@@ -197,5 +204,5 @@
     return PeerConfirmations(configuration, listing)
 
 
-def _order(state: EntryState) -> tuple[int, int]:
+def _recency(state: EntryState) -> tuple[int, int]:
     return state.started_unix_ms, state.sequence
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -31,7 +31,7 @@
 """Number of latest edits recorded in a row, so that a client that got no answer can find its own
 edit."""
 
-BUCKETS = 64
+BUCKET_COUNT = 64
 """Number of parts of the table that are compared separately when two tables differ."""
 
 TABLE_PREFIX = "table/"
@@ -49,7 +49,7 @@
 
 
 class Table:
-    """The rows that an entry host applies.
+    """The rows known to an entry host, each in its newest version.
 
     ``digest`` is an 8-byte hash of all names and versions; equal digests mean equal tables. If the
     digests of two tables differ, those of their buckets show which rows to send.
@@ -57,8 +57,8 @@
 
     def __init__(self) -> None:
         self._rows: dict[RowName, VersionedRow] = {}
-        self._buckets: list[set[RowName]] = [set() for _ in range(BUCKETS)]
-        self._bucket_digests = [0] * BUCKETS
+        self._buckets: list[set[RowName]] = [set() for _ in range(BUCKET_COUNT)]
+        self._bucket_digests = [0] * BUCKET_COUNT
         self._digest = 0
         # Cached, since requests look up rows by kind far more often than rows change.
         self._by_kind: dict[RowKind, list[tuple[str, Row]]] = {}
@@ -80,7 +80,7 @@
         change = _row_hash(name, row.version)
         if current is not None:
             change ^= _row_hash(name, current.version)
-        bucket = hash64(name) % BUCKETS
+        bucket = hash64(name) % BUCKET_COUNT
         self._digest ^= change
         self._bucket_digests[bucket] ^= change
         self._buckets[bucket].add(name)
@@ -180,8 +180,8 @@
         error = _set_cell(target, path, text)
         if error is not None:
             return Err(TableError(f"{name}: {error}."))
-    for broken in check_message(target):
-        return Err(TableError(f"{name}: {broken}."))
+    for violation in check_message(target):
+        return Err(TableError(f"{name}: {violation}."))
     return Ok(edited)
 
 
@@ -193,7 +193,7 @@
 
 
 def contains_attempt(row: Row, attempt: AttemptId) -> bool:
-    """Return whether an attempt is among the latest writes recorded in a row."""
+    """Return whether a write attempt is among the latest edits recorded in a row."""
     return any(change.attempt_id == attempt for change in row.history)
 
 
