--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -203,14 +203,14 @@
     Mutation(
         "admission: fair order by weight",
         "admission",
-        "customer.finish_tag = start + arrival.cost / arrival.weight",
+        "customer.finish_tag = start + request.cost / request.weight",
         "customer.finish_tag = start",
         "test_admission",
     ),
     Mutation(
         "admission: a request that cannot start in time is refused on arrival",
         "admission",
-        "if start_s > self._latest_start_s(arrival):",
+        "if start_s > self._latest_start_s(request):",
         "if False:",
         "test_admission",
     ),
@@ -301,15 +301,15 @@
     Mutation(
         "planned stop: a request unlikely to end in time is not started",
         "admission",
-        "if now_s >= self._latest_start_before_stop_s(arrival):",
+        "if now_s >= self._latest_start_before_stop_s(request):",
         "if False:",
         "test_work",
     ),
     Mutation(
         "planned stop: a queued request unlikely to end in time is refused",
         "admission",
-        "return min(by_deadline_s, arrival.start_by_s, self._latest_start_before_stop_s(arrival))",
-        "return min(by_deadline_s, arrival.start_by_s)",
+        "return min(by_deadline_s, request.start_by_s, self._latest_start_before_stop_s(request))",
+        "return min(by_deadline_s, request.start_by_s)",
         "test_work",
     ),
     Mutation(
--- a/yewloom/admission.py
+++ b/yewloom/admission.py
@@ -21,7 +21,7 @@
 
 _SMOOTHING_FACTOR = 0.05
 _UPPER_BOUND_DEVIATIONS = 2.0
-"""A request is expected to take at most this many deviations above the mean."""
+"""A request is expected to take at most this many deviations longer than the mean."""
 
 _MIN_RETRY_AFTER_S = 1.0
 
@@ -58,8 +58,8 @@
     request_id: RequestId
 
 
-class ShedReason(Enum):
-    """Why a request is rejected; the values are part of the message to the caller."""
+class RejectionReason(Enum):
+    """Why a request is rejected; the value is part of the message to the caller."""
 
     NO_CAPACITY = "no capacity is left for this customer"
     QUEUE_FULL = "the queue is full"
@@ -69,20 +69,20 @@
 
 
 @value_class
-class Shed:
+class Rejected:
     """The request is rejected; the caller should retry after ``retry_after_s``."""
 
     request_id: RequestId
-    reason: ShedReason
+    reason: RejectionReason
     retry_after_s: float
 
 
-Decision = Admitted | Queued | Shed
+Decision = Admitted | Queued | Rejected
 
 
 @dataclass
 class _ServiceTime:
-    """Running mean and deviation of the seconds per unit of cost, from admission to the end."""
+    """Moving mean and deviation of the seconds per unit of cost, from admission to the end."""
 
     mean_s: float = DEFAULT_SECONDS_PER_COST
     deviation_s: float = 0.0
@@ -102,7 +102,7 @@
     waiting_cost: float = 0.0
     finish_tag: float = 0.0
     in_flight: int = 0
-    refused: int = 0
+    rejected_without_capacity: int = 0
 
 
 class AdmissionController:
@@ -133,15 +133,17 @@
         return {name: customer.in_flight for name, customer in self._customers.items()}
 
     def read_and_reset_demand(self) -> dict[CustomerId, int]:
-        """Return the demand of each customer and reset the counts of refused requests.
+        """Return the demand of each customer and reset the counts of rejected ones.
 
-        The demand is the number of slots held, of requests waiting, and of requests refused since
-        the last call.
+        The demand is the number of slots held, of requests waiting, and of requests rejected with
+        ``NO_CAPACITY`` since the last call.
         """
         demand = {}
         for name, customer in self._customers.items():
-            demand[name] = customer.in_flight + len(customer.waiting) + customer.refused
-            customer.refused = 0
+            demand[name] = (
+                customer.in_flight + len(customer.waiting) + customer.rejected_without_capacity
+            )
+            customer.rejected_without_capacity = 0
         return demand
 
     def set_slots(self, slots: int) -> None:
@@ -152,34 +154,36 @@
         """Reject requests that are not expected to finish by ``stops_s``, from now on."""
         self._stops_s = stops_s
 
-    def submit(self, arrival: AdmissionRequest, now_s: float) -> Decision:
-        """Admit, queue or reject a request on arrival."""
-        customer = self._customers.setdefault(arrival.customer, _CustomerState())
-        if arrival.share <= 0 or self._slots <= 0:
-            customer.refused += 1
-            return self._shed(arrival, ShedReason.NO_CAPACITY)
-        if now_s >= self._latest_start_before_stop_s(arrival):
-            return self._shed(arrival, ShedReason.STOPPING)
-        if not customer.waiting and self._has_free_slot(customer, arrival):
-            self._start(customer, arrival, self._assign_start_tag(customer, arrival), now_s)
-            return Admitted(arrival.request_id)
+    def submit(self, request: AdmissionRequest, now_s: float) -> Decision:
+        """Admit, queue or reject a new request."""
+        customer = self._customers.setdefault(request.customer, _CustomerState())
+        if request.share <= 0 or self._slots <= 0:
+            customer.rejected_without_capacity += 1
+            return self._reject(request, RejectionReason.NO_CAPACITY)
+        if now_s >= self._latest_start_before_stop_s(request):
+            return self._reject(request, RejectionReason.STOPPING)
+        if not customer.waiting and self._has_free_slot(customer, request):
+            self._start(customer, request, self._assign_start_tag(customer, request), now_s)
+            return Admitted(request.request_id)
         if self._queued >= self._max_queued:
-            return self._shed(arrival, ShedReason.QUEUE_FULL)
-        start_s = now_s + self.expected_wait_s(arrival)
-        if start_s > self._latest_start_s(arrival):
-            return self._shed(arrival, self._shed_reason(arrival, start_s, ShedReason.LONG_WAIT))
-        customer.waiting.append((self._assign_start_tag(customer, arrival), arrival))
-        customer.waiting_cost += arrival.cost
+            return self._reject(request, RejectionReason.QUEUE_FULL)
+        start_s = now_s + self.expected_wait_s(request)
+        if start_s > self._latest_start_s(request):
+            return self._reject(
+                request, self._rejection_reason(request, start_s, RejectionReason.LONG_WAIT)
+            )
+        customer.waiting.append((self._assign_start_tag(customer, request), request))
+        customer.waiting_cost += request.cost
         self._queued += 1
-        return Queued(arrival.request_id)
+        return Queued(request.request_id)
 
     def release(self, request_id: RequestId, now_s: float) -> list[Decision]:
         """Free the slot of a request; return the decisions on the waiting requests."""
         entry = self._running.pop(request_id, None)
         if entry is not None:
-            arrival, started_s = entry
-            self._customers[arrival.customer].in_flight -= 1
-            self._service_time.add_sample(now_s - started_s, arrival.cost)
+            request, started_s = entry
+            self._customers[request.customer].in_flight -= 1
+            self._service_time.add_sample(now_s - started_s, request.cost)
         return self.advance(now_s)
 
     def withdraw(self, request_id: RequestId) -> None:
@@ -191,51 +195,51 @@
                     return
 
     def advance(self, now_s: float) -> list[Decision]:
-        """Reject requests whose time ran out, then fill free slots in fair order."""
+        """Reject requests that can no longer finish in time, then fill free slots in fair order."""
         decisions: list[Decision] = list(self._expire(now_s))
         queue_heads = self._queue_heads()
         heapq.heapify(queue_heads)
         while queue_heads and len(self._running) < self._slots:
             _, _, name = heapq.heappop(queue_heads)
             customer = self._customers[name]
-            tag, arrival = customer.waiting[0]
-            if not self._has_free_slot(customer, arrival):
+            tag, request = customer.waiting[0]
+            if not self._has_free_slot(customer, request):
                 continue
             self._remove(customer, customer.waiting[0])
-            self._start(customer, arrival, tag, now_s)
-            decisions.append(Admitted(arrival.request_id))
+            self._start(customer, request, tag, now_s)
+            decisions.append(Admitted(request.request_id))
             if customer.waiting:
-                heapq.heappush(queue_heads, (customer.waiting[0][0], arrival.weight, name))
+                heapq.heappush(queue_heads, (customer.waiting[0][0], request.weight, name))
         return decisions
 
-    def expected_wait_s(self, arrival: AdmissionRequest) -> float:
+    def expected_wait_s(self, request: AdmissionRequest) -> float:
         """Estimate how long a request would wait, from its customer's fair share of the slots."""
-        customer = self._customers.setdefault(arrival.customer, _CustomerState())
-        busy_weight = arrival.weight + sum(
+        customer = self._customers.setdefault(request.customer, _CustomerState())
+        busy_weight = request.weight + sum(
             other.waiting[0][1].weight
             for name, other in self._customers.items()
-            if other.waiting and name != arrival.customer
+            if other.waiting and name != request.customer
         )
-        fair_slots = max(self._slots * arrival.weight / busy_weight, 1e-9)
-        slots = min(fair_slots, arrival.share)
-        return (customer.waiting_cost + arrival.cost) * self._service_time.mean_s / slots
+        fair_slots = max(self._slots * request.weight / busy_weight, 1e-9)
+        slots = min(fair_slots, request.share)
+        return (customer.waiting_cost + request.cost) * self._service_time.mean_s / slots
 
-    def _latest_start_s(self, arrival: AdmissionRequest) -> float:
+    def _latest_start_s(self, request: AdmissionRequest) -> float:
         """Return the latest start at which a request is expected to finish in time."""
-        by_deadline_s = arrival.deadline_s - self._service_time.upper_bound_s(arrival.cost)
-        return min(by_deadline_s, arrival.start_by_s, self._latest_start_before_stop_s(arrival))
+        by_deadline_s = request.deadline_s - self._service_time.upper_bound_s(request.cost)
+        return min(by_deadline_s, request.start_by_s, self._latest_start_before_stop_s(request))
 
-    def _latest_start_before_stop_s(self, arrival: AdmissionRequest) -> float:
+    def _latest_start_before_stop_s(self, request: AdmissionRequest) -> float:
         """Return the latest start at which a request is expected to finish before shutdown."""
-        return self._stops_s - self._service_time.upper_bound_s(arrival.cost)
+        return self._stops_s - self._service_time.upper_bound_s(request.cost)
 
-    def _shed_reason(
-        self, arrival: AdmissionRequest, start_s: float, otherwise: ShedReason
-    ) -> ShedReason:
+    def _rejection_reason(
+        self, request: AdmissionRequest, start_s: float, otherwise: RejectionReason
+    ) -> RejectionReason:
         """Return ``STOPPING`` if shutdown makes the start too late, else ``otherwise``."""
         return (
-            ShedReason.STOPPING
-            if start_s >= self._latest_start_before_stop_s(arrival)
+            RejectionReason.STOPPING
+            if start_s >= self._latest_start_before_stop_s(request)
             else otherwise
         )
 
@@ -244,21 +248,21 @@
         customer.waiting_cost -= entry[1].cost
         self._queued -= 1
 
-    def _assign_start_tag(self, customer: _CustomerState, arrival: AdmissionRequest) -> float:
+    def _assign_start_tag(self, customer: _CustomerState, request: AdmissionRequest) -> float:
         """Return the start tag of a request and advance its customer's finish tag."""
         start = max(self._virtual_time, customer.finish_tag)
-        customer.finish_tag = start + arrival.cost / arrival.weight
+        customer.finish_tag = start + request.cost / request.weight
         return start
 
-    def _has_free_slot(self, customer: _CustomerState, arrival: AdmissionRequest) -> bool:
-        return len(self._running) < self._slots and customer.in_flight < arrival.share
+    def _has_free_slot(self, customer: _CustomerState, request: AdmissionRequest) -> bool:
+        return len(self._running) < self._slots and customer.in_flight < request.share
 
     def _start(
-        self, customer: _CustomerState, arrival: AdmissionRequest, tag: float, now_s: float
+        self, customer: _CustomerState, request: AdmissionRequest, tag: float, now_s: float
     ) -> None:
         self._virtual_time = max(self._virtual_time, tag)
         customer.in_flight += 1
-        self._running[arrival.request_id] = (arrival, now_s)
+        self._running[request.request_id] = (request, now_s)
 
     def _queue_heads(self) -> list[tuple[float, float, CustomerId]]:
         return [
@@ -267,16 +271,16 @@
             if customer.waiting
         ]
 
-    def _expire(self, now_s: float) -> list[Shed]:
-        shed = []
+    def _expire(self, now_s: float) -> list[Rejected]:
+        rejected = []
         for customer in self._customers.values():
             expired = [e for e in customer.waiting if self._latest_start_s(e[1]) <= now_s]
             for entry in expired:
                 self._remove(customer, entry)
-                reason = self._shed_reason(entry[1], now_s, ShedReason.TIME_RAN_OUT)
-                shed.append(self._shed(entry[1], reason))
-        return shed
+                reason = self._rejection_reason(entry[1], now_s, RejectionReason.TIME_RAN_OUT)
+                rejected.append(self._reject(entry[1], reason))
+        return rejected
 
-    def _shed(self, arrival: AdmissionRequest, reason: ShedReason) -> Shed:
-        wait_s = self.expected_wait_s(arrival) if arrival.share > 0 else _MIN_RETRY_AFTER_S
-        return Shed(arrival.request_id, reason, max(_MIN_RETRY_AFTER_S, wait_s))
+    def _reject(self, request: AdmissionRequest, reason: RejectionReason) -> Rejected:
+        wait_s = self.expected_wait_s(request) if request.share > 0 else _MIN_RETRY_AFTER_S
+        return Rejected(request.request_id, reason, max(_MIN_RETRY_AFTER_S, wait_s))
--- a/yewloom/counted_requests.py
+++ b/yewloom/counted_requests.py
@@ -11,12 +11,12 @@
 
 
 class RequestTrackingMiddleware:
-    """Counts each request of an application as work from its headers until its answer is sent.
+    """Counts each request of an application as work from its headers until its response is sent.
 
-    An answer that starts while the host is leaving carries ``connection: close``, so that the
-    caller sends no further request on the connection; HTTP/2 has no such header. A request that is
-    cancelled by the shutdown before its answer has started is answered with the known outcome: it
-    has not run if its body was not received completely.
+    A response that starts while this host is stopping has the header ``connection: close``, so that
+    the caller sends no further request on the connection; HTTP/2 has no such header. If the
+    shutdown cancels a request before its response has started, the caller is sent an error response
+    with the outcome: the request has not run if its body was not received completely.
     """
 
     def __init__(self, application: ASGIApp, work: WorkTracker) -> None:
@@ -49,14 +49,14 @@
         self.has_response_started = False
 
     async def receive(self) -> Message:
-        """Return the caller's next message; note whether the body is complete."""
+        """Return the caller's next message; record whether the body is complete."""
         message = await self._receive()
         if message["type"] == "http.request" and not message.get("more_body", False):
             self.outcome = Outcome.UNKNOWN
         return message
 
     async def send(self, message: Message) -> None:
-        """Send a message to the caller; close its connection if the host is leaving."""
+        """Send a message to the caller; close its connection if this host is stopping."""
         if message["type"] == "http.response.start":
             self.has_response_started = True
             if self._is_http_1 and self._work.is_leaving:
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of model requests: admission, routing, calls to engines, and streaming of the answer.
+"""Dispatch of model requests: admission, routing, calls to engines, and streaming of the response.
 
 The decisions are made in other modules (``admission``, ``routing``, ``retries``, ``streams``); this
 module carries them out.
@@ -76,7 +76,7 @@
 
     async def generate(self, request: ModelRequest) -> AsyncGenerator[TokenBatch, None]:
         """Yield the tokens of a request in order; raise Problem if it cannot be answered."""
-        async with self._slots.acquire(self._arrival(request)):
+        async with self._slots.acquire(self._admission_request(request)):
             progress = self._start(request)
             try:
                 async with aclosing(self._attempts(progress)) as attempts:
@@ -90,13 +90,13 @@
     async def resume(
         self, request: ModelRequest, position: StreamPosition
     ) -> AsyncGenerator[TokenBatch, None]:
-        """Yield the rest of a stream, which may have been started by another entry host."""
+        """Yield the rest of a stream that this or another entry host has started."""
         group = self._fleet.group(position.group_id)
         if group is None or group.generation != position.generation:
             raise unavailable_problem(
                 "The stream's group is gone; send the request again.", Outcome.UNKNOWN
             )
-        async with self._slots.acquire(self._arrival(request)):
+        async with self._slots.acquire(self._admission_request(request)):
             progress = self._start(request)
             progress.assembler = StreamAssembler(
                 position.request_id, position.generation, position.offset
@@ -123,7 +123,7 @@
             arrived_s=trio.current_time(),
         )
 
-    def _arrival(self, request: ModelRequest) -> AdmissionRequest:
+    def _admission_request(self, request: ModelRequest) -> AdmissionRequest:
         share = self._share_of(request.customer, request.customer_row)
         return to_admission_request(request, float(request.max_tokens), share, trio.current_time())
 
@@ -144,7 +144,7 @@
             record.add(progress.request.session, progress.observation(outcome))
 
     async def _attempts(self, progress: Progress) -> AsyncGenerator[TokenBatch, None]:
-        """Call engines until the answer is complete; raise Problem if it is given up."""
+        """Call engines until the response is complete; raise Problem if the request is given up."""
         while not progress.assembler.is_complete:
             if progress.group is None:
                 self._route(progress)
@@ -170,10 +170,10 @@
             progress.group = None
 
     async def _attempt(self, progress: Progress) -> AsyncGenerator[TokenBatch, None]:
-        """Make one call and yield the tokens that it adds to the answer.
+        """Make one call and yield the tokens that it adds to the response.
 
-        Tokens that arrive within ``coalesce_ms`` are sent together, since the cost to the caller's
-        stream is per event, not per token.
+        Tokens that arrive within ``coalesce_ms`` are sent together, since each event of the
+        caller's stream has a cost, however many tokens it contains.
         """
         group = progress.group
         assert group is not None
@@ -181,7 +181,7 @@
         call = self._call_for(progress, group)
         address = group.members[0].address
         self._sent_s[group_id][request.request_id] = trio.current_time()
-        is_finished = False
+        has_ended = False
         try:
             stall_s = self._stall_timeout_s(request)
             async with self._endpoints.generate(address, call, stall_s) as chunks:
@@ -195,21 +195,21 @@
                         raise EndpointError(CallFailure.STALLED, "the time left ran out")
             if not progress.assembler.is_complete:
                 raise EndpointError(CallFailure.BROKEN, "the stream ended early")
-            is_finished = True
+            has_ended = True
         except StreamOverflowError as error:
             raise EndpointError(CallFailure.BROKEN, str(error)) from error
         except EndpointError:
-            is_finished = True
+            has_ended = True
             if progress.pending_tokens:
                 yield self._flush(progress, group)
             raise
         finally:
             self._sent_s[group_id].pop(request.request_id, None)
-            if not is_finished:
+            if not has_ended:
                 self._tasks.start_soon(self._cancel_later, address, call.request_id)
 
     def _stall_timeout_s(self, request: ModelRequest) -> float:
-        """Return the longest time without data from an engine, limited by the deadline."""
+        """Return how long an engine may send no data; at most until the request's deadline."""
         remaining_s = request.deadline_s - trio.current_time()
         return max(0.0, min(self._settings.requests.stall_timeout_ms / 1000, remaining_s))
 
--- a/yewloom/places.py
+++ b/yewloom/places.py
@@ -1,4 +1,4 @@
-"""Lets the requests of this process wait for a slot, as ``admission`` decides."""
+"""Makes requests wait for a slot, and carries out the decisions of ``admission``."""
 
 from collections.abc import AsyncIterator, Iterable
 from contextlib import asynccontextmanager
@@ -11,8 +11,8 @@
     Admitted,
     Decision,
     Queued,
-    Shed,
-    ShedReason,
+    Rejected,
+    RejectionReason,
 )
 from yewloom.ids import RequestId
 from yewloom.problems import Problem, overloaded_problem, unavailable_problem
@@ -28,17 +28,17 @@
         self._decisions: dict[RequestId, Decision] = {}
 
     @asynccontextmanager
-    async def acquire(self, arrival: AdmissionRequest) -> AsyncIterator[None]:
-        """Hold a slot; raise Problem as soon as the request is rejected."""
-        decision = self.admission.submit(arrival, trio.current_time())
+    async def acquire(self, request: AdmissionRequest) -> AsyncIterator[None]:
+        """Wait for a slot and hold it; raise Problem as soon as the request is rejected."""
+        decision = self.admission.submit(request, trio.current_time())
         if isinstance(decision, Queued):
-            decision = await self._wait(arrival)
-        if isinstance(decision, Shed):
+            decision = await self._wait(request)
+        if isinstance(decision, Rejected):
             raise _problem_for(decision)
         try:
             yield
         finally:
-            self._apply_decisions(self.admission.release(arrival.request_id, trio.current_time()))
+            self._apply_decisions(self.admission.release(request.request_id, trio.current_time()))
 
     def set_stop_time(self, stops_s: float) -> None:
         """Reject requests that are not expected to finish by ``stops_s``, from now on."""
@@ -50,20 +50,20 @@
         self.admission.set_slots(slots)
         self._apply_decisions(self.admission.advance(trio.current_time()))
 
-    async def _wait(self, arrival: AdmissionRequest) -> Decision:
-        decided = self._decided_events[arrival.request_id] = trio.Event()
+    async def _wait(self, request: AdmissionRequest) -> Decision:
+        decided = self._decided_events[request.request_id] = trio.Event()
         try:
-            with trio.move_on_at(min(arrival.deadline_s, arrival.start_by_s)):
+            with trio.move_on_at(min(request.deadline_s, request.start_by_s)):
                 await decided.wait()
-            if arrival.request_id not in self._decisions:
+            if request.request_id not in self._decisions:
                 self._apply_decisions(self.admission.advance(trio.current_time()))
-            return self._decisions[arrival.request_id]
+            return self._decisions[request.request_id]
         except trio.Cancelled:
-            self._abandon(arrival.request_id)
+            self._abandon(request.request_id)
             raise
         finally:
-            del self._decided_events[arrival.request_id]
-            self._decisions.pop(arrival.request_id, None)
+            del self._decided_events[request.request_id]
+            self._decisions.pop(request.request_id, None)
 
     def _abandon(self, request_id: RequestId) -> None:
         """Leave the queue, or free a slot that was granted just before the cancellation."""
@@ -80,8 +80,8 @@
                 decided.set()
 
 
-def _problem_for(shed: Shed) -> Problem:
-    detail = f"The request was turned away: {shed.reason.value}."
-    if shed.reason is ShedReason.STOPPING:
+def _problem_for(rejection: Rejected) -> Problem:
+    detail = f"The request was turned away: {rejection.reason.value}."
+    if rejection.reason is RejectionReason.STOPPING:
         return unavailable_problem(detail, Outcome.NOT_RUN)
-    return overloaded_problem(detail, shed.retry_after_s)
+    return overloaded_problem(detail, rejection.retry_after_s)
--- a/yewloom/prefixes.py
+++ b/yewloom/prefixes.py
@@ -2,8 +2,8 @@
 
 A prompt is split into blocks. The hash of a block covers all blocks before it too, so equal hashes
 mean equal prefixes. The index is built from the engines' cache events, which may be late or lost
-and carry a sequence number. After a gap all blocks of that engine are dropped, since an eviction
-may have been missed, and the index is rebuilt from the events that follow.
+and carry a sequence number. After a gap all blocks known from that engine's events are dropped,
+since an eviction may have been missed, and are collected anew from the events that follow.
 """
 
 from collections import OrderedDict
@@ -19,9 +19,9 @@
 """Length of a block in characters."""
 
 MAX_EXPECTED_BLOCKS = 4096
-"""Most blocks per engine that are expected from this host's own requests.
+"""Maximum number of blocks that an engine is expected to cache for this host's own requests.
 
-The least recently used ones are dropped first.
+The blocks that were least recently part of a request are dropped first.
 """
 
 
@@ -39,8 +39,8 @@
 class _EngineCache:
     """Blocks that one engine has cached.
 
-    ``blocks`` are known from its events; ``expected`` are those of the requests that this host sent
-    to it.
+    ``blocks`` are known from its events; ``expected`` are those of the requests that this host has
+    sent to it.
     """
 
     generation: int
@@ -48,7 +48,7 @@
     blocks: set[int] = field(default_factory=set)
     expected: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
-    def expect(self, hashes: Iterable[int]) -> None:
+    def add_expected(self, hashes: Iterable[int]) -> None:
         for block in hashes:
             self.expected[block] = None
             self.expected.move_to_end(block)
@@ -88,7 +88,7 @@
         self, group_id: GroupId, generation: int, hashes: Iterable[int]
     ) -> None:
         """Add the blocks of a request just sent, which its engine has yet to report as cached."""
-        self._cache(group_id, generation).expect(hashes)
+        self._cache(group_id, generation).add_expected(hashes)
 
     def matched_blocks(self, group_id: GroupId, hashes: Sequence[int]) -> int:
         """Return the number of leading blocks of a prompt that a group has cached."""
@@ -107,6 +107,6 @@
         return cache
 
     def retain_groups(self, present: Iterable[GroupId]) -> None:
-        """Drop all groups but these."""
+        """Drop all groups that are not in ``present``."""
         for group_id in self._caches.keys() - set(present):
             del self._caches[group_id]
--- a/yewloom/progress.py
+++ b/yewloom/progress.py
@@ -15,8 +15,9 @@
 class Progress:
     """The state of one model request while it is dispatched.
 
-    ``pending_tokens`` have been received but not yet passed to the caller, ``delivered`` have. The
-    request has failed on the groups in ``failed_groups``. Times are in seconds of Trio's clock.
+    ``pending_tokens`` have been received but not yet passed to the caller; ``delivered`` have been
+    passed on. The request has failed on the groups in ``failed_groups``. Times are in seconds of
+    Trio's clock.
     """
 
     request: ModelRequest
@@ -43,7 +44,7 @@
         return self.last_token_s is None or now_s - self.last_token_s >= coalesce_s
 
     def observation(self, outcome: Outcome) -> Observation:
-        """Return the observation of this request for its experiment."""
+        """Return the outcome and latencies of this request for its experiment."""
         first_s, last_s = self.first_token_s, self.last_token_s
         gaps = len(self.delivered) - 1
         first_ms = between_ms = None
--- a/yewloom/requests.py
+++ b/yewloom/requests.py
@@ -45,7 +45,7 @@
 class TokenBatch:
     """Consecutive tokens, and the position in the stream after them.
 
-    ``finish_reason`` is set on the last tokens of an answer only.
+    ``finish_reason`` is empty except in the last batch of a response.
     """
 
     tokens: tuple[str, ...]
--- a/yewloom/retries.py
+++ b/yewloom/retries.py
@@ -1,7 +1,7 @@
-"""Retries: the outcome of a failed call to an endpoint, and whether it may be sent again.
+"""Retries: the outcome of a failed call to an endpoint, and whether the call may be sent again.
 
-A call has exactly one of three outcomes: answered, not run, or unknown. Not run is reported only if
-it is certain. An unsafe call is sent again only if it has certainly not run.
+A call has exactly one of three outcomes: answered, not run, or unknown. "Not run" is reported only
+if it is certain. An unsafe call is sent again only if it has certainly not run.
 """
 
 from dataclasses import dataclass
--- a/yewloom/routing.py
+++ b/yewloom/routing.py
@@ -1,6 +1,6 @@
-"""Routing: chooses the open group that a model request goes to.
+"""Routing: choice of the open group that a model request is sent to.
 
-Reported loads are out of date, so the requests that this entry host has sent since a report are
+A reported load is out of date, so the requests that this entry host has sent since the report are
 added to it. Only a few random candidates are compared, so that entry hosts with the same stale
 reports do not all choose the same group. The group with the longest cached prefix is always among
 them.
@@ -22,8 +22,8 @@
 FULL_LOAD_PENALTY_S = 0.03
 """Penalty in seconds for a fully used group, so that load spreads before requests queue.
 
-It is lower than ``REMOTE_PENALTY_S``, so that requests go to another data centre only if they would
-have to queue in the local one.
+It is lower than ``REMOTE_PENALTY_S``, so that requests are sent to another data centre only if they
+would queue in the local one.
 """
 
 REMOTE_PENALTY_S = 0.05
@@ -71,14 +71,14 @@
 
 @value_class
 class Route:
-    """The chosen group, and the reason for the log."""
+    """The chosen group; ``reason`` says for the log why it was chosen."""
 
     group_id: GroupId
     reason: str
 
 
 def default_routing() -> ScoreRouting:
-    """Return the routing used for policies that do not specify one."""
+    """Return the routing of policies that do not specify one."""
     routing = ScoreRouting()
     apply_defaults(routing)
     return routing
@@ -107,8 +107,8 @@
 
     Groups on which the request has failed are chosen only if there is no other.
     """
-    fresh = [c for c in candidates if c.group_id not in request.failed_groups]
-    usable = sorted(fresh or candidates, key=lambda candidate: candidate.group_id)
+    not_failed = [c for c in candidates if c.group_id not in request.failed_groups]
+    usable = sorted(not_failed or candidates, key=lambda candidate: candidate.group_id)
     return _choose(policy, request, usable, rng, turns) if usable else None
 
 
--- a/yewloom/service_dispatch.py
+++ b/yewloom/service_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of calls to plain services; unsafe calls are not retried if they may have run."""
+"""Dispatch of calls to plain services; an unsafe call is not retried if it may have run."""
 
 import structlog
 import trio
@@ -35,16 +35,16 @@
         self._budget = budget
 
     async def call_service(self, request: ServiceRequest) -> HttpResponse:
-        """Return a plain service's answer; raise Problem if there is none."""
+        """Return a plain service's response; raise Problem if there is none."""
         share = self._share_of(request.customer, request.customer_row)
-        arrival = to_admission_request(request, 1.0, share, trio.current_time())
-        async with self._slots.acquire(arrival):
+        admission_request = to_admission_request(request, 1.0, share, trio.current_time())
+        async with self._slots.acquire(admission_request):
             tracker = AttemptTracker(request.is_unsafe, can_resume=False, budget=self._budget)
-            avoid: set[HostId] = set()
+            failed_hosts: set[HostId] = set()
             while True:
-                host_id, address = self._choose_service(request, avoid, tracker.outcome)
+                host_id, address = self._choose_service(request, failed_hosts, tracker.outcome)
                 try:
-                    answer = await self._endpoints.call_service(
+                    response = await self._endpoints.call_service(
                         address,
                         request.call,
                         request.deadline_s - trio.current_time(),
@@ -52,18 +52,18 @@
                     )
                 except EndpointError as error:
                     self._node.fleet.on_service_failed(host_id, trio.current_time())
-                    avoid.add(host_id)
+                    failed_hosts.add(host_id)
                     next_step(error, tracker, request, self._node.metrics)
                     continue
                 self._budget.on_success()
-                return answer
+                return response
 
     def _choose_service(
-        self, request: ServiceRequest, avoid: set[HostId], outcome: Outcome
+        self, request: ServiceRequest, failed_hosts: set[HostId], outcome: Outcome
     ) -> tuple[HostId, str]:
         """Choose a random open endpoint of a service, preferring the local data centre."""
         open_endpoints = self._node.fleet.open_services(request.service, trio.current_time())
-        usable = [entry for entry in open_endpoints if entry[1].host_id not in avoid]
+        usable = [entry for entry in open_endpoints if entry[1].host_id not in failed_hosts]
         local = [entry for entry in usable if entry[0] == self._node.data_centre]
         if not usable:
             raise unavailable_problem(f"No endpoint of {request.service} is open now.", outcome)
--- a/yewloom/tests/test_admission.py
+++ b/yewloom/tests/test_admission.py
@@ -14,7 +14,7 @@
     Admitted,
     Decision,
     Queued,
-    Shed,
+    Rejected,
 )
 from yewloom.ids import CustomerId, RequestId
 
@@ -23,7 +23,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Arrivals, completions, withdrawals and changes of the number of slots in any order."""
+    """New, finished and withdrawn requests, and changes of the number of slots, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,22 +31,22 @@
         self.slots = SLOTS
         self.now_s = 0.0
         self.count = 0
-        self.customer: dict[RequestId, str] = {}
+        self.customers: dict[RequestId, str] = {}
         self.running: set[RequestId] = set()
         self.waiting: dict[RequestId, float] = {}
 
     @rule(
         customer=st.sampled_from("abc"),
         weight=st.sampled_from([0.5, 1.0, 4.0]),
-        patience_s=st.floats(0.1, 20),
+        time_left_s=st.floats(0.1, 20),
     )
-    def arrive(self, customer: str, weight: float, patience_s: float) -> None:
+    def arrive(self, customer: str, weight: float, time_left_s: float) -> None:
         self.count += 1
         name = RequestId(str(self.count))
-        self.customer[name] = customer
-        deadline_s = self.now_s + patience_s
-        arrival = AdmissionRequest(name, CustomerId(customer), weight, 1.0, deadline_s, SHARE)
-        decision = self.admission.submit(arrival, self.now_s)
+        self.customers[name] = customer
+        deadline_s = self.now_s + time_left_s
+        request = AdmissionRequest(name, CustomerId(customer), weight, 1.0, deadline_s, SHARE)
+        decision = self.admission.submit(request, self.now_s)
         if isinstance(decision, Queued):
             self.waiting[name] = deadline_s
         self._apply([decision])
@@ -78,7 +78,7 @@
                 self.waiting.pop(decision.request_id, None)
                 self.running.add(decision.request_id)
                 assert len(self.running) <= self.slots
-            elif isinstance(decision, Shed):
+            elif isinstance(decision, Rejected):
                 self.waiting.pop(decision.request_id, None)
                 assert decision.retry_after_s > 0
 
@@ -86,14 +86,14 @@
     def counts_agree_and_shares_are_respected(self) -> None:
         assert self.admission.in_flight == len(self.running)
         assert self.admission.queued == len(self.waiting)
-        used = Counter(self.customer[name] for name in self.running)
+        used = Counter(self.customers[name] for name in self.running)
         assert all(count <= SHARE for count in used.values())
 
 
 TestAdmissionMachine = AdmissionMachine.TestCase
 
 
-def _arrival(
+def _request(
     name: str, customer: str, weight: float = 1.0, deadline_s: float = 1e9, cost: float = 1.0
 ) -> AdmissionRequest:
     return AdmissionRequest(
@@ -105,20 +105,20 @@
     """Fairness and early rejection."""
 
     def _count_started(
-        self, weights: dict[str, float], flood: dict[str, int], ends: int
+        self, weights: dict[str, float], counts: dict[str, int], finished: int
     ) -> Counter[str]:
         """Return how many requests of each customer start.
 
-        Customers send ``flood`` requests each, then ``ends`` of the started ones finish.
+        Each customer sends as many requests as ``counts`` says, then ``finished`` of them finish.
         """
         admission = AdmissionController(4, max_queued=10_000)
         started: list[str] = []
-        for customer, count in flood.items():
+        for customer, count in counts.items():
             for number in range(count):
-                arrival = _arrival(f"{customer}{number}", customer, weights[customer])
-                if isinstance(admission.submit(arrival, 0.0), Admitted):
-                    started.append(arrival.request_id)
-        for number in range(ends):
+                request = _request(f"{customer}{number}", customer, weights[customer])
+                if isinstance(admission.submit(request, 0.0), Admitted):
+                    started.append(request.request_id)
+        for number in range(finished):
             decisions = admission.release(RequestId(started[number]), float(number))
             started += [d.request_id for d in decisions if isinstance(d, Admitted)]
         return Counter(name[0] for name in started)
@@ -133,31 +133,31 @@
 
     def test_a_request_that_cannot_finish_in_time_is_rejected_on_arrival(self) -> None:
         admission = AdmissionController(1, max_queued=100)
-        admission.submit(_arrival("1", "a"), 0.0)
-        late = _arrival("2", "a", deadline_s=0.2, cost=0.2 / DEFAULT_SECONDS_PER_COST)
+        admission.submit(_request("1", "a"), 0.0)
+        late = _request("2", "a", deadline_s=0.2, cost=0.2 / DEFAULT_SECONDS_PER_COST)
         decision = admission.submit(late, 0.0)
-        assert isinstance(decision, Shed)
+        assert isinstance(decision, Rejected)
         self.assertGreaterEqual(decision.retry_after_s, 1.0)
 
     def test_a_queued_request_that_can_no_longer_finish_in_time_is_rejected(self) -> None:
         admission = AdmissionController(1, max_queued=100)
         for number in range(200):
-            admission.submit(_arrival(f"w{number}", "a"), 10.0 * number)
+            admission.submit(_request(f"w{number}", "a"), 10.0 * number)
             admission.release(RequestId(f"w{number}"), 10.0 * number + 1.0)
-        admission.submit(_arrival("1", "a"), 5000.0)
-        self.assertIsInstance(admission.submit(_arrival("2", "a", 1.0, 5002.5), 5000.0), Queued)
+        admission.submit(_request("1", "a"), 5000.0)
+        self.assertIsInstance(admission.submit(_request("2", "a", 1.0, 5002.5), 5000.0), Queued)
         decisions = admission.release(RequestId("1"), 5002.0)
-        self.assertIsInstance(decisions[0], Shed)
+        self.assertIsInstance(decisions[0], Rejected)
 
     def test_no_request_waits_longer_for_a_slot_than_its_customer_allows(self) -> None:
         admission = AdmissionController(1, max_queued=100)
-        admission.submit(_arrival("1", "a"), 0.0)
-        bounded = replace(_arrival("2", "a"), start_by_s=1.0)
+        admission.submit(_request("1", "a"), 0.0)
+        bounded = replace(_request("2", "a"), start_by_s=1.0)
         self.assertIsInstance(admission.submit(bounded, 0.0), Queued)
-        self.assertIsInstance(admission.advance(1.0)[0], Shed)
-        late = replace(_arrival("3", "a", cost=400.0), start_by_s=2.0)
-        self.assertIsInstance(admission.submit(late, 1.5), Shed)
+        self.assertIsInstance(admission.advance(1.0)[0], Rejected)
+        late = replace(_request("3", "a", cost=400.0), start_by_s=2.0)
+        self.assertIsInstance(admission.submit(late, 1.5), Rejected)
 
     def test_a_customer_without_a_share_is_rejected_immediately(self) -> None:
-        arrival = AdmissionRequest(RequestId("1"), CustomerId("a"), 1.0, 1.0, 99.0, share=0)
-        self.assertIsInstance(AdmissionController(4, 4).submit(arrival, 0.0), Shed)
+        request = AdmissionRequest(RequestId("1"), CustomerId("a"), 1.0, 1.0, 99.0, share=0)
+        self.assertIsInstance(AdmissionController(4, 4).submit(request, 0.0), Rejected)
--- a/yewloom/tests/test_dispatch.py
+++ b/yewloom/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Tests of dispatch: complete answers, true outcomes, at most one run of an unsafe request."""
+"""Tests of dispatch: complete responses, correct outcomes, unsafe requests run at most once."""
 
 import random
 import unittest
@@ -60,7 +60,7 @@
 
 
 def _node(groups: int) -> Node:
-    """Return an entry host with so many placed_groups groups and two service endpoints."""
+    """Return an entry host with ``groups`` placed groups and two service endpoints."""
     node = build_node(_settings(), random.Random(1), 1)
     node.table.apply(VersionedRow(name="policy/p", version=1, row=Row(policy=make_policy())))
     placed_groups = [
@@ -135,8 +135,8 @@
                 stream = self.dispatcher(nursery).generate(_request(is_unsafe))
                 try:
                     async with aclosing(stream):
-                        async for part in stream:
-                            tokens += part.tokens
+                        async for batch in stream:
+                            tokens += batch.tokens
                 except Problem as error:
                     problem = error
                 ended_s = trio.current_time()
@@ -165,7 +165,7 @@
 
     @settings(max_examples=200)
     @given(st.lists(st.sampled_from(list(CallFault)), max_size=8), st.booleans())
-    def test_answers_are_whole_and_outcomes_true(
+    def test_responses_are_complete_and_outcomes_correct(
         self, faults: list[CallFault], is_unsafe: bool
     ) -> None:
         engines = FakeEngines(ANSWER, faults)
@@ -247,7 +247,7 @@
                 group = next(g for _, g in harness.node.fleet.groups() if g.id == "g1")
                 position = StreamPosition(group.id, 1, RequestId("r0"), 2)  # type: ignore[arg-type]
                 stream = harness.dispatcher(nursery).resume(_request(), position)
-                tokens = [token async for part in stream for token in part.tokens]
+                tokens = [token async for batch in stream for token in batch.tokens]
                 nursery.cancel_scope.cancel()
             return tokens
 
@@ -256,11 +256,11 @@
 
 
 class TestCallService(unittest.TestCase):
-    """Calls to plain services, of which unsafe ones may not be repeated."""
+    """Calls to plain services; unsafe ones run at most once."""
 
     @settings(max_examples=100)
     @given(st.lists(st.sampled_from(list(CallFault)), max_size=5), st.booleans())
-    def test_unsafe_calls_run_at_most_once_and_outcomes_are_true(
+    def test_unsafe_calls_run_at_most_once_and_outcomes_are_correct(
         self, faults: list[CallFault], is_unsafe: bool
     ) -> None:
         engines = FakeEngines(ANSWER, faults)
--- a/yewloom/tests/test_retries.py
+++ b/yewloom/tests/test_retries.py
@@ -21,7 +21,7 @@
     """Retries are limited to a fraction of the successes."""
 
     @given(st.lists(st.booleans(), max_size=200))
-    def test_retries_never_exceed_the_burst_and_the_share_of_successes(
+    def test_retries_never_exceed_the_burst_plus_a_fraction_of_successes(
         self, events: list[bool]
     ) -> None:
         budget = RetryBudget(ratio=0.1, burst=3)
--- a/yewloom/tests/test_routing.py
+++ b/yewloom/tests/test_routing.py
@@ -24,13 +24,13 @@
 
 
 def _candidate(
-    name: str, load: int = 0, own: int = 0, blocks: int = 0, data_centre: DataCentreId = LOCAL
+    name: str, load: int = 0, sent: int = 0, blocks: int = 0, data_centre: DataCentreId = LOCAL
 ) -> Candidate:
-    return Candidate(GroupId(name), data_centre, load, 8, own, blocks)
+    return Candidate(GroupId(name), data_centre, load, 8, sent, blocks)
 
 
-def _choose(policy: object, candidates: list[Candidate], avoid: str = "") -> str | None:
-    request = RouteRequest(ModelName("m"), LOCAL, 4000, frozenset({GroupId(avoid)}))
+def _choose(policy: object, candidates: list[Candidate], failed: str = "") -> str | None:
+    request = RouteRequest(ModelName("m"), LOCAL, 4000, frozenset({GroupId(failed)}))
     route = choose_group(policy, request, candidates, random.Random(1), RoundRobinCounter())  # type: ignore[arg-type]
     return route.group_id if route is not None else None
 
@@ -44,8 +44,8 @@
     def test_the_less_loaded_of_two_is_chosen(self) -> None:
         self.assertEqual(_choose(SCORE, [_candidate("x", load=20), _candidate("y")]), "y")
 
-    def test_own_requests_count_before_they_are_reported(self) -> None:
-        self.assertEqual(_choose(SCORE, [_candidate("x", own=20), _candidate("y", load=9)]), "y")
+    def test_requests_sent_by_this_host_count_before_they_are_reported(self) -> None:
+        self.assertEqual(_choose(SCORE, [_candidate("x", sent=20), _candidate("y", load=9)]), "y")
 
     def test_a_group_with_a_cached_prefix_is_preferred(self) -> None:
         self.assertEqual(_choose(SCORE, [_candidate("x"), _candidate("y", blocks=40)]), "y")
@@ -61,11 +61,11 @@
 
     def test_a_group_that_failed_is_avoided_unless_it_is_the_only_one(self) -> None:
         candidates = [_candidate("x"), _candidate("y", load=30)]
-        self.assertEqual(_choose(SCORE, candidates, avoid="x"), "y")
-        self.assertEqual(_choose(SCORE, candidates[:1], avoid="x"), "x")
+        self.assertEqual(_choose(SCORE, candidates, failed="x"), "y")
+        self.assertEqual(_choose(SCORE, candidates[:1], failed="x"), "x")
 
     def test_least_load_and_round_robin_ignore_unreported_requests(self) -> None:
-        candidates = [_candidate("x", load=9, own=0), _candidate("y", load=3, own=30)]
+        candidates = [_candidate("x", load=9, sent=0), _candidate("y", load=3, sent=30)]
         self.assertEqual(_choose(LeastLoadRouting(), candidates), "y")
         turns, rng = RoundRobinCounter(), random.Random(1)
         request = RouteRequest(ModelName("m"), LOCAL, 0)
