--- a/yewloom/endpoint_limits.py
+++ b/yewloom/endpoint_limits.py
@@ -26,13 +26,16 @@
 logger = structlog.get_logger(__name__)
 
 BURST_S = 2.0
-"""Seconds of an endpoint's rate that all hosts together may send in a burst.
+"""Size of the burst of all hosts together, in seconds of the endpoint's rate.
 
-An endpoint can work through a burst of this length.
+An endpoint can work through a burst of this size.
 """
 
 EXTRA_BURST = 2.0
-"""Requests added to the burst, so that even the lowest limit has two senders."""
+"""Requests added to the burst, so that even the lowest limit has two senders.
+
+There are at most as many senders as requests in the burst.
+"""
 
 MIN_PER_S = 0.1
 """Lowest rate that is enforced.
@@ -42,18 +45,18 @@
 """
 
 REPORT_PERIOD_S = 30.0
-"""Time for which peers are sent what an endpoint announced: several rounds to all of them."""
+"""Time for which an announced limit is reported to peers: several rounds to all of them."""
 
 SHARE_UPDATE_INTERVAL_S = 1.0
 """Minimum interval between two updates of this host's share of a limit."""
 
 MAX_REPORTS = 32
-"""Most limits in one message to a peer; the newest are sent."""
+"""Maximum number of limits in one message to a peer; the newest are sent."""
 
 
 @value_class
 class LimitReport:
-    """What an endpoint announced to some host; ``per_s`` is None if it no longer has a limit."""
+    """A limit announced to an entry host; ``per_s`` is None if the endpoint has none any more."""
 
     endpoint: HostId
     per_s: float | None
@@ -66,13 +69,13 @@
 
     ``tokens`` is the number of requests that this host may send now, ``rate_per_s`` and ``burst``
     are its share. ``announced_s`` is when the endpoint announced the limit to any host, and
-    ``own_answer_s`` when it last announced it to this one.
+    ``own_response_s`` when it last announced the limit to this one.
     """
 
     per_s: float | None
     announced_s: float
     refilled_s: float
-    own_answer_s: float | None = None
+    own_response_s: float | None = None
     rate_per_s: float = 0.0
     burst: float = 0.0
     tokens: float = 0.0
@@ -98,7 +101,7 @@
         self._sharing_hosts = sharing_hosts
         self._on_change = on_change
         self._limits: dict[HostId, _Limit] = {}
-        self._unreadable: dict[HostId, str] = {}
+        self._invalid_texts: dict[HostId, str] = {}
 
     @property
     def has_any(self) -> bool:
@@ -106,22 +109,22 @@
         return bool(self._limits)
 
     def apply_announced(self, endpoint: HostId, per_s: float | None, now_s: float) -> None:
-        """Apply the limit in an endpoint's answer; ``per_s`` is None if there is none."""
+        """Apply the limit in an endpoint's response; ``per_s`` is None if there is none."""
         known = self._limits.get(endpoint)
         if known is None and per_s is None:
             return
-        self._unreadable.pop(endpoint, None)
+        self._invalid_texts.pop(endpoint, None)
         has_changed = known is None or known.per_s != per_s
         limit = self._store(endpoint, per_s, now_s)
-        limit.own_answer_s = now_s
+        limit.own_response_s = now_s
         if has_changed:
             self._on_change()
 
     def log_invalid(self, endpoint: HostId, text: str) -> None:
-        """Log an invalid limit; the endpoint's previous limit stays in force."""
-        if self._unreadable.get(endpoint) == text:
-            return  # Every answer repeats it; it is logged once.
-        self._unreadable[endpoint] = text
+        """Log an invalid limit; the endpoint's previous limit still applies."""
+        if self._invalid_texts.get(endpoint) == text:
+            return  # Every response repeats it; it is logged once.
+        self._invalid_texts[endpoint] = text
         logger.warning("invalid endpoint limit", endpoint=endpoint, text=text)
 
     def apply(self, report: LimitReport, arrived_s: float) -> None:
@@ -136,16 +139,16 @@
         """Return the limits that endpoints recently announced to this host itself."""
         self._drop_expired(now_s)
         recent = [
-            LimitReport(endpoint, limit.per_s, now_s - limit.own_answer_s)
+            LimitReport(endpoint, limit.per_s, now_s - limit.own_response_s)
             for endpoint, limit in self._limits.items()
-            if limit.own_answer_s is not None and now_s - limit.own_answer_s < REPORT_PERIOD_S
+            if limit.own_response_s is not None and now_s - limit.own_response_s < REPORT_PERIOD_S
         ]
         return sorted(recent, key=lambda report: report.age_s)[:MAX_REPORTS]
 
     def forget(self, endpoint: HostId) -> None:
         """Drop the limit of an endpoint that was restarted."""
         self._limits.pop(endpoint, None)
-        self._unreadable.pop(endpoint, None)
+        self._invalid_texts.pop(endpoint, None)
 
     def wait_s(self, endpoint: Endpoint, now_s: float) -> float:
         """Return the time until this host may send a request; 0 if it may send one now.
--- a/yewloom/fingerprints.py
+++ b/yewloom/fingerprints.py
@@ -1,8 +1,8 @@
 """Fingerprints of requests, by which every entry host recognizes a request that is sent again.
 
-A request id differs between attempts; the fingerprint is the same for all of them. It is a hash of
-the host name, the target, the customer and the body, which has been received completely before a
-request is forwarded. The customer is included so that customers cannot affect each other's
+The id of a request differs between its attempts; the fingerprint is the same for all of them. It is
+a hash of the host name, the target, the customer and the body, which has been received completely
+before a request is forwarded. The customer is included so that customers cannot affect each other's
 requests.
 """
 
@@ -19,7 +19,7 @@
 ) -> Fingerprint:
     """Return the fingerprint of a request.
 
-    It takes about 2 us, plus 1 us for each kilobyte of the body.
+    The computation takes about 2 us, plus 1 us for each kilobyte of the body.
     """
     digest = hashlib.blake2b(digest_size=_LENGTH_BYTES)
     for part in (host.encode("latin-1"), target, (customer or "").encode()):
--- a/yewloom/limit_messages.py
+++ b/yewloom/limit_messages.py
@@ -1,4 +1,4 @@
-"""Converts the limits that endpoints announce to and from messages between entry hosts."""
+"""Converts announced limits of endpoints to and from messages between entry hosts."""
 
 import math
 
--- a/yewloom/limits.py
+++ b/yewloom/limits.py
@@ -5,8 +5,8 @@
 entry host a share. A share is lowered in two steps: the record sets a lower target, and the
 difference is granted to another host only after the first one has confirmed that it obeys the
 target. Between changes of the record, hosts lend each other the capacity that they do not use. The
-borrower counts the duration of a loan from before its request, the lender from its answer, so the
-lender never takes the capacity back too early.
+borrower counts the duration of a loan from before its request, the lender from its response, so a
+loan ends at the borrower before the lender uses the capacity again.
 
 A host keeps its share until the platform no longer lists it, or until a later process of the same
 host is seen. Missing messages alone do not prove that a host has stopped, and the platform's list
@@ -24,11 +24,11 @@
 from yewloom.schema.records_pb2 import CustomerShare, ShareHolder, Shares
 from yewloom.values import value_class
 
-MIN_USABLE = 2
-"""Requests per customer that an entry host borrows capacity for even before it needs it."""
+MIN_CAPACITY = 2
+"""Capacity per customer up to which an entry host borrows even before it needs it."""
 
 _LENT_FRACTION = 0.5
-"""Fraction of the unused capacity that a host lends per request for a loan."""
+"""Fraction of its unused capacity that a host lends in response to one request."""
 
 
 def data_centre_share(limit: int, data_centre: DataCentreId, data_centres: Sequence[str]) -> int:
@@ -46,7 +46,10 @@
 
 
 class LocalShares:
-    """The capacity that one entry host may use: its shares, minus loans given, plus loans taken."""
+    """The capacity that one entry host may use: its shares, minus loans given, plus loans taken.
+
+    ``instance`` identifies a process of an entry host; a restarted host is another instance.
+    """
 
     def __init__(self, instance: str, loan_s: float) -> None:
         self.instance = instance
@@ -81,7 +84,7 @@
     ) -> ShareState:
         """Return the state that is sent to other entry hosts.
 
-        ``demand`` is the number of requests that each customer needs capacity for.
+        ``demand`` is the number of requests for which each customer needs capacity.
         """
         if self._meets_targets(in_flight, now_s):
             self._obeyed_generation = self._shares.generation
@@ -95,8 +98,8 @@
         self, demand: Mapping[CustomerId, int], now_s: float
     ) -> Iterable[CustomerDemand]:
         for customer, needed in demand.items():
-            usable = self.capacity(customer, now_s)
-            shortfall = max(needed, MIN_USABLE) - usable
+            capacity = self.capacity(customer, now_s)
+            shortfall = max(needed, MIN_CAPACITY) - capacity
             if shortfall > 0:
                 yield CustomerDemand(customer=customer, demand=shortfall)
 
@@ -137,7 +140,7 @@
                 yield from holder.shares
 
     def _meets_targets(self, in_flight: Mapping[CustomerId, int], now_s: float) -> bool:
-        """Return whether requests in progress plus loans given fit the newest targets."""
+        """Return whether requests in progress plus loans given are within the newest targets."""
         targets = {CustomerId(share.customer): share.target for share in self._own_shares()}
         customers = set(in_flight) | set(self._lent)
         return all(
@@ -191,7 +194,7 @@
 
 
 def _lower_grants(shares: Shares, obeyed: Mapping[str, int]) -> None:
-    """Lower grants to their targets where the holder has confirmed that it obeys them."""
+    """Lower grants to their targets for holders that have confirmed that they obey these."""
     for holder in shares.holders:
         if obeyed.get(holder.instance, -1) < holder.changed_generation:
             continue
--- a/yewloom/tests/test_endpoint_limits.py
+++ b/yewloom/tests/test_endpoint_limits.py
@@ -20,23 +20,26 @@
 WINDOW_S = 4.0
 
 SETTLED_S = 3.0
-"""Time after the first report of a limit from which on it must hold."""
+"""Time after the first announcement of a limit from which the hosts must respect it."""
 
 STEP_S = 0.1
 EXAMPLES = 25
 
 
 def max_in_window(per_s: float) -> float:
-    """Return the most requests that an endpoint may get in a window."""
+    """Return the maximum number of requests that an endpoint may get in a window."""
     return 1.5 * per_s * WINDOW_S + 5
 
 
-def make_hosts(count: int, far: int = 0) -> list[LimitSharingHost]:
-    """Return hosts, ``far`` of them in another data centre than the endpoint."""
-    near = [
-        LimitSharingHost(EntryHostId(f"n{number}"), DATA_CENTRE) for number in range(count - far)
+def make_hosts(count: int, remote: int = 0) -> list[LimitSharingHost]:
+    """Return hosts, ``remote`` of them in another data centre than the endpoint."""
+    local = [
+        LimitSharingHost(EntryHostId(f"n{number}"), DATA_CENTRE) for number in range(count - remote)
+    ]
+    return [
+        *local,
+        *(LimitSharingHost(EntryHostId(f"f{number}"), REMOTE) for number in range(remote)),
     ]
-    return [*near, *(LimitSharingHost(EntryHostId(f"f{number}"), REMOTE) for number in range(far))]
 
 
 class Fleet:
@@ -70,10 +73,10 @@
 
     @settings(max_examples=EXAMPLES)
     @given(st.floats(0.1, 30), st.integers(1, 25), st.randoms(use_true_random=False))
-    def test_hosts_that_send_whenever_they_may_keep_the_limit(
+    def test_hosts_that_send_whenever_they_may_respect_the_limit(
         self, per_s: float, count: int, rng: random.Random
     ) -> None:
-        fleet = Fleet(make_hosts(count, far=count // 2))
+        fleet = Fleet(make_hosts(count, remote=count // 2))
         fleet.announce(per_s)
         sent_s = [s for s in fleet.send_all(SETTLED_S + 3 * WINDOW_S, rng) if s >= SETTLED_S]
         for start_s in sent_s:
@@ -90,9 +93,13 @@
         self.assertGreaterEqual(sent, 0.8 * 20.0 * per_s - 4)
 
     def test_hosts_in_the_endpoints_data_centre_come_first(self) -> None:
-        fleet = Fleet(make_hosts(12, far=6))
+        fleet = Fleet(make_hosts(12, remote=6))
         fleet.announce(1.0)
-        senders = [h.host for h, m in zip(fleet.hosts, fleet.limits, strict=True) if _sends(m)]
+        senders = [
+            host.host
+            for host, limits in zip(fleet.hosts, fleet.limits, strict=True)
+            if _sends(limits)
+        ]
         self.assertEqual(len(senders), 4)
         self.assertTrue(all(sender.startswith("n") for sender in senders))
 
@@ -105,8 +112,8 @@
         limits = EndpointLimits(hosts[0].host, directory, lambda _: hosts)
         for endpoint in endpoints:
             limits.apply_announced(endpoint.id, 1.0, 0.0)
-        mine = sum(limits.wait_s(endpoint, 100.0) == 0 for endpoint in endpoints)
-        self.assertTrue(2 <= mine <= 20, mine)
+        own = sum(limits.wait_s(endpoint, 100.0) == 0 for endpoint in endpoints)
+        self.assertTrue(2 <= own <= 20, own)
 
     def test_adding_or_removing_a_host_moves_at_most_one_share(self) -> None:
         """Guards against limits that are exceeded whenever a host starts or stops."""
@@ -115,8 +122,8 @@
         self.assertLessEqual(len(after - before), 1)
 
 
-class TestKnowledge(unittest.TestCase):
-    """Which report about a limit is in force."""
+class TestReports(unittest.TestCase):
+    """Which report of a limit applies."""
 
     def setUp(self) -> None:
         self.hosts = make_hosts(1)
@@ -210,4 +217,4 @@
     """Return the hosts that have a share of a limit."""
     fleet = Fleet(hosts)
     fleet.announce(1.0)
-    return [h.host for h, m in zip(hosts, fleet.limits, strict=True) if _sends(m)]
+    return [host.host for host, limits in zip(hosts, fleet.limits, strict=True) if _sends(limits)]
--- a/yewloom/tests/test_fingerprints.py
+++ b/yewloom/tests/test_fingerprints.py
@@ -21,7 +21,7 @@
     """Equal requests have equal fingerprints, and different ones differ."""
 
     @given(REQUESTS, REQUESTS)
-    def test_two_requests_share_a_fingerprint_only_if_they_ask_the_same(
+    def test_two_requests_share_a_fingerprint_only_if_they_are_equal(
         self,
         one: tuple[str, bytes, CustomerId | None, bytes],
         other: tuple[str, bytes, CustomerId | None, bytes],
--- a/yewloom/tests/test_limited_endpoints.py
+++ b/yewloom/tests/test_limited_endpoints.py
@@ -23,7 +23,7 @@
 LIMIT_PER_S = 1.0
 
 MAX_IN_WINDOW = 1.5 * LIMIT_PER_S * WINDOW_S + 5
-"""Requests that a limited endpoint may get in a window."""
+"""Maximum number of requests that a limited endpoint may get in a window."""
 
 
 def max_in_window(times_s: Sequence[float]) -> int:
@@ -40,9 +40,9 @@
     def test_endpoints_get_no_more_requests_than_they_announce(self) -> None:
         """Guards against overloaded endpoints that get as many requests as all others."""
         limits = [f"{LIMIT_PER_S:g}"] * 4
-        play = trio.run(partial(play_fragile, DURATION_S, REQUEST_PAUSE_S, limits))
-        self.assertEqual(len(play.seen.limited_since_s), len(limits))
-        for name, limited_s in play.seen.limited_since_s.items():
-            later = [s for s in play.seen.all_arrived_s[name] if s > limited_s + SETTLED_S]
+        run = trio.run(partial(play_fragile, DURATION_S, REQUEST_PAUSE_S, limits))
+        self.assertEqual(len(run.seen.limited_since_s), len(limits))
+        for name, limited_s in run.seen.limited_since_s.items():
+            later = [s for s in run.seen.all_arrived_s[name] if s > limited_s + SETTLED_S]
             self.assertLessEqual(max_in_window(later), MAX_IN_WINDOW)
-        self.assertEqual(set(play.statuses), {200})
+        self.assertEqual(set(run.statuses), {200})
--- a/yewloom/tests/test_limits.py
+++ b/yewloom/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of shared limits: the usable sum never exceeds a limit, whatever messages are lost."""
+"""Tests of shared limits: total capacity never exceeds a limit, whatever messages are lost."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 class SharesMachine(RuleBasedStateMachine):
     """Entry hosts that start, die, lose messages, lend, and read the record late.
 
-    A live host starts requests only within its usable capacity, but requests in progress continue
+    A live host starts requests only within its capacity, but requests in progress continue
     when that shrinks. Any host may write the record. The platform lists dead hosts for a while.
     """
 
@@ -28,7 +28,7 @@
         super().__init__()
         self.now_s = 0.0
         self.record = Shares()
-        self.books: dict[str, LocalShares] = {}
+        self.hosts: dict[str, LocalShares] = {}
         self.in_flight: dict[str, int] = {}
         self.obeyed: dict[str, dict[str, int]] = {}
         self.listed: set[str] = set()
@@ -41,10 +41,10 @@
 
     @rule()
     def start(self) -> None:
-        if len(self.books) < len(NAMES):
+        if len(self.hosts) < len(NAMES):
             self.count += 1
             name = f"e{self.count}"
-            self.books[name] = LocalShares(name, LOAN_S)
+            self.hosts[name] = LocalShares(name, LOAN_S)
             self.in_flight[name] = 0
             self.obeyed[name] = {}
             self.listed.add(name)
@@ -53,17 +53,17 @@
     def die(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
-            del self.books[name], self.in_flight[name], self.obeyed[name]
+            del self.hosts[name], self.in_flight[name], self.obeyed[name]
 
     @rule()
     def unlist_dead_hosts(self) -> None:
-        self.listed = set(self.books)
+        self.listed = set(self.hosts)
 
     @rule(data=st.data())
     def read_the_record(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
-            self.books[name].apply(self.record)
+            self.hosts[name].apply(self.record)
 
     @rule(data=st.data(), is_answer_lost=st.booleans())
     def exchange(self, data: st.DataObject, is_answer_lost: bool) -> None:
@@ -73,22 +73,22 @@
         request_state = self._state(borrower_name)
         request_state.demands.add(customer=CUSTOMER, demand=4)
         self._record_obeyed(lender_name, request_state)
-        loans = self.books[lender_name].lend(
+        loans = self.hosts[lender_name].lend(
             request_state, {CUSTOMER: self.in_flight[lender_name]}, self.now_s
         )
         if is_answer_lost:
             return
         answer_state = self._state(lender_name)
         self._record_obeyed(borrower_name, answer_state)
-        self.books[borrower_name].apply(self.books[lender_name].record)
-        self.books[borrower_name].add_loans(loans, self.now_s)
+        self.hosts[borrower_name].apply(self.hosts[lender_name].record)
+        self.hosts[borrower_name].add_loans(loans, self.now_s)
 
     @rule(data=st.data())
     def fill_capacity(self, data: st.DataObject) -> None:
         name = self._draw(data)
         if name:
-            usable = self.books[name].capacity(CUSTOMER, self.now_s)
-            self.in_flight[name] = max(self.in_flight[name], usable)
+            capacity = self.hosts[name].capacity(CUSTOMER, self.now_s)
+            self.in_flight[name] = max(self.in_flight[name], capacity)
 
     @rule(data=st.data())
     def finish_all(self, data: st.DataObject) -> None:
@@ -102,36 +102,38 @@
         name = self._draw(data)
         if not name:
             return
-        self.books[name].apply(self.record)
+        self.hosts[name].apply(self.record)
         own = self._state(name)
         obeyed = {**self.obeyed[name], name: own.obeyed_generation}
-        alive = data.draw(st.sets(st.sampled_from(sorted(self.books)))) | {name}
-        gone = {holder.instance for holder in self.record.holders} - self.listed
-        following = plan_shares(self.record, {CUSTOMER: LIMIT}, alive, gone, obeyed, AttemptId("a"))
-        if following is not None:
-            self.record = following
+        alive = data.draw(st.sets(st.sampled_from(sorted(self.hosts)))) | {name}
+        ended = {holder.instance for holder in self.record.holders} - self.listed
+        next_record = plan_shares(
+            self.record, {CUSTOMER: LIMIT}, alive, ended, obeyed, AttemptId("a")
+        )
+        if next_record is not None:
+            self.record = next_record
 
     def _state(self, name: str) -> ShareState:
-        return self.books[name].state({CUSTOMER: self.in_flight[name]}, {}, self.now_s)
+        return self.hosts[name].state({CUSTOMER: self.in_flight[name]}, {}, self.now_s)
 
     def _record_obeyed(self, name: str, state: ShareState) -> None:
         self.obeyed[name][state.instance] = state.obeyed_generation
 
     def _settle_in_flight(self) -> None:
-        """Let requests end when the usable capacity shrinks; none outlasts a loan here."""
-        for name, book in self.books.items():
-            self.in_flight[name] = min(self.in_flight[name], book.capacity(CUSTOMER, self.now_s))
+        """Let requests end when the capacity shrinks; none outlasts a loan here."""
+        for name, host in self.hosts.items():
+            self.in_flight[name] = min(self.in_flight[name], host.capacity(CUSTOMER, self.now_s))
 
     def _draw(self, data: st.DataObject) -> str:
-        return data.draw(st.sampled_from(sorted(self.books))) if self.books else ""
+        return data.draw(st.sampled_from(sorted(self.hosts))) if self.hosts else ""
 
     @invariant()
-    def usable_parts_never_sum_past_the_limit(self) -> None:
-        total = sum(book.capacity(CUSTOMER, self.now_s) for book in self.books.values())
-        assert total <= LIMIT, f"{total} usable of {LIMIT}"
+    def total_capacity_never_exceeds_the_limit(self) -> None:
+        total = sum(host.capacity(CUSTOMER, self.now_s) for host in self.hosts.values())
+        assert total <= LIMIT, f"capacity {total} of {LIMIT}"
 
     @invariant()
-    def granted_parts_never_sum_past_the_limit(self) -> None:
+    def total_grant_never_exceeds_the_limit(self) -> None:
         granted = sum(s.granted for holder in self.record.holders for s in holder.shares)
         assert granted <= LIMIT
 
@@ -170,16 +172,16 @@
 
     def test_a_new_host_gets_its_share_only_after_the_holder_obeyed(self) -> None:
         first = self._plan(Shares(), ["e0"], 0)
-        book = LocalShares("e1", LOAN_S)
+        host = LocalShares("e1", LOAN_S)
         second = self._plan(first, ["e0", "e1"], first.generation)
-        book.apply(second)
-        self.assertEqual(book.capacity(CUSTOMER, 1.0), 0)
+        host.apply(second)
+        self.assertEqual(host.capacity(CUSTOMER, 1.0), 0)
         unconfirmed = self._plan(second, ["e0", "e1"], first.generation)
-        book.apply(unconfirmed)
-        self.assertEqual(book.capacity(CUSTOMER, 1.5), 0)
+        host.apply(unconfirmed)
+        self.assertEqual(host.capacity(CUSTOMER, 1.5), 0)
         third = self._plan(second, ["e0", "e1"], second.generation)
-        book.apply(third)
-        self.assertEqual(book.capacity(CUSTOMER, 2.0), LIMIT // 2)
+        host.apply(third)
+        self.assertEqual(host.capacity(CUSTOMER, 2.0), LIMIT // 2)
 
     def test_a_silent_host_keeps_its_share_until_it_is_known_to_have_ended(self) -> None:
         shares = self._plan(Shares(), ["e0", "e1"], 0)
