--- a/yewloom/crash_checks.py
+++ b/yewloom/crash_checks.py
@@ -1,9 +1,10 @@
 """Checks whether an endpoint's process crashed when it closed a connection during an exchange.
 
-A closed connection alone does not show a crash: connections are reset, and endpoints abort answers
-and keep running. A crash is shown by a port that refuses connections right after, or by an entry in
-the store with a later start time. An endpoint that has announced that it leaves, or that is no
-longer listed, has ended as planned. An endpoint that does not answer is not taken as crashed.
+A closed connection alone does not show a crash: connections are reset, and endpoints abort
+responses and keep running. A crash is shown by a port that refuses connections right after, or by
+an entry in the store with a later start time. An endpoint that has announced that it leaves, or
+that is no longer listed, has ended as planned. An endpoint that does not answer is not considered
+crashed.
 """
 
 from dataclasses import dataclass, field
@@ -28,7 +29,7 @@
 """
 
 RESTART_EVIDENCE_S = 15.0
-"""Time after an aborted exchange within which a restart is taken as evidence of a crash."""
+"""Time after an aborted exchange within which a restart is evidence of a crash."""
 
 
 @dataclass
@@ -51,7 +52,7 @@
         self._record = record
         self._directory = directory
         self._pending_checks: dict[EndpointProcess, _PendingCheck] = {}
-        self._inconclusive: dict[HostId, _PendingCheck] = {}
+        self._inconclusive_checks: dict[HostId, _PendingCheck] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
@@ -67,8 +68,8 @@
     async def on_exchange_aborted(self, endpoint: Endpoint, fingerprint: Fingerprint) -> None:
         """Start a check of an endpoint that has aborted the exchange of a request.
 
-        A request that is suspected already waits for the first probe, which takes a round trip, so
-        that it is not sent to another endpoint if it is found to be the cause.
+        If the request is already a suspect, wait for the first probe, which takes a round trip, so
+        that the request is not sent to another endpoint if the probe shows that it is the cause.
         """
         if self._nursery is None or not self._is_expected_to_run(endpoint):
             return
@@ -85,8 +86,11 @@
             await check.is_probed.wait()
 
     def on_restarted(self, endpoint: HostId) -> None:
-        """Record a crash if an endpoint that the store shows as restarted had aborted exchanges."""
-        check, now_s = self._inconclusive.pop(endpoint, None), trio.current_time()
+        """Record a crash if a restarted endpoint had aborted exchanges shortly before.
+
+        The restart is known from the store.
+        """
+        check, now_s = self._inconclusive_checks.pop(endpoint, None), trio.current_time()
         if check is not None and now_s - check.started_s < RESTART_EVIDENCE_S:
             self._record.record_crash(check.process, check.requests, now_s)
 
@@ -107,15 +111,17 @@
         finally:
             check.is_probed.set()
             self._pending_checks.pop(check.process, None)
-        self._keep_inconclusive(check)
+        self._keep_inconclusive_check(check)
 
-    def _keep_inconclusive(self, check: _PendingCheck) -> None:
-        """Keep a check, as the store may still show a restart."""
+    def _keep_inconclusive_check(self, check: _PendingCheck) -> None:
+        """Keep a check that showed no crash, as the store may still show a restart."""
         now_s = trio.current_time()
         kept = {
-            h: c for h, c in self._inconclusive.items() if now_s - c.started_s < RESTART_EVIDENCE_S
+            h: c
+            for h, c in self._inconclusive_checks.items()
+            if now_s - c.started_s < RESTART_EVIDENCE_S
         }
-        self._inconclusive = kept | {check.process.endpoint: check}
+        self._inconclusive_checks = kept | {check.process.endpoint: check}
 
 
 async def _refuses_connections(endpoint: Endpoint) -> bool:
--- a/yewloom/crash_messages.py
+++ b/yewloom/crash_messages.py
@@ -1,4 +1,4 @@
-"""Converts crashes and quarantined requests to and from messages between entry hosts."""
+"""Converts reports of crashes and quarantines to and from messages between entry hosts."""
 
 import math
 
@@ -12,8 +12,8 @@
     QuarantinedRequest,
 )
 
-MAX_QUARANTINED = 32
-"""Most quarantined requests in one message; the newest are sent."""
+MAX_QUARANTINE_REPORTS = 32
+"""Maximum number of quarantined requests in one message; the newest are sent."""
 
 
 class CrashMessages:
@@ -33,7 +33,7 @@
         state.answered.extend(
             _to_answered_request(report) for report in self._record.answer_reports(now_s)
         )
-        reports = self._quarantine.reports(now_s, MAX_QUARANTINED)
+        reports = self._quarantine.reports(now_s, MAX_QUARANTINE_REPORTS)
         state.quarantined.extend(_to_quarantined_request(report) for report in reports)
 
     def process(self, state: EntryState, arrived_s: float, now_s: float) -> None:
--- a/yewloom/crash_parts.py
+++ b/yewloom/crash_parts.py
@@ -1,4 +1,4 @@
-"""Creates the objects by which an entry host detects and quarantines crashing requests."""
+"""Creates the objects with which an entry host detects and quarantines crashing requests."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,7 +12,7 @@
 
 
 class CrashDetection:
-    """Connects these objects; ``on_change`` is called when peers should soon be notified."""
+    """The connected objects; ``on_change`` is called when peers should soon be sent a change."""
 
     def __init__(
         self,
--- a/yewloom/crash_record.py
+++ b/yewloom/crash_record.py
@@ -1,9 +1,9 @@
-"""Records which requests were at endpoints that crashed, and finds the requests that caused it.
+"""Records which requests endpoints were processing when they crashed, and finds the causes.
 
 A process that crashes aborts all of its requests, of which only one may be the cause. A request is
-taken as the cause once ``CRASH_THRESHOLD`` processes have crashed during it, with no successful
-answer in between. Of several such requests, the one with the most crashes is quarantined first. A
-crash that a quarantined request was part of does not count against other requests.
+considered the cause once ``CRASH_THRESHOLD`` processes have crashed during it, with no successful
+response in between. Of several such requests, the one with the most crashes is quarantined first. A
+crash during a quarantined request does not count against the other requests of that process.
 
 Each host reports to its peers what it has observed itself, and counts the observations of all
 hosts. Times are in seconds of Trio's clock.
@@ -22,34 +22,34 @@
 logger = structlog.get_logger(__name__)
 
 CRASH_THRESHOLD = 3
-"""Crashes after which a request is taken as their cause.
+"""Crashes after which a request is considered their cause.
 
-Two may be a coincidence when several endpoints fail one after the other. Each further crash aborts
-all requests of another endpoint.
+Two may be a coincidence if several endpoints fail one after the other. A higher threshold would
+cost more, as each further crash aborts all requests of another endpoint.
 """
 
 RETENTION_S = 600.0
 """Time for which a crash is counted."""
 
 REPORT_PERIOD_S = 30.0
-"""Time for which a crash or successful answer is reported: several rounds to all peers."""
+"""Time for which a crash or successful response is reported: several rounds to all peers."""
 
 MAX_CRASHES = 256
-"""Most crashes that are kept; the oldest are dropped first."""
+"""Maximum number of crashes kept; the oldest are dropped first."""
 
 MAX_REQUESTS = 128
-"""Most requests that are kept per crash, more than an endpoint processes concurrently."""
+"""Maximum number of requests kept per crash, more than an endpoint processes concurrently."""
 
 MAX_ANSWERS = 1024
-"""Most requests for which a successful answer is kept."""
+"""Maximum number of requests for which a successful response is kept."""
 
 MAX_REPORTS = 16
-"""Most crashes, and most successful answers, in one message to a peer."""
+"""Maximum number of crashes, and of successful responses, in one message to a peer."""
 
 
 @value_class
 class EndpointProcess:
-    """One process of an endpoint; ``started_unix_ms`` is 0 if the endpoint does not state it."""
+    """One process of an endpoint; ``started_unix_ms`` is 0 if its start time is unknown."""
 
     endpoint: HostId
     started_unix_ms: int
@@ -57,7 +57,7 @@
 
 @value_class
 class CrashReport:
-    """A crash that one host observed, with the requests that it had at the process."""
+    """A crash that one host observed, with those of its requests that the process aborted."""
 
     process: EndpointProcess
     requests: tuple[Fingerprint, ...]
@@ -66,7 +66,7 @@
 
 @value_class
 class AnswerReport:
-    """A successful answer to a suspected request, observed by one host."""
+    """A successful response to a suspected request, observed by one host."""
 
     fingerprint: Fingerprint
     age_s: float
@@ -74,7 +74,7 @@
 
 @dataclass
 class _Crash:
-    """A crash; ``own_requests`` are those of its requests that this host had sent."""
+    """A crash; ``own_requests`` are the aborted requests that this host had sent."""
 
     seen_s: float
     requests: set[Fingerprint] = field(default_factory=set)
@@ -104,7 +104,7 @@
         return process in self._crashes
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Return whether a request is quarantined, or counts as part of a crash."""
+        """Return whether a request is quarantined, or a process has crashed during it."""
         if self._quarantine.is_quarantined(fingerprint):
             return True
         return any(fingerprint in crash.requests for crash in self._crashes.values())
@@ -112,7 +112,7 @@
     def record_crash(
         self, process: EndpointProcess, requests: Iterable[Fingerprint], now_s: float
     ) -> None:
-        """Record the crash of a process that had requests of this host."""
+        """Record the crash of a process that was processing requests of this host."""
         new_requests = set(requests)
         crash = self._get_or_add_crash(process, now_s)
         crash.own_requests |= new_requests
@@ -131,7 +131,7 @@
         self._add_requests(crash, set(report.requests), now_s)
 
     def record_answer(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Record a successful answer to a request, which did not cause the crashes before it."""
+        """Record a successful response: its request did not cause the crashes before it."""
         if not self.is_suspect(fingerprint):
             return
         self._answered_here_s[fingerprint] = now_s
@@ -139,7 +139,7 @@
         self._quarantine.lift(fingerprint)
 
     def apply_answer(self, report: AnswerReport, arrived_s: float) -> None:
-        """Apply a peer's report of a successful answer."""
+        """Apply a peer's report of a successful response."""
         self._clear(report.fingerprint, arrived_s - report.age_s)
 
     def crash_reports(self, now_s: float) -> list[CrashReport]:
@@ -153,7 +153,7 @@
         return recent[-MAX_REPORTS:]
 
     def answer_reports(self, now_s: float) -> list[AnswerReport]:
-        """Return reports of the recent successful answers that this host has observed itself."""
+        """Return reports of the recent successful responses that this host has observed itself."""
         recent = {f: s for f, s in self._answered_here_s.items() if now_s - s < REPORT_PERIOD_S}
         self._answered_here_s = recent
         return [AnswerReport(f, now_s - s) for f, s in recent.items()][-MAX_REPORTS:]
@@ -162,7 +162,7 @@
         return self._crashes.setdefault(process, _Crash(seen_s))
 
     def _add_requests(self, crash: _Crash, requests: set[Fingerprint], now_s: float) -> None:
-        """Add requests to a crash, and check whether the new ones caused it."""
+        """Add requests to a crash, and quarantine the new ones that are considered a cause."""
         never_s = float("-inf")
         new = {
             fingerprint
@@ -178,7 +178,7 @@
         self._quarantine_causes(new, now_s)
 
     def _sorted_by_crashes(self, fingerprints: Iterable[Fingerprint]) -> list[Fingerprint]:
-        """Return requests sorted by their number of crashes, highest first."""
+        """Return requests sorted by their number of unexplained crashes, highest first."""
         return sorted(fingerprints, key=lambda f: (-self._count_unexplained_crashes(f), f))
 
     def _quarantine_failed_trials(
@@ -190,7 +190,7 @@
                 self._quarantine.add(fingerprint, now_s)
 
     def _quarantine_causes(self, fingerprints: Iterable[Fingerprint], now_s: float) -> None:
-        """Quarantine requests that caused crashes, starting with the most crashes."""
+        """Quarantine requests that caused crashes, those with the most crashes first."""
         candidates = {f for f in fingerprints if not self._quarantine.is_quarantined(f)}
         while candidates:
             counts = {
@@ -206,19 +206,19 @@
             candidates -= causes
 
     def _count_unexplained_crashes(self, fingerprint: Fingerprint) -> int:
-        """Return the number of crashes during a request that no quarantined one explains."""
+        """Return the number of crashes during a request that no other, quarantined one explains."""
         return sum(
             fingerprint in crash.requests and not self._is_explained(crash, fingerprint)
             for crash in self._crashes.values()
         )
 
     def _is_explained(self, crash: _Crash, fingerprint: Fingerprint) -> bool:
-        """Return whether another request of the crash is quarantined."""
+        """Return whether another request that the crash aborted is quarantined."""
         others = crash.requests - {fingerprint}
         return any(self._quarantine.is_quarantined(other) for other in others)
 
     def _clear(self, fingerprint: Fingerprint, answered_s: float) -> None:
-        """Stop counting the crashes before a successful answer against a request."""
+        """Stop counting the crashes before a successful response against a request."""
         earlier_s = self._answered_s.pop(fingerprint, answered_s)
         self._answered_s[fingerprint] = max(answered_s, earlier_s)
         for crash in self._crashes.values():
@@ -229,6 +229,6 @@
             del self._answered_s[next(iter(self._answered_s))]
 
     def _drop_expired(self, now_s: float) -> None:
-        """Drop expired crashes, and the oldest ones beyond ``MAX_CRASHES``."""
+        """Drop expired crashes, and the oldest beyond ``MAX_CRASHES``."""
         kept = [(p, c) for p, c in self._crashes.items() if now_s - c.seen_s < RETENTION_S]
         self._crashes = dict(kept[-MAX_CRASHES:])
--- a/yewloom/quarantine.py
+++ b/yewloom/quarantine.py
@@ -1,15 +1,15 @@
 """Quarantine of requests that crash endpoints: they are not forwarded for some time.
 
-A request is quarantined for ``INITIAL_HOLD_S``, and for twice as long each time that it crashes
-another endpoint. After that it may be tried again, by one host after the other: the hosts take
-turns in the order of a hash of the request and their names, so that a request that still crashes
-endpoints crashes one, not one per host. A successful answer lifts the quarantine, and so does an
-operator.
+A request is first quarantined for ``INITIAL_QUARANTINE_S``, and twice as long as before each time
+that it crashes another endpoint. Then it may be tried again, by one host after the other: the hosts
+take turns in the order of a hash of the request and their names, so that a request that still
+crashes endpoints crashes one, not one per host. A successful response lifts the quarantine, and so
+does an operator.
 
-Hosts send each other all that they know. Of two reports about a request the one with the higher
-count is newer, and with equal counts the one that lifts the quarantine. So all hosts converge to
-the same state, whatever the order and number of their messages. Reports carry their age, so one
-that is passed on repeatedly does not extend a quarantine.
+Hosts send each other all quarantines that they know of. Of two reports of a request, the one with
+the higher count is newer; if the counts are equal, the one that lifts the quarantine is. So all
+hosts converge to the same state, whatever the order and number of their messages. Reports carry
+their age, so one that is passed on repeatedly does not extend a quarantine.
 
 Times are in seconds of Trio's clock.
 """
@@ -26,23 +26,23 @@
 
 logger = structlog.get_logger(__name__)
 
-INITIAL_HOLD_S = 600.0
+INITIAL_QUARANTINE_S = 600.0
 """Duration of the first quarantine; rolling out a fixed endpoint takes some minutes."""
 
-MAX_HOLD_S = 4 * 3600.0
+MAX_QUARANTINE_S = 4 * 3600.0
 """Longest duration of a quarantine, so that a fix is noticed on the same day."""
 
 MAX_DOUBLINGS = 16
-"""Most times that the initial duration is doubled; ``MAX_HOLD_S`` is reached well before."""
+"""Maximum number of times the duration doubles; ``MAX_QUARANTINE_S`` is reached well before."""
 
 TRIAL_INTERVAL_S = 5.0
-"""Interval between the trials of a request by one host and the next.
+"""Time from the trial of a request by one host to that by the next.
 
 All hosts know the result of a trial within this time.
 """
 
 MAX_ENTRIES = 256
-"""Most requests that are kept; beyond that the one whose quarantine ends first is dropped."""
+"""Maximum number of requests kept; beyond it, the one whose quarantine ends first is dropped."""
 
 
 @value_class
@@ -65,12 +65,12 @@
     @property
     def ends_s(self) -> float:
         """The time from which the request may be tried again."""
-        duration_s = INITIAL_HOLD_S * (1 << min(self.count - 1, MAX_DOUBLINGS))
-        return self.since_s + min(duration_s, MAX_HOLD_S)
+        duration_s = INITIAL_QUARANTINE_S * (1 << min(self.count - 1, MAX_DOUBLINGS))
+        return self.since_s + min(duration_s, MAX_QUARANTINE_S)
 
 
 class Quarantine:
-    """Stores the quarantined requests, and decides when one may be tried again.
+    """Keeps the quarantined requests, and decides when one may be tried again.
 
     ``known_hosts`` returns all entry hosts that were ever known, including this one; ``on_change``
     is called when peers should soon be sent a change.
@@ -87,7 +87,7 @@
         self._on_change = on_change
         self._entries: dict[Fingerprint, _Entry] = {}
         self.change_count = 0
-        """Number of changes so far, by which others can detect a change."""
+        """Number of changes so far, by which ``QuarantineStore`` detects new ones."""
 
     @property
     def has_any(self) -> bool:
@@ -101,7 +101,7 @@
         self._store(fingerprint, _Entry(count, False, now_s))
 
     def lift(self, fingerprint: Fingerprint) -> bool:
-        """Lift the quarantine of a request, after a successful answer or for an operator.
+        """Lift the quarantine of a request, after a successful response or for an operator.
 
         Return whether it was quarantined.
         """
@@ -164,8 +164,8 @@
         self.change_count += 1
         self._entries[fingerprint] = entry
         if len(self._entries) > MAX_ENTRIES:
-            first_to_end = min(self._entries, key=lambda f: self._entries[f].ends_s)
-            del self._entries[first_to_end]
+            ends_first = min(self._entries, key=lambda f: self._entries[f].ends_s)
+            del self._entries[ends_first]
         logger.warning(
             "request released from quarantine" if entry.is_lifted else "request quarantined",
             fingerprint=format_fingerprint(fingerprint),
--- a/yewloom/quarantine_page.py
+++ b/yewloom/quarantine_page.py
@@ -1,7 +1,7 @@
 """Operator interface of the quarantine, on the metrics port.
 
 ``GET /quarantine`` lists the quarantined requests. ``POST /quarantine/FINGERPRINT/lift`` lifts the
-quarantine of one, immediately on this host and on the others as soon as they are notified.
+quarantine of one: immediately on this host, and on the others as soon as they are notified.
 """
 
 import json
@@ -30,17 +30,17 @@
         """Return whether the path of a request belongs to this page."""
         return request.path == PATH or request.path.startswith(f"{PATH}/")
 
-    async def answer(self, request: CallerRequest, reply: ResponseWriter) -> None:
-        """Answer with the list, or lift the quarantine of a request."""
+    async def answer(self, request: CallerRequest, response: ResponseWriter) -> None:
+        """Send the list, or lift the quarantine of a request."""
         if request.method == b"GET" and request.path == PATH:
-            await reply.send_complete(200, _JSON, self._list_as_json())
+            await response.send_complete(200, _JSON, self._list_as_json())
             return
         fingerprint = _fingerprint_to_lift(request)
         if request.method != b"POST" or fingerprint is None:
-            await reply.send_complete(404, [], b"")
+            await response.send_complete(404, [], b"")
             return
         is_lifted = self._quarantine.lift(fingerprint)
-        await reply.send_complete(200 if is_lifted else 404, [], b"")
+        await response.send_complete(200 if is_lifted else 404, [], b"")
 
     def _list_as_json(self) -> bytes:
         now_s = trio.current_time()
--- a/yewloom/quarantine_store.py
+++ b/yewloom/quarantine_store.py
@@ -1,9 +1,9 @@
 """Persists the quarantine in the platform's store, so that it survives a restart of all hosts.
 
 Otherwise, after all hosts have restarted at once, a request that crashes endpoints would crash as
-many again before it is detected anew. One object contains all quarantined requests. A host reads it
-when it starts. Changes are written by the first of a few hosts that take turns, each of which first
-checks whether another one has written them.
+many again before it is detected. One object contains all quarantined requests. A host reads it when
+it starts. A few hosts take turns to write a change; each first checks whether an earlier one has
+written it.
 """
 
 import time
@@ -16,7 +16,7 @@
 from yewloom.hashing import rendezvous_rank
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.platforms import Platform, StoredObject
-from yewloom.quarantine import MAX_HOLD_S, Quarantine, QuarantineReport
+from yewloom.quarantine import MAX_QUARANTINE_S, Quarantine, QuarantineReport
 from yewloom.schema.entry_pb2 import KeptRequest, QuarantineRecord
 from yewloom.values import value_class
 from yewloom.writes import RecordError, parse_record, to_json
@@ -26,12 +26,12 @@
 STORE_KEY = "yewloom-quarantine/requests"
 
 POLL_INTERVAL_S = 1.0
-"""Interval between checks for changes, and between the turns of hosts that may write them."""
+"""Interval between checks for changes, and between the turns of the hosts that write them."""
 
 MAX_WRITERS = 4
-"""Hosts that take turns; one of them can write unless all are disconnected from the store."""
+"""Number of hosts that take turns; one can write unless all are disconnected from the store."""
 
-RETENTION_S = 2 * MAX_HOLD_S
+RETENTION_S = 2 * MAX_QUARANTINE_S
 """Time for which a quarantined request is kept in the store."""
 
 
@@ -46,6 +46,7 @@
 class QuarantineStore:
     """Reads the quarantine from the store on start, and writes changes to it.
 
+    ``stale_platform`` may return a record that is seconds old, which is enough for the start.
     ``unix_s`` returns the Unix time; the store contains Unix times, as hosts share no other clock.
     """
 
@@ -69,19 +70,19 @@
         """Read the stored quarantine, then write changes, until cancelled."""
         while await self._read(self._stale_platform) is None:  # noqa: ASYNC110 - the store sends no event when it is back
             await trio.sleep(POLL_INTERVAL_S)
-        written_count = 0
+        written_change_count = 0
         while True:
             await trio.sleep(POLL_INTERVAL_S)
             change_count = self._quarantine.change_count
-            if change_count == written_count:
+            if change_count == written_change_count:
                 continue
             turn = rendezvous_rank(STORE_KEY, self._own_id, self._known_hosts())
             if turn >= MAX_WRITERS:
-                written_count = change_count
+                written_change_count = change_count
                 continue
             await trio.sleep(turn * POLL_INTERVAL_S)
             if await self._write():
-                written_count = change_count
+                written_change_count = change_count
 
     async def _read(self, platform: Platform) -> _StoredRecord | None:
         """Read the stored record and apply it; return None if the store does not answer."""
@@ -142,7 +143,7 @@
 
 
 def _content(record: QuarantineRecord) -> set[tuple[int, int, bool]]:
-    """Return a record's content without its times, which differ between hosts."""
+    """Return a record's content without the times, which differ between hosts."""
     return {(kept.fingerprint, kept.count, kept.is_lifted) for kept in record.requests}
 
 
--- a/yewloom/tests/test_crash_checks.py
+++ b/yewloom/tests/test_crash_checks.py
@@ -26,17 +26,17 @@
 from yewloom.tests.free_ports import allocate_address
 
 F = Fingerprint(7)
-ME = EntryHostId("me")
+OWN_HOST = EntryHostId("me")
 PROBED_S = sum(PROBE_PAUSES_S) + 0.5
 """Time after which all probes are finished."""
 
 
-class World:
+class ChecksFixture:
     """Crash checks, with endpoints whose ports are open or closed."""
 
     def __init__(self) -> None:
         self.directory = EndpointDirectory()
-        self.record = CrashRecord(Quarantine(ME, lambda: [ME]))
+        self.record = CrashRecord(Quarantine(OWN_HOST, lambda: [OWN_HOST]))
         self.checks = CrashChecks(self.record, self.directory)
 
     def list_endpoint(self, address: str, is_leaving: bool = False) -> Endpoint:
@@ -46,16 +46,18 @@
         return endpoint
 
 
-def run_with_world(test: Callable[[World], Awaitable[None]], autojump: bool = False) -> None:
+def run_with_checks(
+    test: Callable[[ChecksFixture], Awaitable[None]], autojump: bool = False
+) -> None:
     """Run a test while the crash checks run."""
 
     async def main() -> None:
-        world = World()
+        fixture = ChecksFixture()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(world.checks.run)
+            nursery.start_soon(fixture.checks.run)
             await trio.testing.wait_all_tasks_blocked()
             with trio.fail_after(20):
-                await test(world)
+                await test(fixture)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0) if autojump else None)
@@ -65,82 +67,86 @@
     """Evidence that a process has crashed."""
 
     def test_a_port_that_refuses_connections_shows_a_crash(self) -> None:
-        async def test(world: World) -> None:
-            await world.checks.on_exchange_aborted(world.list_endpoint(allocate_address()), F)
+        async def test(fixture: ChecksFixture) -> None:
+            await fixture.checks.on_exchange_aborted(fixture.list_endpoint(allocate_address()), F)
             await trio.sleep(PROBED_S)
-            self.assertTrue(world.record.is_suspect(F))
+            self.assertTrue(fixture.record.is_suspect(F))
 
-        run_with_world(test)
+        run_with_checks(test)
 
     def test_an_endpoint_that_aborts_an_exchange_and_keeps_running_has_not_crashed(self) -> None:
         """Guards against suspecting requests because of resets and aborted answers."""
 
-        async def test(world: World) -> None:
+        async def test(fixture: ChecksFixture) -> None:
             async with trio.open_nursery() as nursery:
                 listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
                 nursery.start_soon(trio.serve_listeners, _keep_open, listeners)
                 port = listeners[0].socket.getsockname()[1]
-                await world.checks.on_exchange_aborted(world.list_endpoint(f"127.0.0.1:{port}"), F)
+                await fixture.checks.on_exchange_aborted(
+                    fixture.list_endpoint(f"127.0.0.1:{port}"), F
+                )
                 await trio.sleep(PROBED_S)
                 nursery.cancel_scope.cancel()
-            self.assertFalse(world.record.is_suspect(F))
+            self.assertFalse(fixture.record.is_suspect(F))
 
-        run_with_world(test)
+        run_with_checks(test)
 
     def test_a_connection_timeout_does_not_show_a_crash(self) -> None:
         async def never_connect(*where: object, **options: object) -> None:
             await trio.sleep_forever()
 
-        async def test(world: World) -> None:
+        async def test(fixture: ChecksFixture) -> None:
             with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", never_connect):
-                await world.checks.on_exchange_aborted(world.list_endpoint(allocate_address()), F)
+                await fixture.checks.on_exchange_aborted(
+                    fixture.list_endpoint(allocate_address()), F
+                )
                 await trio.sleep(2 * PROBED_S)
-            self.assertFalse(world.record.is_suspect(F))
+            self.assertFalse(fixture.record.is_suspect(F))
 
-        run_with_world(test, autojump=True)
+        run_with_checks(test, autojump=True)
 
     def test_a_later_start_in_the_store_shows_a_crash(self) -> None:
         """Guards against missing a process that is restarted before the first probe."""
 
-        async def test(world: World) -> None:
-            endpoint = world.list_endpoint(allocate_address())
+        async def test(fixture: ChecksFixture) -> None:
+            endpoint = fixture.list_endpoint(allocate_address())
             with mock.patch("yewloom.crash_checks._refuses_connections", _accepts_connections):
-                await world.checks.on_exchange_aborted(endpoint, F)
+                await fixture.checks.on_exchange_aborted(endpoint, F)
                 await trio.sleep(PROBED_S)
-            self.assertFalse(world.record.is_suspect(F))
-            world.checks.on_restarted(endpoint.id)
-            self.assertTrue(world.record.is_suspect(F))
+            self.assertFalse(fixture.record.is_suspect(F))
+            fixture.checks.on_restarted(endpoint.id)
+            self.assertTrue(fixture.record.is_suspect(F))
 
-        run_with_world(test, autojump=True)
+        run_with_checks(test, autojump=True)
 
     def test_a_start_long_after_an_aborted_exchange_does_not_show_a_crash(self) -> None:
-        async def test(world: World) -> None:
-            endpoint = world.list_endpoint(allocate_address())
+        async def test(fixture: ChecksFixture) -> None:
+            endpoint = fixture.list_endpoint(allocate_address())
             with mock.patch("yewloom.crash_checks._refuses_connections", _accepts_connections):
-                await world.checks.on_exchange_aborted(endpoint, F)
+                await fixture.checks.on_exchange_aborted(endpoint, F)
                 await trio.sleep(RESTART_EVIDENCE_S + PROBED_S)
-            world.checks.on_restarted(endpoint.id)
-            self.assertFalse(world.record.is_suspect(F))
+            fixture.checks.on_restarted(endpoint.id)
+            self.assertFalse(fixture.record.is_suspect(F))
 
-        run_with_world(test, autojump=True)
+        run_with_checks(test, autojump=True)
 
     def test_an_announced_end_is_not_a_crash(self) -> None:
-        async def test(world: World) -> None:
-            await world.checks.on_exchange_aborted(
-                world.list_endpoint(allocate_address(), is_leaving=True), F
+        async def test(fixture: ChecksFixture) -> None:
+            await fixture.checks.on_exchange_aborted(
+                fixture.list_endpoint(allocate_address(), is_leaving=True), F
             )
             unlisted = make_plain("other", allocate_address())
-            await world.checks.on_exchange_aborted(unlisted, F)
+            await fixture.checks.on_exchange_aborted(unlisted, F)
             await trio.sleep(PROBED_S)
-            self.assertFalse(world.record.is_suspect(F))
+            self.assertFalse(fixture.record.is_suspect(F))
 
-        run_with_world(test)
+        run_with_checks(test)
 
 
 class TestForwardingOfSuspects(unittest.TestCase):
     """Forwarding of requests that crash endpoints."""
 
-    def test_a_request_that_crashes_endpoints_reaches_three_and_is_then_refused(self) -> None:
+    def test_a_request_that_crashes_endpoints_reaches_three_and_is_then_rejected(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             endpoints = [
                 await _add_crashing_endpoint(fixture, f"p{number}")
@@ -149,22 +155,22 @@
             statuses = [(await fixture.ask("/r/1")).status for _ in range(4)]
             self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), CRASH_THRESHOLD)
             self.assertEqual(statuses, [502, 502, 503, 503])
-            refused = await fixture.ask("/r/1")
-            self.assertGreater(int(refused.headers[b"retry-after"]), 60)
+            rejected = await fixture.ask("/r/1")
+            self.assertGreater(int(rejected.headers[b"retry-after"]), 60)
 
         run(test)
 
-    def test_a_stream_that_crashes_leaders_reaches_three_and_is_then_refused(self) -> None:
+    def test_a_stream_that_crashes_leaders_reaches_three_and_is_then_rejected(self) -> None:
         """Guards against a stream that crashes one group after the other."""
 
         async def test(fixture: ForwarderFixture) -> None:
             leaders = [ScriptedEndpoint(_abort_stream) for _ in range(CRASH_THRESHOLD + 3)]
             for number, leader in enumerate(leaders):
                 await fixture.add_engine(f"e{number}", leader, closes_port_on_request=True)
-            answers = [await fixture.ask("/s/1") for _ in range(3)]
+            responses = [await fixture.ask("/s/1") for _ in range(3)]
             self.assertEqual(sum(len(leader.requests) for leader in leaders), CRASH_THRESHOLD)
-            self.assertEqual([answer.status for answer in answers], [200, 200, 503])
-            self.assertEqual([answer.is_whole for answer in answers], [False, False, True])
+            self.assertEqual([response.status for response in responses], [200, 200, 503])
+            self.assertEqual([response.is_whole for response in responses], [False, False, True])
 
         run(test)
 
@@ -199,7 +205,7 @@
 
 
 async def _abort_stream(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
-    """Send the first event of a stream and end."""
+    """Send the first event of a stream, then close the connection."""
     await endpoint.start(200)
     await endpoint.send(event(1))
 
--- a/yewloom/tests/test_crash_record.py
+++ b/yewloom/tests/test_crash_record.py
@@ -1,4 +1,4 @@
-"""Tests of which request is taken as the cause of crashes."""
+"""Tests of which request is considered the cause of crashes."""
 
 import unittest
 
@@ -15,10 +15,10 @@
     EndpointProcess,
 )
 from yewloom.ids import EntryHostId, Fingerprint, HostId
-from yewloom.quarantine import INITIAL_HOLD_S, Quarantine
+from yewloom.quarantine import INITIAL_QUARANTINE_S, Quarantine
 
 CAUSE, FIRST_BYSTANDER = Fingerprint(1), 100
-ME = EntryHostId("me")
+OWN_HOST = EntryHostId("me")
 
 
 def _process(number: int) -> EndpointProcess:
@@ -33,7 +33,7 @@
     """The crash record and quarantine of one host."""
 
     def __init__(self) -> None:
-        self.quarantine = Quarantine(ME, lambda: [ME])
+        self.quarantine = Quarantine(OWN_HOST, lambda: [OWN_HOST])
         self.record = CrashRecord(self.quarantine)
 
     def quarantined(self) -> set[Fingerprint]:
@@ -43,7 +43,7 @@
         }
 
     def report_to(self, other: "Host", now_s: float) -> None:
-        """Send another host what this one has observed itself."""
+        """Send another host the reports of what this one has observed itself."""
         for answer in self.record.answer_reports(now_s):
             other.record.apply_answer(answer, now_s)
         for crash in self.record.crash_reports(now_s):
@@ -109,7 +109,7 @@
     def test_a_trial_that_crashes_an_endpoint_starts_the_next_quarantine(self) -> None:
         for number in range(CRASH_THRESHOLD):
             self._crash(number, CAUSE)
-        trial_due_s = CRASH_THRESHOLD - 1 + INITIAL_HOLD_S
+        trial_due_s = CRASH_THRESHOLD - 1 + INITIAL_QUARANTINE_S
         self._crash(CRASH_THRESHOLD, CAUSE, at_s=trial_due_s + 1)
         self.assertEqual(self.host.quarantine.count_of(CAUSE), 2)
 
@@ -145,9 +145,11 @@
         st.lists(st.integers(0, 2), min_size=CRASH_THRESHOLD, max_size=CRASH_THRESHOLD),
         st.randoms(),
     )
-    def test_hosts_agree_whoever_saw_which_crash(self, seen_by: list[int], rng: object) -> None:
+    def test_hosts_agree_whichever_host_observed_which_crash(
+        self, observers: list[int], rng: object
+    ) -> None:
         hosts = [Host(), Host(), Host()]
-        for number, observer in enumerate(seen_by):
+        for number, observer in enumerate(observers):
             hosts[observer].record.record_crash(_process(number), [CAUSE, _bystander(number)], 1.0)
         pairs = [(a, b) for a in hosts for b in hosts if a is not b]
         rng.shuffle(pairs)  # type: ignore[attr-defined]
@@ -164,7 +166,7 @@
         one.report_to(other, 1.5)
         self.assertEqual(other.quarantined(), set())
 
-    def test_an_answer_at_one_host_clears_the_request_on_all(self) -> None:
+    def test_a_successful_answer_at_one_host_clears_the_request_on_all(self) -> None:
         one, other = Host(), Host()
         for number in range(CRASH_THRESHOLD - 1):
             one.record.record_crash(_process(number), [CAUSE], 1.0)
--- a/yewloom/tests/test_quarantine.py
+++ b/yewloom/tests/test_quarantine.py
@@ -7,9 +7,9 @@
 
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.quarantine import (
-    INITIAL_HOLD_S,
+    INITIAL_QUARANTINE_S,
     MAX_ENTRIES,
-    MAX_HOLD_S,
+    MAX_QUARANTINE_S,
     TRIAL_INTERVAL_S,
     Quarantine,
     QuarantineReport,
@@ -19,7 +19,11 @@
 F = Fingerprint(7)
 
 REPORTS = st.builds(
-    QuarantineReport, st.just(F), st.integers(1, 3), st.booleans(), st.floats(0, INITIAL_HOLD_S)
+    QuarantineReport,
+    st.just(F),
+    st.integers(1, 3),
+    st.booleans(),
+    st.floats(0, INITIAL_QUARANTINE_S),
 )
 
 
@@ -33,17 +37,20 @@
     def test_only_the_added_request_is_quarantined(self) -> None:
         quarantine = _quarantine()
         quarantine.add(F, 10.0)
-        self.assertEqual(quarantine.wait_s(F, 10.0), INITIAL_HOLD_S)
+        self.assertEqual(quarantine.wait_s(F, 10.0), INITIAL_QUARANTINE_S)
         self.assertEqual(quarantine.wait_s(Fingerprint(8), 10.0), 0.0)
 
     def test_each_quarantine_is_twice_as_long_up_to_the_maximum(self) -> None:
         quarantine = _quarantine()
-        held_s = []
+        durations_s = []
         for _ in range(40):
             quarantine.add(F, 0.0)
-            held_s.append(quarantine.wait_s(F, 0.0))
-        self.assertEqual(held_s[:3], [INITIAL_HOLD_S, 2 * INITIAL_HOLD_S, 4 * INITIAL_HOLD_S])
-        self.assertEqual(held_s[-1], MAX_HOLD_S)
+            durations_s.append(quarantine.wait_s(F, 0.0))
+        self.assertEqual(
+            durations_s[:3],
+            [INITIAL_QUARANTINE_S, 2 * INITIAL_QUARANTINE_S, 4 * INITIAL_QUARANTINE_S],
+        )
+        self.assertEqual(durations_s[-1], MAX_QUARANTINE_S)
 
     def test_hosts_try_it_again_one_after_the_other(self) -> None:
         """Guards against simultaneous trials by all hosts, each of which crashes an endpoint."""
@@ -51,15 +58,15 @@
         for quarantine in quarantines:
             quarantine.add(F, 0.0)
         for step in range(len(HOSTS)):
-            now_s = INITIAL_HOLD_S + step * TRIAL_INTERVAL_S
+            now_s = INITIAL_QUARANTINE_S + step * TRIAL_INTERVAL_S
             may_try = [q for q in quarantines if q.wait_s(F, now_s) == 0]
             self.assertEqual(len(may_try), step + 1)
 
     def test_one_host_tries_it_once_per_interval(self) -> None:
         quarantine = Quarantine(HOSTS[0], lambda: HOSTS[:1])
         quarantine.add(F, 0.0)
-        quarantine.record_trial(F, INITIAL_HOLD_S)
-        self.assertEqual(quarantine.wait_s(F, INITIAL_HOLD_S), TRIAL_INTERVAL_S)
+        quarantine.record_trial(F, INITIAL_QUARANTINE_S)
+        self.assertEqual(quarantine.wait_s(F, INITIAL_QUARANTINE_S), TRIAL_INTERVAL_S)
 
     def test_a_lifted_request_is_not_quarantined_until_it_is_added_again(self) -> None:
         quarantine = _quarantine()
@@ -68,7 +75,7 @@
         self.assertFalse(quarantine.lift(F))
         self.assertEqual(quarantine.wait_s(F, 0.0), 0.0)
         quarantine.add(F, 1.0)
-        self.assertEqual(quarantine.wait_s(F, 1.0), 2 * INITIAL_HOLD_S)
+        self.assertEqual(quarantine.wait_s(F, 1.0), 2 * INITIAL_QUARANTINE_S)
 
     @given(st.permutations(list(range(6))), st.lists(REPORTS, min_size=6, max_size=6))
     def test_reports_in_any_order_give_the_same_state(
@@ -92,8 +99,8 @@
             for source, target in ((one, other), (other, one)):
                 for report in source.reports(now_s):
                     target.apply(report, now_s + 0.1)  # The report takes 0.1 s to arrive.
-        self.assertLessEqual(other.wait_s(F, now_s), INITIAL_HOLD_S - now_s + 0.1)
-        self.assertEqual(one.wait_s(F, now_s), INITIAL_HOLD_S - now_s)
+        self.assertLessEqual(other.wait_s(F, now_s), INITIAL_QUARANTINE_S - now_s + 0.1)
+        self.assertEqual(one.wait_s(F, now_s), INITIAL_QUARANTINE_S - now_s)
 
     def test_a_full_table_drops_the_quarantine_that_ends_first(self) -> None:
         quarantine = _quarantine()
--- a/yewloom/tests/test_quarantine_page.py
+++ b/yewloom/tests/test_quarantine_page.py
@@ -8,20 +8,20 @@
 
 from yewloom.caller_messages import CallerRequest
 from yewloom.ids import EntryHostId, Fingerprint
-from yewloom.quarantine import INITIAL_HOLD_S, Quarantine
+from yewloom.quarantine import INITIAL_QUARANTINE_S, Quarantine
 from yewloom.quarantine_page import QuarantinePage
 
 F = Fingerprint(0xAB)
 
 
-class _Reply:
-    """Records the answer."""
+class _RecordedResponse:
+    """Records the response that the page sends."""
 
     def __init__(self) -> None:
         self.status, self.body = 0, b""
 
     async def send_complete(self, status: int, headers: object, body: bytes) -> None:
-        """Record an answer."""
+        """Record a response."""
         self.status, self.body = status, body
 
 
@@ -31,31 +31,31 @@
     def setUp(self) -> None:
         self.quarantine = Quarantine(EntryHostId("me"), list)
 
-    def _ask(self, method: bytes, path: bytes) -> tuple[int, Any]:
+    def _request(self, method: bytes, path: bytes) -> tuple[int, Any]:
         request = CallerRequest(method, path, [], b"", 0.0, 0.0, 1, None)
-        reply, page = _Reply(), QuarantinePage(self.quarantine)
+        response, page = _RecordedResponse(), QuarantinePage(self.quarantine)
         self.assertTrue(page.handles(request))
 
         async def main() -> None:
             self.quarantine.add(F, trio.current_time())
-            await page.answer(request, reply)  # type: ignore[arg-type]
+            await page.answer(request, response)  # type: ignore[arg-type]
 
         trio.run(main)
-        return reply.status, json.loads(reply.body) if reply.body else None
+        return response.status, json.loads(response.body) if response.body else None
 
     def test_it_lists_quarantined_requests(self) -> None:
-        status, listed = self._ask(b"GET", b"/quarantine")
+        status, listed = self._request(b"GET", b"/quarantine")
         self.assertEqual(status, 200)
         quarantined = {
             "fingerprint": "00000000000000ab",
             "count": 1,
             "age_s": 0,
-            "wait_s": INITIAL_HOLD_S,
+            "wait_s": INITIAL_QUARANTINE_S,
         }
         self.assertEqual(listed, [quarantined])
 
     def test_a_quarantine_is_lifted_by_fingerprint(self) -> None:
-        self.assertEqual(self._ask(b"POST", b"/quarantine/00000000000000ab/lift")[0], 200)
+        self.assertEqual(self._request(b"POST", b"/quarantine/00000000000000ab/lift")[0], 200)
         self.assertFalse(self.quarantine.is_quarantined(F))
 
     def test_requests_for_other_fingerprints_or_paths_change_nothing(self) -> None:
@@ -65,7 +65,7 @@
             (b"POST", b"/quarantine/00000000000000ab"),
             (b"GET", b"/quarantine/00000000000000ab/lift"),
         ):
-            self.assertEqual(self._ask(method, path)[0], 404)
+            self.assertEqual(self._request(method, path)[0], 404)
             self.assertTrue(self.quarantine.is_quarantined(F))
 
     def test_other_paths_do_not_belong_to_the_page(self) -> None:
