--- a/yewloom/claim_writer.py
+++ b/yewloom/claim_writer.py
@@ -36,7 +36,7 @@
 """Write conflicts after which a batch fails."""
 
 RETRY_PAUSE_S = 2.0
-"""Pause before storing results is retried."""
+"""Pause before results that could not be stored are written again."""
 
 
 @value_class
@@ -63,7 +63,7 @@
     is_writing: bool = False
 
     def adopt(self, stored: StoredObject | None) -> None:
-        """Continue from the record that is stored in the platform."""
+        """Use the record that is stored in the platform as the basis of the next write."""
         self.record = ClaimShard() if stored is None else _parse_shard(stored)
         self.version = 0 if stored is None else stored.version
 
@@ -89,7 +89,7 @@
         self._shards = [_Shard(f"{CLAIM_KEY_PREFIX}{number}") for number in range(shards)]
 
     async def claim(self, claim: ClaimRequest) -> Result[ClaimAnswer, ClaimUnavailable]:
-        """Claim a key; on an error the request must not run."""
+        """Claim a key; if an error is returned, the request must not run."""
         if self._platform.is_down:
             return Err(ClaimUnavailable("the platform does not answer"))
         pending = _PendingClaim(claim)
@@ -111,7 +111,7 @@
         self._start_writing(shard)
 
     def _withdraw(self, shard: _Shard, pending: _PendingClaim) -> None:
-        """Withdraw the claim of a disconnected caller, or release it if it is being written."""
+        """Withdraw the claim of a disconnected caller; release it if it may have been written."""
         if pending in shard.pending:
             shard.pending.remove(pending)
         else:
@@ -139,7 +139,7 @@
     async def _try_write_batch(
         self, shard: _Shard, batch: list[_PendingClaim], results: list[ClaimResult]
     ) -> ClaimUnavailable | None:
-        """Write one batch; a record that cannot be decoded counts as unavailable."""
+        """Write one batch; return an error also if the stored record cannot be decoded."""
         try:
             return await self._write_batch(shard, batch, results)
         except RecordError as error:
@@ -170,7 +170,7 @@
     async def _write(
         self, shard: _Shard, record: ClaimShard, attempts: set[AttemptId]
     ) -> ClaimUnavailable | None:
-        """Write the record of a shard, and adopt the record that is stored afterwards."""
+        """Write the record of a shard, and adopt the one that is stored afterwards."""
         written = await write_until_settled(
             self._platform,
             shard.key,
@@ -203,7 +203,7 @@
         results: list[ClaimResult],
         unavailable: ClaimUnavailable,
     ) -> None:
-        """Fail a batch; its claims are released later, in case the write still takes effect."""
+        """Fail a batch; release its claims later, as its write may still take effect."""
         logger.warning(
             "cannot write claims", shard=shard.key, claims=len(batch), reason=unavailable.detail
         )
--- a/yewloom/claims.py
+++ b/yewloom/claims.py
@@ -1,9 +1,9 @@
-"""Claims: they let an unsafe request run at most once across entry hosts and callers' retries.
+"""Claims of idempotency keys, so that an unsafe request runs at most once.
 
-The idempotency key of a request is claimed in the platform before the first byte is sent to an
-endpoint. The claims of a shard are stored in one record, which is changed by conditional updates:
-if two entry hosts claim the same key, one of them sees the other's claim. Claims that arrive while
-a write is in progress are batched into the next one.
+This holds across entry hosts and callers' retries. The key of a request is claimed in the platform
+before the first byte is sent to an endpoint. The claims of a shard are stored in one record, which
+is changed by conditional updates: if two entry hosts claim the same key, one of them sees the
+other's claim. Claims that arrive while a write is in progress are batched into the next one.
 
 A record contains the newest claims in full. Of older claims it contains a hash of the key, which is
 enough to never run them again. Hashes are kept for at least the retention time, and for at most
@@ -22,13 +22,16 @@
 from yewloom.values import value_class
 
 MAX_STORED_BODY_BYTES = 2048
-"""Size of the largest answer body that is stored with its claim."""
+"""Size of the largest response body that is stored with its claim."""
 
 MAX_FULL_CLAIMS = 128
-"""Claims that the record of a shard contains in full."""
+"""Maximum number of claims that the record of a shard contains in full."""
 
 MAX_HASHES = 30_000
-"""Key hashes in the record of a shard, which keep it below the platform's maximum size."""
+"""Maximum number of key hashes in the record of a shard.
+
+It keeps the record below the platform's maximum size.
+"""
 
 
 class Verdict(Enum):
@@ -51,7 +54,7 @@
 
 @value_class
 class ClaimResult:
-    """The result of a claimed request, stored so that a repeated request gets the same answer."""
+    """The result of a claimed request, stored so that a retry gets the same response."""
 
     key: IdempotencyKey
     attempt: AttemptId
@@ -61,7 +64,7 @@
     body: bytes = b""
 
     def without_body(self) -> "ClaimResult":
-        """Return the result without the body of the answer."""
+        """Return the result without the body of the response."""
         return replace(self, body=b"", content_type="")
 
 
@@ -88,8 +91,8 @@
     """Return the record with the results and claims added, and the answer to each claim.
 
     The answers are valid only after the record has been written. A claim that is already in the
-    record with the same attempt id may run: it was written earlier by the same attempt, which did
-    not get the answer to that write.
+    record with the same attempt id may run: the same attempt has written it earlier, but has not
+    received the result of that write.
     """
     updated = ClaimShard()
     updated.CopyFrom(record)
@@ -107,7 +110,10 @@
 
 
 def _rotate(record: ClaimShard, now_unix_ms: int, retention_ms: int) -> None:
-    """Drop the earlier hashes if they are older than the retention time."""
+    """After each retention time, drop the earlier hashes and make the recent ones the earlier ones.
+
+    So a hash is kept for one to two retention times.
+    """
     if not record.rotated_unix_ms:
         record.rotated_unix_ms = now_unix_ms
     if now_unix_ms - record.rotated_unix_ms <= retention_ms:
@@ -119,14 +125,14 @@
 
 
 def _compact(record: ClaimShard) -> None:
-    """Replace the oldest claims by hashes, and drop those of requests that have not run."""
+    """Replace the oldest claims by hashes; drop claims of requests that have not run."""
     surplus = len(record.claims) - MAX_FULL_CLAIMS
     if surplus <= 0:
         return
     oldest = list(record.claims[:surplus])
     del record.claims[:surplus]
-    claims_run = (claim for claim in oldest if claim.state != ClaimState.RELEASED.value)
-    record.recent_hashes.extend(hash64(claim.key) for claim in claims_run)
+    claims_that_ran = (claim for claim in oldest if claim.state != ClaimState.RELEASED.value)
+    record.recent_hashes.extend(hash64(claim.key) for claim in claims_that_ran)
 
 
 def _store_result(claims_by_key: dict[IdempotencyKey, Claim], result: ClaimResult) -> None:
--- a/yewloom/idempotency.py
+++ b/yewloom/idempotency.py
@@ -1,4 +1,4 @@
-"""Runs unsafe requests at most once, by claiming the idempotency key before sending them."""
+"""Runs unsafe requests at most once, by claiming their idempotency keys before sending them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,7 +15,7 @@
 
 @value_class
 class StoredAnswer:
-    """A complete answer that can be returned again for the same key."""
+    """A complete response that can be returned again for the same key."""
 
     status: int
     content_type: str
@@ -35,7 +35,7 @@
     async def run(
         self, key: IdempotencyKey, run: Callable[[], Awaitable[StoredAnswer]]
     ) -> StoredAnswer:
-        """Run a request, or return the stored answer of its earlier run; may raise Problem."""
+        """Run a request, or return the stored response of its earlier run; may raise Problem."""
         claim = ClaimRequest(key, self._new_attempt(), self._holder)
         earlier = await self.claim(claim)
         if earlier is not None:
@@ -50,7 +50,7 @@
         return answer
 
     async def claim(self, claim: ClaimRequest) -> StoredAnswer | None:
-        """Claim a key; return the stored answer if its request has already run.
+        """Claim a key; return the stored response if its request has already run.
 
         Raise Problem if the request must not run.
         """
--- a/yewloom/tests/test_claims.py
+++ b/yewloom/tests/test_claims.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class _Submission:
-    """A request with a key to an entry host; the caller disconnects after ``timeout_s``."""
+    """A request with an idempotency key; its caller disconnects after ``timeout_s``."""
 
     key: IdempotencyKey
     entry: int
@@ -86,7 +86,7 @@
 
 
 class TestAtMostOnce(unittest.TestCase):
-    """Repeated requests with one key to several entry hosts, with combined failures."""
+    """Retries with the same key at several entry hosts, with combined failures."""
 
     @settings(max_examples=150)
     @given(st.lists(_SUBMISSIONS, min_size=2, max_size=6), _FAULTS, _TIMES, _TIMES, _TIMES)
@@ -95,7 +95,7 @@
         submissions: list[_Submission],
         faults: list[WriteFault],
         outages: list[float],
-        late_times: list[float],
+        delayed_write_times: list[float],
         kills: list[float],
     ) -> None:
         async def scenario() -> _Harness:
@@ -105,8 +105,8 @@
             async with trio.open_nursery() as nursery:
                 for outage_s in outages:
                     nursery.start_soon(_outage, platform, outage_s)
-                for late_s in late_times:
-                    nursery.start_soon(_apply_late, platform, late_s)
+                for apply_s in delayed_write_times:
+                    nursery.start_soon(_apply_delayed_writes, platform, apply_s)
                 for entry in range(3):
                     own = [submission for submission in submissions if submission.entry == entry]
                     kill_s = kills[entry] if entry < len(kills) else 60.0
@@ -119,7 +119,7 @@
         answered = {key for key, outcome in harness.outcomes if outcome is Outcome.ANSWERED}
         self.assertLessEqual(answered, set(harness.runs))
 
-    def test_a_repeat_at_another_entry_host_gets_the_stored_answer(self) -> None:
+    def test_a_retry_at_another_entry_host_gets_the_stored_answer(self) -> None:
         async def scenario() -> _Harness:
             harness = _Harness(FakePlatform())
             async with trio.open_nursery() as nursery:
@@ -142,14 +142,14 @@
             async with trio.open_nursery() as nursery:
                 runner = harness.runner("e0", nursery)
                 await harness.send(runner, _Submission(IdempotencyKey("k"), 0, 0, 30, False))
-                waited_s = trio.current_time()
+                elapsed_s = trio.current_time()
                 nursery.cancel_scope.cancel()
-            return harness, waited_s
+            return harness, elapsed_s
 
-        harness, waited_s = run_on_mock_clock(scenario)
+        harness, elapsed_s = run_on_mock_clock(scenario)
         self.assertEqual(harness.outcomes, [("k", Outcome.NOT_RUN)])
         self.assertEqual(harness.runs[IdempotencyKey("k")], 0)
-        self.assertLess(waited_s, 0.1)
+        self.assertLess(elapsed_s, 0.1)
 
     def test_no_claim_waits_for_a_platform_that_is_known_to_be_down(self) -> None:
         async def scenario() -> tuple[list[tuple[IdempotencyKey, Outcome]], int]:
@@ -221,14 +221,14 @@
         self.assertIs(answers[AttemptId("a")].verdict, Verdict.FULL)
 
     @given(st.lists(st.integers(0, 3 * MAX_FULL_CLAIMS), max_size=20))
-    def test_no_key_runs_again_however_many_claims_followed(self, repeats: list[int]) -> None:
+    def test_no_key_runs_again_however_many_claims_followed(self, retried: list[int]) -> None:
         record = ClaimShard()
         for number in range(3 * MAX_FULL_CLAIMS + 1):
             claim = self._claim(f"k{number}", f"a{number}")
             record, answers = add_claims(record, [claim], [], 1, RETENTION_MS)
             self.assertIs(answers[claim.attempt].verdict, Verdict.RUN)
         self.assertEqual(len(record.claims), MAX_FULL_CLAIMS)
-        for number in repeats:
+        for number in retried:
             claim = self._claim(f"k{number}", "again")
             record, answers = add_claims(record, [claim], [], 1, RETENTION_MS)
             self.assertIs(answers[claim.attempt].verdict, Verdict.TAKEN)
@@ -288,6 +288,6 @@
     platform.is_unavailable = False
 
 
-async def _apply_late(platform: FakePlatform, start_s: float) -> None:
+async def _apply_delayed_writes(platform: FakePlatform, start_s: float) -> None:
     await trio.sleep(start_s)
     platform.apply_delayed_writes()
--- a/yewloom/tests/test_crashing_request.py
+++ b/yewloom/tests/test_crashing_request.py
@@ -18,11 +18,11 @@
 """Time after the third crash within which every host must know of the quarantine."""
 
 MAX_LATER = 3
-"""Endpoints that the request may reach after that."""
+"""Maximum number of endpoints that the request may reach after that."""
 
 
 class TestCrashingRequest(unittest.TestCase):
-    """A request must not crash one endpoint after the other."""
+    """A request does not crash one endpoint after the other."""
 
     def test_it_crashes_few_more_endpoints_after_restarts_of_all_hosts(self) -> None:
         """Guards against three more crashes each time that all hosts restart at once."""
@@ -32,7 +32,7 @@
         self._check(trio.run(play).seen)
 
     def test_a_request_that_crashed_three_endpoints_reaches_few_more(self) -> None:
-        """Guards against a repeated request that crashes every endpoint it is sent to."""
+        """Guards against a retried request that crashes every endpoint it reaches."""
         self._check(
             trio.run(
                 partial(play_fragile, DURATION_S, OTHER_REQUEST_PAUSE_S, is_crashing=True)
