--- a/yewloom/admission.py
+++ b/yewloom/admission.py
@@ -30,9 +30,10 @@
 class AdmissionRequest:
     """A request that asks for a slot.
 
-    ``cost`` is the estimated work, in any unit that is the same for all requests. The request must
-    finish by ``deadline_s`` and start by ``start_by_s``. ``share`` is the number of requests that
-    the customer may have in progress on this entry host.
+    ``weight`` sets the customer's fair share of the slots. ``cost`` is the estimated work, in any
+    unit that is the same for all requests. The request must finish by ``deadline_s`` and start by
+    ``start_by_s``. ``share`` is the number of requests that the customer may have in progress on
+    this entry host.
     """
 
     request_id: RequestId
@@ -133,7 +134,7 @@
         return {name: customer.in_flight for name, customer in self._customers.items()}
 
     def read_and_reset_demand(self) -> dict[CustomerId, int]:
-        """Return the demand of each customer and reset the counts of rejected ones.
+        """Return the demand of each customer, and reset the counts of rejected requests.
 
         The demand is the number of slots held, of requests waiting, and of requests rejected with
         ``NO_CAPACITY`` since the last call.
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -77,7 +77,7 @@
     async def generate(self, request: ModelRequest) -> AsyncGenerator[TokenBatch, None]:
         """Yield the tokens of a request in order; raise Problem if it cannot be answered."""
         async with self._slots.acquire(self._admission_request(request)):
-            progress = self._start(request)
+            progress = self._start_progress(request)
             try:
                 async with aclosing(self._attempts(progress)) as attempts:
                     async for tokens in attempts:
@@ -97,7 +97,7 @@
                 "The stream's group is gone; send the request again.", Outcome.UNKNOWN
             )
         async with self._slots.acquire(self._admission_request(request)):
-            progress = self._start(request)
+            progress = self._start_progress(request)
             progress.assembler = StreamAssembler(
                 position.request_id, position.generation, position.offset
             )
@@ -108,7 +108,7 @@
                 async for tokens in attempts:
                     yield tokens
 
-    def _start(self, request: ModelRequest) -> Progress:
+    def _start_progress(self, request: ModelRequest) -> Progress:
         policies = self._table.policies_for(request.model)
         if not policies:
             raise bad_request_problem(f"The model {request.model!r} is not served here.", 404)
@@ -178,13 +178,13 @@
         group = progress.group
         assert group is not None
         request, group_id = progress.request, GroupId(group.id)
-        call = self._call_for(progress, group)
+        call = self._generate_call(progress, group)
         address = group.members[0].address
         self._sent_s[group_id][request.request_id] = trio.current_time()
         has_ended = False
         try:
-            stall_s = self._stall_timeout_s(request)
-            async with self._endpoints.generate(address, call, stall_s) as chunks:
+            stall_timeout_s = self._stall_timeout_s(request)
+            async with self._endpoints.generate(address, call, stall_timeout_s) as chunks:
                 async for chunk in chunks:
                     progress.pending_tokens += progress.assembler.accept(chunk)
                     if progress.should_flush(trio.current_time(), self._coalesce_s):
@@ -213,7 +213,7 @@
         remaining_s = request.deadline_s - trio.current_time()
         return max(0.0, min(self._settings.requests.stall_timeout_ms / 1000, remaining_s))
 
-    def _call_for(self, progress: Progress, group: Group) -> GenerateCall:
+    def _generate_call(self, progress: Progress, group: Group) -> GenerateCall:
         request = progress.request
         return GenerateCall(
             request_id=progress.assembler.request_id,
--- a/yewloom/idempotency.py
+++ b/yewloom/idempotency.py
@@ -41,13 +41,13 @@
         if earlier is not None:
             return earlier
         try:
-            answer = await run()
+            response = await run()
         except Problem as problem:
             if problem.outcome is Outcome.NOT_RUN:
                 self.store_result(claim, ClaimState.RELEASED)
             raise
-        self.store_result(claim, ClaimState.DONE, answer)
-        return answer
+        self.store_result(claim, ClaimState.DONE, response)
+        return response
 
     async def claim(self, claim: ClaimRequest) -> StoredAnswer | None:
         """Claim a key; return the stored response if its request has already run.
@@ -65,13 +65,18 @@
                 )
 
     def store_result(
-        self, claim: ClaimRequest, state: ClaimState, answer: StoredAnswer | None = None
+        self, claim: ClaimRequest, state: ClaimState, response: StoredAnswer | None = None
     ) -> None:
         """Store the result of a claimed request."""
         result = ClaimResult(claim.key, claim.attempt, state)
-        if answer is not None:
+        if response is not None:
             result = ClaimResult(
-                claim.key, claim.attempt, state, answer.status, answer.content_type, answer.body
+                claim.key,
+                claim.attempt,
+                state,
+                response.status,
+                response.content_type,
+                response.body,
             )
         self._claims.store_result(result)
 
--- a/yewloom/prefixes.py
+++ b/yewloom/prefixes.py
@@ -3,7 +3,7 @@
 A prompt is split into blocks. The hash of a block covers all blocks before it too, so equal hashes
 mean equal prefixes. The index is built from the engines' cache events, which may be late or lost
 and carry a sequence number. After a gap all blocks known from that engine's events are dropped,
-since an eviction may have been missed, and are collected anew from the events that follow.
+since an eviction may have been missed, and are collected again from the events that follow.
 """
 
 from collections import OrderedDict
--- a/yewloom/tests/test_crash_checks.py
+++ b/yewloom/tests/test_crash_checks.py
@@ -75,7 +75,7 @@
         run_with_checks(test)
 
     def test_an_endpoint_that_aborts_an_exchange_and_keeps_running_has_not_crashed(self) -> None:
-        """Guards against suspecting requests because of resets and aborted answers."""
+        """Guards against suspecting requests because of resets and aborted responses."""
 
         async def test(fixture: ChecksFixture) -> None:
             async with trio.open_nursery() as nursery:
