--- a/yewloom/crash_record.py
+++ b/yewloom/crash_record.py
@@ -206,7 +206,7 @@
             candidates -= causes
 
     def _count_unexplained_crashes(self, fingerprint: Fingerprint) -> int:
-        """Return the number of crashes during a request that no other, quarantined one explains."""
+        """Return the number of crashes during a request that no other quarantined one explains."""
         return sum(
             fingerprint in crash.requests and not self._is_explained(crash, fingerprint)
             for crash in self._crashes.values()
--- a/yewloom/quarantine.py
+++ b/yewloom/quarantine.py
@@ -6,10 +6,11 @@
 crashes endpoints crashes one, not one per host. A successful response lifts the quarantine, and so
 does an operator.
 
-Hosts send each other all quarantines that they know of. Of two reports of a request, the one with
-the higher count is newer; if the counts are equal, the one that lifts the quarantine is. So all
-hosts converge to the same state, whatever the order and number of their messages. Reports carry
-their age, so one that is passed on repeatedly does not extend a quarantine.
+Hosts send each other all quarantines that they know of, including those that others have reported.
+Of two reports of a request, the one with the higher count is newer; if the counts are equal, the
+one that lifts the quarantine is newer. So all hosts converge to the same state, whatever the order
+and number of their messages. Reports carry their age, so one that is passed on repeatedly does not
+extend a quarantine.
 
 Times are in seconds of Trio's clock.
 """
@@ -36,7 +37,7 @@
 """Maximum number of times the duration doubles; ``MAX_QUARANTINE_S`` is reached well before."""
 
 TRIAL_INTERVAL_S = 5.0
-"""Time from the trial of a request by one host to that by the next.
+"""Time between the trials of a request by two successive hosts.
 
 All hosts know the result of a trial within this time.
 """
