--- a/yewloom/follow_duty.py
+++ b/yewloom/follow_duty.py
@@ -3,7 +3,7 @@
 A few hosts of each data centre follow it; the others learn the configuration's age and changes of
 endpoints from those followers. So the number of calls to the store grows with the number of data
 centres and not with the number of entry hosts. A host whose information gets too old calls the
-store itself, whatever the reason: followers that died, are partitioned, or do not do their duty.
+store itself, whatever the reason: the followers may have died, be cut off, or not do their duty.
 """
 
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 from yewloom.ids import EntryHostId
 from yewloom.values import value_class
 
-FOLLOWERS = 2
+FOLLOWER_COUNT = 2
 """Entry hosts of a data centre that follow the store: the coordinator and a standby, since either
 may die or lose its connection to the store."""
 
 STARTUP_LISTEN_S = 0.6
-"""Time for which a starting host only listens to its peers before it may become a follower.
+"""Time for which a starting host only receives messages before it may become a follower.
 
-Peers send messages every 0.2 s, so hosts that start together have heard each other by then.
+Peers send messages every 0.2 s, so hosts that start together have heard from each other by then.
 """
 
 
@@ -37,7 +37,10 @@
 
 
 class FollowDuty:
-    """Decides whether this host follows the store now."""
+    """Decides whether this host follows the store now.
+
+    Near hosts are those in the same data centre.
+    """
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
 
         ``fallback_jitter`` is a random number from 0 to 1, drawn for this host. ``is_starting``
         returns whether this host started within the last STARTUP_LISTEN_S, so that it may not have
-        heard its peers yet.
+        heard from its peers yet.
         """
         self.is_starting = is_starting
         self._ranks: dict[EntryHostId, int] = {}
@@ -76,29 +79,29 @@
         near = self._peer_states.near_states()
         peers = [peer for peer, state in near.items() if state.can_follow]
         if not peers and not status.can_follow:
-            peers = list(near)  # While the store answers no host, the chosen few keep calling it.
+            peers = list(near)  # If the store answers no host, the chosen ones keep calling.
         others = [peer for peer in peers if not near[peer].is_coordinator]
-        places = FOLLOWERS - min(len(peers) - len(others), FOLLOWERS - 1)
-        before = sum(self._rank(peer) < self._rank(self._own_id) for peer in others)
-        return before < places
+        needed = FOLLOWER_COUNT - min(len(peers) - len(others), FOLLOWER_COUNT - 1)
+        ranked_before = sum(self._rank(peer) < self._rank(self._own_id) for peer in others)
+        return ranked_before < needed
 
     def near_followers(self) -> set[EntryHostId]:
-        """Return the peers that may be followers of this data centre, as seen from this host.
+        """Return the peers that may be followers in this data centre, by this host's information.
 
         Including too many is harmless: the extra messages that they get cost little.
         """
         near = self._peer_states.near_states()
         ranked = sorted(near, key=self._rank)
         coordinators = {peer for peer, state in near.items() if state.is_coordinator}
-        first_able = [peer for peer in ranked if near[peer].can_follow][:FOLLOWERS]
-        return coordinators | set(first_able) | set(ranked[:FOLLOWERS])
+        first_able = [peer for peer in ranked if near[peer].can_follow][:FOLLOWER_COUNT]
+        return coordinators | set(first_able) | set(ranked[:FOLLOWER_COUNT])
 
     def must_call_store(self, age_s: float) -> bool:
         """Return whether this host must call the store, given the age of its information.
 
-        A standby calls the store if the coordinator's messages do not keep it up to date; its
-        threshold is lower than that of the hosts without the duty, so it passes changes on before
-        they call.
+        A standby calls the store if the coordinator's messages do not keep it up to date. Its
+        threshold is lower than that of the hosts without the duty, so it sends them the changes
+        before they call the store themselves.
         """
         if not self.has_duty():
             return age_s > self._fallback_s
--- a/yewloom/idempotency.py
+++ b/yewloom/idempotency.py
@@ -1,4 +1,4 @@
-"""Runs unsafe requests at most once, by claiming the idempotency key before sending them."""
+"""Runs unsafe requests at most once, by claiming their idempotency keys before sending them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,7 +15,7 @@
 
 @value_class
 class StoredAnswer:
-    """A complete answer that can be returned again for the same key."""
+    """A complete response that can be returned again for the same key."""
 
     status: int
     content_type: str
@@ -35,22 +35,22 @@
     async def run(
         self, key: IdempotencyKey, run: Callable[[], Awaitable[StoredAnswer]]
     ) -> StoredAnswer:
-        """Run a request, or return the stored answer of its earlier run; may raise Problem."""
+        """Run a request, or return the stored response of its earlier run; may raise Problem."""
         claim = ClaimRequest(key, self._new_attempt(), self._holder)
         earlier = await self.claim(claim)
         if earlier is not None:
             return earlier
         try:
-            answer = await run()
+            response = await run()
         except Problem as problem:
             if problem.outcome is Outcome.NOT_RUN:
                 self.store_result(claim, ClaimState.RELEASED)
             raise
-        self.store_result(claim, ClaimState.DONE, answer)
-        return answer
+        self.store_result(claim, ClaimState.DONE, response)
+        return response
 
     async def claim(self, claim: ClaimRequest) -> StoredAnswer | None:
-        """Claim a key; return the stored answer if its request has already run.
+        """Claim a key; return the stored response if its request has already run.
 
         Raise Problem if the request must not run.
         """
@@ -65,13 +65,18 @@
                 )
 
     def store_result(
-        self, claim: ClaimRequest, state: ClaimState, answer: StoredAnswer | None = None
+        self, claim: ClaimRequest, state: ClaimState, response: StoredAnswer | None = None
     ) -> None:
         """Store the result of a claimed request."""
         result = ClaimResult(claim.key, claim.attempt, state)
-        if answer is not None:
+        if response is not None:
             result = ClaimResult(
-                claim.key, claim.attempt, state, answer.status, answer.content_type, answer.body
+                claim.key,
+                claim.attempt,
+                state,
+                response.status,
+                response.content_type,
+                response.body,
             )
         self._claims.store_result(result)
 
