--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -120,14 +120,14 @@
     Removal(
         "full endpoints are avoided",
         "endpoint_attempts",
-        "AVOID_FULL_S = 0.15",
-        "AVOID_FULL_S = 0.0",
+        "FULL_AVOIDANCE_S = 0.15",
+        "FULL_AVOIDANCE_S = 0.0",
     ),
     Removal(
         "streams are moved away from stalled groups",
         "stalls",
         "return now_s - activity.last_read_s >= (\n"
-        "            PEER_REPORTED_QUIET_S if is_reported_by_peer else activity.quiet_limit_s\n"
+        "            PEER_REPORTED_TIMEOUT_S if is_reported_by_peer else activity.stall_timeout_s\n"
         "        )",
         "return False",
     ),
--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -27,8 +27,8 @@
     Mutation(
         "stalls: a peer's stall report counts only if this host also receives nothing",
         "stalls",
-        "PEER_REPORTED_QUIET_S if is_reported_by_peer else activity.quiet_limit_s",
-        "0.0 if is_reported_by_peer else activity.quiet_limit_s",
+        "PEER_REPORTED_TIMEOUT_S if is_reported_by_peer else activity.stall_timeout_s",
+        "0.0 if is_reported_by_peer else activity.stall_timeout_s",
         "test_stalls",
     ),
     Mutation(
--- a/yewloom/attempts.py
+++ b/yewloom/attempts.py
@@ -1,7 +1,7 @@
 """Track the attempts to deliver one request, and derive what its caller may be told.
 
-A refusal promises that the request has not run and never will, so a request is refused only if the
-record proves it.
+A refusal promises that the request has not run and never will. A request is therefore refused only
+if the record of its attempts proves this.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,11 @@
 
 
 class AttemptState(Enum):
-    """How far an attempt at one endpoint got."""
+    """How far an attempt at one endpoint got.
+
+    ``NOT_RUN``: the endpoint stated that it did not run the request. ``ANSWERED``: it gave the
+    response that the caller gets.
+    """
 
     NOTHING_SENT = "nothing_sent"
     SENT = "sent"
@@ -21,7 +25,7 @@
 
 
 class FailureResponse(Enum):
-    """The response to a request that no endpoint answered."""
+    """The kinds of response to a request that no endpoint answered."""
 
     REFUSED = "refused"
     MAY_HAVE_RUN = "may_have_run"
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -36,14 +36,14 @@
 
 logger = structlog.get_logger(__name__)
 
-AVOID_BROKEN_S = 1.0
+CONNECTION_LOST_AVOIDANCE_S = 1.0
 """Time for which an endpoint that dropped a connection gets no new requests."""
 
-AVOID_FULL_S = 0.15
-"""Time for which an endpoint that reported itself full gets no new requests: a few of its batches.
-"""
+FULL_AVOIDANCE_S = 0.15
+"""Time for which an endpoint that reported itself full gets no new requests: it processes a few
+batches in this time."""
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 """Lowest status by which an endpoint reports that a request failed."""
 
 _POSSIBLE_CRASH = {ExchangeFailure.CONNECTION_LOST, ExchangeFailure.TRUNCATED}
@@ -53,7 +53,7 @@
 
 
 class _Stalled(Exception):  # noqa: N818 - ends an attempt
-    """The endpoint's group has stalled."""
+    """The endpoint's group has stalled, and the request can continue elsewhere."""
 
 
 @value_class
@@ -114,11 +114,14 @@
     def _clear_crash_suspicion(self, request: ForwardRequest) -> None:
         """Stop suspecting a request of causing crashes if it did not end in a server error."""
         status = request.response.status if request.response is not None else request.reply.status
-        if status < SERVER_ERROR and self._crashes.has_any:
+        if status < MIN_SERVER_ERROR_STATUS and self._crashes.has_any:
             self._crashes.record_answer(request.fingerprint, trio.current_time())
 
     async def _run_attempt(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
-        """Return whether the caller gets this response, and the outcome of the attempt."""
+        """Return whether the caller gets this response, and the outcome of the attempt.
+
+        The outcome is a kind, followed by a colon and details in some cases.
+        """
         try:
             return await self._exchange_with_reconnect(request, endpoint)
         except ExchangeError as error:
@@ -135,9 +138,9 @@
     async def _exchange_with_reconnect(
         self, request: ForwardRequest, endpoint: Endpoint
     ) -> tuple[bool, str]:
-        """Run the exchange; connect once more if this host's event loop was delayed meanwhile.
+        """Run the exchange; retry a failed connection if this host's event loop was delayed.
 
-        Such a failure to connect says nothing about the endpoint.
+        The failure may be due to the delay, and then says nothing about the endpoint.
         """
         try:
             return await self._exchange(request, endpoint)
@@ -157,7 +160,7 @@
                 self._reachability.on_failure(endpoint, now_s)
                 self._stalls.report_unreachable(endpoint.id, now_s)
             case ExchangeFailure.CONNECTION_LOST:
-                self._avoid_and_report(endpoint, AVOID_BROKEN_S)
+                self._avoid_and_report(endpoint, CONNECTION_LOST_AVOIDANCE_S)
             case ExchangeFailure.TRUNCATED | ExchangeFailure.INVALID_RESPONSE:
                 pass  # One response was wrong, which says nothing about other requests.
         return str(error)
@@ -199,15 +202,15 @@
         return _Response(head, metadata)
 
     def _build_outgoing(self, request: ForwardRequest, endpoint: Endpoint) -> OutgoingRequest:
-        resumes = request.cursor.has_events or request.metadata.last_event_id > 0
-        sending = ForwardingMetadata(
+        is_resumed = request.cursor.has_events or request.metadata.last_event_id > 0
+        metadata = ForwardingMetadata(
             endpoint=endpoint.id,
             customer=request.customer,
             deadline_ms=max(1, request.remaining_ms(trio.current_time())),
-            last_event_id=request.cursor.last_event_id if resumes else None,
+            last_event_id=request.cursor.last_event_id if is_resumed else None,
         )
         source = request.source
-        headers = self._codec.request_headers(source.headers, sending)
+        headers = self._codec.request_headers(source.headers, metadata)
         if source.body or source.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
             headers.append((b"content-length", str(len(source.body)).encode()))
         return OutgoingRequest(source.method, source.target, headers, source.body)
@@ -224,15 +227,18 @@
         exchange: Exchange,
         response: _Response,
     ) -> tuple[bool, str]:
-        """Buffer a complete response for the caller, unless the request is retried elsewhere."""
+        """Buffer a complete response for the caller.
+
+        It is discarded if the request did not run, or if another endpoint can retry a failed one.
+        """
         head = response.head
         if response.metadata.is_not_run:
             request.record.set_state(endpoint.id, AttemptState.NOT_RUN)
-            self._selector.avoid(endpoint.id, trio.current_time() + AVOID_FULL_S)
+            self._selector.avoid(endpoint.id, trio.current_time() + FULL_AVOIDANCE_S)
             return False, f"not run: status {head.status}"
         self._check_request_id(request, response.metadata)
         body = await exchange.read_body()
-        if head.status >= SERVER_ERROR and self._chooser.reserve_another(request):
+        if head.status >= MIN_SERVER_ERROR_STATUS and self._chooser.reserve_another(request):
             return False, f"failed: status {head.status}"
         request.record.set_state(endpoint.id, AttemptState.ANSWERED)
         if request.reply.is_started:
@@ -254,10 +260,10 @@
             chunk = await self._run_unless_stalled(request, endpoint, exchange.read_chunk)
             if chunk is None:
                 break
-            now_s, late_s = trio.current_time(), self._loop_delay.delay_s()
-            self._stalls.on_event(endpoint.id, now_s, late_s)
+            now_s, delay_s = trio.current_time(), self._loop_delay.delay_s()
+            self._stalls.on_event(endpoint.id, now_s, delay_s)
             # If this host's event loop was delayed, the interval says nothing about the endpoint.
-            if last_event_s is not None and not late_s:
+            if last_event_s is not None and not delay_s:
                 self._selector.event_intervals.record(endpoint.id, now_s - last_event_s, now_s)
             last_event_s = now_s
             data = b"".join(e.data for e in splitter.feed(chunk) if request.cursor.accept(e))
@@ -285,18 +291,18 @@
         """Run a step that may be cancelled and restarted.
 
         Raises _Stalled if the group has stalled and another endpoint can take over. If this host's
-        event loop was delayed, checks once more first: events that arrived in the meantime may not
-        have been read yet.
+        event loop was delayed, checks a second time before that: events that arrived during the
+        delay may not have been read yet.
         """
         if not request.route.may_retry:
             return await step()
-        was_late = False
+        was_delayed = False
         while True:
             check_s = self._stalls.next_check_s(endpoint.id, trio.current_time())
             with trio.move_on_at(check_s):
                 return await step()
             is_stalled = self._stalls.is_stalled(endpoint.id, trio.current_time())
-            if is_stalled and not was_late and self._loop_delay.delay_s():
-                was_late = True
+            if is_stalled and not was_delayed and self._loop_delay.delay_s():
+                was_delayed = True
             elif is_stalled and self._chooser.reserve_another(request):
                 raise _Stalled
--- a/yewloom/endpoint_calls.py
+++ b/yewloom/endpoint_calls.py
@@ -23,13 +23,14 @@
 packet is retransmitted only after a second."""
 
 READ_BYTES = 65536
-"""Most bytes to read from a connection at once."""
+"""Maximum number of bytes to read from a connection at once."""
 
 MAX_RESPONSE_HEAD_BYTES = 65536
-"""Longest status line and headers, together, that are accepted from an endpoint."""
+"""Maximum total length of the status line and headers of an endpoint's response."""
 
 MAX_BUFFERED_RESPONSE_BYTES = 16 << 20
-"""Longest response body that is buffered; responses of plain services have a few kilobytes."""
+"""Maximum length of a response body that is buffered. Responses of plain services have a few
+kilobytes."""
 
 
 class ExchangeFailure(Enum):
@@ -37,8 +38,8 @@
 
     ``REFUSED``: the endpoint's host rejected the connection because nothing listens on the port.
     ``NOT_CONNECTED``: connecting failed in another way, or timed out.
-    ``CONNECTION_LOST``: the connection was reset, or closed before the response; or a stream is
-    incomplete. ``TRUNCATED``: the connection was closed before the end of the response.
+    ``CONNECTION_LOST``: the connection was reset or was closed before the response, or a stream of
+    events ended too early. ``TRUNCATED``: the connection was closed before the end of the response.
     ``INVALID_RESPONSE``: the response violates the protocol, is too long or belongs to another
     request.
     """
@@ -94,7 +95,7 @@
         )
 
     async def send(self, request: OutgoingRequest) -> None:
-        """Send the whole request; stop sending if the response starts before that."""
+        """Send a request, and stop early if its response starts before all of it is sent."""
         data = self._connection.send(
             h11.Request(method=request.method, target=request.target, headers=list(request.headers))
         )
@@ -131,7 +132,7 @@
         raise ExchangeError(ExchangeFailure.CONNECTION_LOST, True, "the answer was cut")
 
     async def read_body(self) -> bytes:
-        """Wait for the whole body."""
+        """Wait for the complete body and return it."""
         body = bytearray()
         while (chunk := await self.read_chunk()) is not None:
             body += chunk
@@ -145,7 +146,8 @@
         try:
             await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The endpoint may have responded and closed before it read everything; reading shows.
+            # The endpoint may have responded and closed before it read everything. Whether it did
+            # turns out when the response is read.
             return
 
     async def _stop_on_early_response(self, scope: trio.CancelScope) -> None:
@@ -203,7 +205,10 @@
 
 
 def _connection_failure(error: OSError) -> ExchangeFailure:
-    """Return how connecting failed; the cause holds one error for each address that was tried."""
+    """Return how connecting failed.
+
+    The cause of the error holds one error for each address that was tried.
+    """
     cause = error.__cause__
     errors = cause.exceptions if isinstance(cause, BaseExceptionGroup) else (cause,)
     if all(isinstance(each, ConnectionRefusedError) for each in errors):
--- a/yewloom/endpoint_choice.py
+++ b/yewloom/endpoint_choice.py
@@ -20,8 +20,8 @@
 class EndpointChooser:
     """Chooses the next endpoint of a request, if there is one.
 
-    ``durations`` holds the durations of answered requests, by which it is decided whether a request
-    can still end before a planned stop.
+    ``durations`` holds the durations of answered requests. They determine whether a request can be
+    expected to end before a planned stop.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
     def take_next(self, request: ForwardRequest) -> Endpoint | None:
         """Return the endpoint that gets a request next, or None if there is none.
 
-        Counts the attempt; from now on the request counts as running at that endpoint.
+        The attempt is counted, and from now on the request counts as running at that endpoint.
         """
         reserved, request.reserved = request.reserved, None
         return reserved or self._reserve(request)
@@ -64,7 +64,7 @@
             request.reserved = None
 
     def _reserve(self, request: ForwardRequest) -> Endpoint | None:
-        """Choose an endpoint and count the attempt; no other request can run in between."""
+        """Choose an endpoint and count the attempt, without yielding to other tasks in between."""
         endpoint = self._select(request)
         if endpoint is None:
             return None
@@ -76,7 +76,7 @@
         return endpoint
 
     def limit_wait_s(self, request: ForwardRequest) -> float:
-        """Return how long a request is held back by rate limits alone; 0 if it is not."""
+        """Return how long only rate limits prevent sending a request; 0 if they do not."""
         return self._selector.limit_wait_s(
             request.requirements, request.configuration, request.record.states, trio.current_time()
         )
@@ -84,12 +84,12 @@
     def has_time_before_stop(self, request: ForwardRequest) -> bool:
         """Return whether a planned stop leaves enough time for one more attempt.
 
-        That is the median duration of the route's latest answered requests.
+        An attempt is expected to take the median duration of the route's latest answered requests.
         """
         if not self._stop.has_begun:
             return True
-        usual_s = self.durations.median_s(request.route.name)
-        return self._stop.has_time_for(usual_s, trio.current_time())
+        duration_s = self.durations.median_s(request.route.name)
+        return self._stop.has_time_for(duration_s, trio.current_time())
 
     def _select(self, request: ForwardRequest) -> Endpoint | None:
         record = request.record
--- a/yewloom/endpoint_probes.py
+++ b/yewloom/endpoint_probes.py
@@ -10,7 +10,7 @@
 logger = structlog.get_logger(__name__)
 
 POLL_INTERVAL_S = 0.05
-"""Interval at which due probes are looked for, while any endpoint is unreachable."""
+"""Interval between checks for due probes while any endpoint is unreachable."""
 
 
 class EndpointProbes:
@@ -18,19 +18,19 @@
 
     def __init__(self, reachability: Reachability) -> None:
         self._reachability = reachability
-        self._has_losses = trio.Event()
+        self._has_unreachable = trio.Event()
 
     def notify(self) -> None:
-        """Notify the loop that an endpoint has become unreachable."""
-        self._has_losses.set()
+        """Wake up ``run``, because an endpoint has become unreachable."""
+        self._has_unreachable.set()
 
     async def run(self) -> None:
         """Probe endpoints until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 if not self._reachability.has_unreachable:
-                    self._has_losses = trio.Event()
-                    await self._has_losses.wait()
+                    self._has_unreachable = trio.Event()
+                    await self._has_unreachable.wait()
                 for endpoint in self._reachability.take_due_probes(trio.current_time()):
                     nursery.start_soon(self._probe, endpoint)
                 await trio.sleep(POLL_INTERVAL_S)
--- a/yewloom/event_paces.py
+++ b/yewloom/event_paces.py
@@ -1,8 +1,8 @@
 """Find slow groups by the intervals between events of the streams that this host forwards.
 
-A group runs at the pace of its slowest member. A slow group has only a few more requests running
-than the others, so the load alone shows it late; until then each stream that the group gets misses
-its latency objective while other groups have free slots.
+A group runs at the speed of its slowest member. A slow group has only a few more requests running
+than the others, so its load alone shows only late that it is slow. Until then, each stream that it
+gets misses its latency objective while other groups have free slots.
 
 All times are seconds of trio's clock.
 """
@@ -14,14 +14,14 @@
 from yewloom.medians import median_low
 
 SMOOTHING_FACTOR = 0.3
-"""Weight of the newest interval in the moving average; about three intervals dominate it."""
+"""Weight of the newest interval in the moving average, which about three intervals dominate."""
 
 RECENT_S = 2.0
-"""Age up to which an average counts. After that, a group that got no requests is tried again."""
+"""Age up to which an average counts. A group that got no requests for this long is tried again."""
 
 SLOW_FACTOR = 2.5
 """Ratio of a group's average interval to its model's median above which the group counts as slow.
-By the published step times, the interval of a full group is twice that of an empty one."""
+According to published step times, the interval of a full group is twice that of an empty one."""
 
 MIN_SLOW_INTERVAL_S = 0.12
 """Average interval up to which a group never counts as slow; well below the longest interval that
--- a/yewloom/event_stream.py
+++ b/yewloom/event_stream.py
@@ -12,11 +12,11 @@
 _ID_LINE = re.compile(rb"(?:^|\n)id:[ ]?(\d+)\r?(?:\n|$)")
 
 MAX_EVENT_BYTES = 1 << 20
-"""Longest event that is buffered; endpoints' events have a few hundred bytes."""
+"""Maximum length of an event that is buffered. Endpoints' events have a few hundred bytes."""
 
 
 class EventStreamError(Exception):
-    """An event is missing or too long."""
+    """An event of a stream is missing or too long."""
 
 
 @value_class
@@ -52,9 +52,9 @@
 
 
 class StreamCursor:
-    """Position in one stream across several endpoints, so that each event is forwarded once.
+    """Tracks the position in one stream that several endpoints deliver in turn.
 
-    The events stay in order.
+    Each event is forwarded once and in order.
     """
 
     def __init__(self, last_event_id: int) -> None:
--- a/yewloom/forward_metrics.py
+++ b/yewloom/forward_metrics.py
@@ -44,11 +44,12 @@
             "yewloom_log_lines_lost", "Log lines left out because nobody read the log."
         )
 
-    def on_request(self, kind: str, status: int, outcome: str, took_s: float) -> None:
+    def on_request(self, kind: str, status: int, outcome: str, duration_s: float) -> None:
         """Count a request that has ended."""
+        # Such an outcome contains an age, which would make a time series of its own.
         label = "stale" if outcome.endswith(" old") else outcome
         self._requests.labels(kind, str(status), label).inc()
-        self._duration_s.labels(kind).observe(took_s)
+        self._duration_s.labels(kind).observe(duration_s)
 
     def on_attempt(self, outcome: str) -> None:
         """Count an attempt at an endpoint that has ended."""
--- a/yewloom/forward_parts.py
+++ b/yewloom/forward_parts.py
@@ -44,46 +44,48 @@
     retry_extra: Callable[[], float]
 
 
-def build_forwarder(parts: ForwarderComponents) -> Forwarder:
+def build_forwarder(components: ForwarderComponents) -> Forwarder:
     """Return a forwarder built from these components."""
-    bounds, quarantine = parts.bounds, parts.crashes.quarantine
-    retries = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, parts.retry_extra)
-    chooser = EndpointChooser(parts.selector, retries, parts.stop, quarantine, parts.limits)
+    bounds, quarantine = components.bounds, components.crashes.quarantine
+    retries = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, components.retry_extra)
+    chooser = EndpointChooser(
+        components.selector, retries, components.stop, quarantine, components.limits
+    )
     return Forwarder(
-        parts.configuration_state,
-        parts.codec,
-        parts.selector,
+        components.configuration_state,
+        components.codec,
+        components.selector,
         retries,
-        _build_attempt_runner(parts, chooser),
-        parts.metrics,
-        _build_key_trust(parts),
-        lambda: parts.directory.is_loaded,
+        _build_attempt_runner(components, chooser),
+        components.metrics,
+        _build_key_trust(components),
+        lambda: components.directory.is_loaded,
         chooser,
         quarantine,
     )
 
 
 def _build_attempt_runner(
-    parts: ForwarderComponents, chooser: EndpointChooser
+    components: ForwarderComponents, chooser: EndpointChooser
 ) -> EndpointAttemptRunner:
     return EndpointAttemptRunner(
-        parts.codec,
-        parts.selector,
-        parts.stalls,
-        parts.metrics,
-        parts.reachability,
+        components.codec,
+        components.selector,
+        components.stalls,
+        components.metrics,
+        components.reachability,
         chooser,
-        parts.loop_delay,
-        parts.crashes.record,
-        parts.crashes.checks,
-        parts.limits,
+        components.loop_delay,
+        components.crashes.record,
+        components.crashes.checks,
+        components.limits,
     )
 
 
-def _build_key_trust(parts: ForwarderComponents) -> KeyTrust:
-    bounds = parts.bounds
+def _build_key_trust(components: ForwarderComponents) -> KeyTrust:
+    bounds = components.bounds
     return KeyTrust(
-        parts.configuration_state,
+        components.configuration_state,
         bounds.key_revocation_ms / 1000,
         bounds.configuration_apply_ms / 1000,
         bounds.keys_need_proof,
--- a/yewloom/forward_request.py
+++ b/yewloom/forward_request.py
@@ -1,4 +1,4 @@
-"""A caller's request while it is forwarded, or the refusal that ends it before that."""
+"""State of a caller's request while it is forwarded, and the refusal of a request."""
 
 import math
 from collections.abc import Sequence
@@ -32,7 +32,8 @@
     """A request that is being forwarded; times are seconds of trio's clock.
 
     ``response`` is the final response of an endpoint, if it is not a stream, once it has arrived.
-    ``quarantine_count`` is how often the request had been quarantined when it was admitted.
+    ``quarantine_count`` is the number of times that the request had been quarantined when it was
+    admitted.
     ``reserved`` is the endpoint that gets the request after it has abandoned its current one.
     """
 
@@ -54,7 +55,7 @@
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return the fingerprint by which the same request is recognized when it is sent again.
+        """Return the fingerprint, which identifies the same request when a caller sends it again.
 
         It is computed on first use.
         """
@@ -71,7 +72,7 @@
 
 
 class Refusal(Exception):  # noqa: N818 - a response, not an error
-    """A request is refused with this status, without being sent to an endpoint."""
+    """A request that has not run is refused with this status."""
 
     def __init__(self, status: int, reason: str, retry_after_s: float | None = None) -> None:
         super().__init__(reason)
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to endpoints: attempts, final responses, and one log line for each."""
+"""Forward callers' requests to endpoints, and log the outcome of each request."""
 
 import itertools
 import math
@@ -29,17 +29,18 @@
 logger = structlog.get_logger(__name__)
 
 RETRY_AFTER_S = 0.25
-"""Retry-After of refused requests; endpoints' slots become free several times a second."""
+"""Retry-After of refused requests: a fraction of a second, as endpoints' slots become free several
+times a second."""
 
 STOPPING_RETRY_AFTER_S = 0.0
-"""Retry-After of requests that a stopping host refuses: zero, as other hosts are unaffected by the
-stop and can answer at once."""
+"""Retry-After of requests that a stopping host refuses: zero, as the stop does not affect the other
+hosts, which can answer at once."""
 
 ANSWERED = "answered"
-"""Outcome of a request whose caller has an endpoint's complete response."""
+"""Outcome of a request whose caller received an endpoint's complete response."""
 
 LIMITED = "endpoints limited"
-"""Reason for refusing a request if all its endpoints have reached the rate limit they announced."""
+"""Reason for refusing a request if all its endpoints have reached their announced rate limits."""
 
 STOPPING = "host is stopping"
 """Reason for refusing a request because this host is stopping."""
@@ -114,7 +115,7 @@
         self._record_outcome(source, metadata, None, reply, outcome)
 
     def end_oldest(self, max_requests: int = sys.maxsize) -> bool:
-        """End open requests, oldest first, so that each gets its final response.
+        """End up to ``max_requests`` open requests, oldest first; each gets its final response.
 
         Returns whether there were any.
         """
@@ -147,7 +148,7 @@
 
     @contextmanager
     def _time_limit(self, request: ForwardRequest) -> Iterator[None]:
-        """Cancel the forwarding at the request's deadline, or when a planned stop ends it."""
+        """Cancel the forwarding of a request at its deadline, or when a planned stop ends it."""
         with trio.move_on_at(request.deadline_s) as timer:
             self._timers[timer] = None
             try:
@@ -169,7 +170,7 @@
         is_out_of_time = trio.current_time() >= request.deadline_s
         match request.record.failure_response(is_out_of_time):
             case FailureResponse.REFUSED:
-                refusal = self._refusal(request)
+                refusal = self._build_refusal(request)
                 await self._send_refusal(request.reply, refusal)
                 return refusal.reason
             case FailureResponse.MAY_HAVE_RUN:
@@ -179,8 +180,8 @@
                 await request.reply.send_complete(504, [], b"")
                 return "out of time"
 
-    def _refusal(self, request: ForwardRequest) -> Refusal:
-        """Return why a request that has not run is refused, and when it may be retried."""
+    def _build_refusal(self, request: ForwardRequest) -> Refusal:
+        """Return the refusal of a request that has not run, with the time after which to retry."""
         if not self._chooser.has_time_before_stop(request):
             return Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S)
         limit_wait_s = self._chooser.limit_wait_s(request)
--- a/yewloom/reachability.py
+++ b/yewloom/reachability.py
@@ -1,12 +1,12 @@
 """Track unreachable endpoints, and data centres that are cut off.
 
-An endpoint to which a connection failed gets no requests until a connection succeeds. This is found
-out by probes, connections on which nothing is sent, rather than by callers' requests: each of these
-would have to wait for the connect timeout.
+An endpoint to which a connection failed gets no requests until a connection succeeds. Probes, i.e.
+connections on which nothing is sent, find this out. Callers' requests are not used for it, as each
+of them would have to wait for the connect timeout.
 
 Connection failures often have a common cause. If two endpoints of a data centre are unreachable and
 none has been reached since, the whole data centre is avoided. Other endpoints of it are probed
-immediately, so a wrong conclusion is corrected within milliseconds.
+immediately, so that a wrong conclusion is corrected within milliseconds.
 
 All times are seconds of trio's clock.
 """
@@ -19,8 +19,8 @@
 from yewloom.ids import DataCentreId, HostId
 
 CUT_OFF_THRESHOLD = 2
-"""Number of unreachable endpoints from which on their data centre counts as cut off. Single
-endpoints crash now and then; two within a second are rare except in a network partition."""
+"""Number of unreachable endpoints at which their data centre counts as cut off. Single endpoints
+crash now and then; two within a second are rare except in a network partition."""
 
 FAILURE_WINDOW_S = 1.0
 """Time for which a failed connection counts towards that threshold."""
@@ -29,7 +29,8 @@
 """Interval between probes of an endpoint; its recovery is noticed after half of that on average."""
 
 CUT_OFF_PROBE_INTERVAL_S = 0.25
-"""Interval between rounds of probes to a data centre that is cut off; a round takes as long."""
+"""Interval between rounds of probes to a data centre that is cut off. A round takes as long, since
+probes fail by the connect timeout."""
 
 CUT_OFF_PROBE_COUNT = 2
 """Number of endpoints that are probed in each round while their data centre is cut off."""
@@ -89,7 +90,7 @@
 
     @property
     def has_unreachable(self) -> bool:
-        """Return whether anything needs probes, now or later."""
+        """Return whether any endpoint or data centre has to be probed, now or later."""
         return bool(self._unreachable or self._cut_off)
 
     def on_connected(self, endpoint: Endpoint, now_s: float) -> None:
@@ -103,8 +104,8 @@
         self._drop_unlisted()
         due: dict[HostId, Endpoint] = {}
         for unreachable in self._unreachable.values():
-            is_probed_alone = unreachable.endpoint.data_centre not in self._cut_off
-            if is_probed_alone and now_s >= unreachable.probe_due_s:
+            is_probed_individually = unreachable.endpoint.data_centre not in self._cut_off
+            if is_probed_individually and now_s >= unreachable.probe_due_s:
                 unreachable.probe_due_s = now_s + PROBE_INTERVAL_S
                 due[unreachable.endpoint.id] = unreachable.endpoint
         for data_centre, cut_off in self._cut_off.items():
@@ -125,9 +126,9 @@
     def _next_probes(
         self, data_centre: DataCentreId, cut_off: _CutOffDataCentre
     ) -> Iterable[Endpoint]:
-        """Return the next endpoints to probe in a data centre, each in turn.
+        """Return the next endpoints to probe in a data centre, in turn.
 
-        Endpoints that are not known to be unreachable come first.
+        In each turn, endpoints that are not known to be unreachable come first.
         """
         listed = [e for e in self._directory.by_id.values() if e.data_centre == data_centre]
         listed.sort(key=lambda e: (e.id in cut_off.probed, e.id in self._unreachable, e.id))
--- a/yewloom/request_admission.py
+++ b/yewloom/request_admission.py
@@ -1,4 +1,4 @@
-"""Check whether a request may be forwarded: it needs a route, a known key and time left."""
+"""Check whether a request may be forwarded: it needs a route, a known API key and time left."""
 
 import math
 from collections.abc import Callable
@@ -17,18 +17,18 @@
 from yewloom.selection import EndpointRequirements, Selector
 
 RESPONSE_MARGIN_S = 0.04
-"""Time before the caller's deadline at which a request is ended, so that the final response still
-arrives in time."""
+"""How long before its deadline a request is ended, so that the final response still arrives in
+time."""
 
 DEFAULT_DEADLINE_MS = 60000
 """Time for a request whose caller sets no deadline; the route's time limit is usually shorter."""
 
 READ_TOO_LATE_RETRY_AFTER_S = 0.0
-"""Retry-After for a request whose deadline had passed when it was read: zero, as this host has
-caught up with its work by then and the caller may still be waiting."""
+"""Retry-After for a request whose deadline had passed when it was read. It is zero, as the caller
+may still be waiting and this host has processed its backlog by then."""
 
 QUARANTINED = "quarantined"
-"""Reason for refusing a request that crashed endpoints; it is not sent to any."""
+"""Reason for refusing a request that has crashed endpoints, without sending it to another one."""
 
 
 class RequestAdmission:
@@ -135,10 +135,10 @@
 
 
 def _deadline_s(source: CallerRequest, metadata: RequestMetadata, route: Route) -> float:
-    """Return when a request is ended.
+    """Return the time at which a request is ended, a margin before its deadline.
 
-    The route's time limit excludes the time for which this host waited for the caller to take an
-    earlier response on the same connection; the caller's deadline includes it.
+    The route's time limit excludes the time for which this host waited for the caller to receive
+    an earlier response on the same connection; the caller's deadline includes it.
     """
     deadline_ms = metadata.deadline_ms if metadata.deadline_ms is not None else DEFAULT_DEADLINE_MS
     route_deadline_s = source.send_blocked_s + route.timeout_ms / 1000
--- a/yewloom/retry_window.py
+++ b/yewloom/retry_window.py
@@ -1,7 +1,7 @@
-"""A retry budget for each service: limits attempts beyond the first of each request.
+"""A retry budget for each service, which limits the attempts beyond the first of each request.
 
-Each entry host stays within its own share, so the limit on their sum holds even while entry hosts
-are cut off from each other.
+Each entry host stays within its own share. The limit on the sum therefore holds even while entry
+hosts are cut off from each other.
 """
 
 from collections import defaultdict, deque
@@ -23,9 +23,9 @@
 
 
 class RetryBudget:
-    """Allows retries up to ``ratio`` times the requests of the last ``window_s``, plus an extra.
+    """Allows ``ratio`` retries for each request of the last ``window_s``, plus an extra number.
 
-    ``extra`` returns this host's share of the number of retries that all hosts may make on top.
+    ``extra`` returns this host's share of the extra retries that all hosts together may make.
     """
 
     def __init__(self, ratio: float, window_s: float, extra: Callable[[], float]) -> None:
--- a/yewloom/route_durations.py
+++ b/yewloom/route_durations.py
@@ -21,9 +21,9 @@
             lambda: deque(maxlen=MAX_SAMPLES)
         )
 
-    def record(self, route: RouteName, took_s: float) -> None:
+    def record(self, route: RouteName, duration_s: float) -> None:
         """Record the duration of an answered request."""
-        self._latest_s[route].append(took_s)
+        self._latest_s[route].append(duration_s)
 
     def median_s(self, route: RouteName) -> float:
         """Return the median duration of the latest requests; 0 if there are too few."""
--- a/yewloom/routes.py
+++ b/yewloom/routes.py
@@ -12,7 +12,7 @@
 
 
 class RouteKind(Enum):
-    """Whether a route's requests may be retried after they may have run, and whether it streams."""
+    """Whether requests that may have run can be retried, and whether responses are streams."""
 
     REPEATABLE = "repeatable"
     UNSAFE = "unsafe"
--- a/yewloom/selection.py
+++ b/yewloom/selection.py
@@ -1,4 +1,4 @@
-"""Select the endpoint for a request by the load that this entry host and its peers put on each."""
+"""Select the endpoint for a request by the load from this entry host and its peers."""
 
 import random
 from collections import Counter, defaultdict
@@ -15,13 +15,13 @@
 from yewloom.values import value_class
 
 REMOTE_PENALTY = 0.25
-"""Added to the score of an endpoint in another data centre. The endpoint with the lowest score is
-selected; its base is the load, 1.0 if all slots are taken. Traffic between data centres costs money
-and adds a few milliseconds."""
+"""Added to the score of an endpoint in another data centre, as traffic between data centres costs
+money and adds a few milliseconds. The endpoint with the lowest score is selected. Without penalties
+the score is the endpoint's load, which is 1.0 if all its slots are taken."""
 
 INCOMPLETE_PENALTY = 0.5
-"""Added for a group with a member that is not listed. The member may be lost, or it may only be cut
-off from the store while the group continues to serve. If it is lost, the group's streams stall."""
+"""Added for a group with a member that is not listed. Either the member is lost and the
+group's streams stall, or it is only cut off from the store and the group continues to serve."""
 
 LEAVING_PENALTY = 0.3
 """Added for a group with a leaving member; it may stop accepting requests at any moment."""
@@ -75,7 +75,7 @@
         """Return the service for one request on a route, drawn at random by weight."""
         if len(route.services) == 1:
             return route.services[0].service
-        weights = [share.weight for share in route.services]
+        weights = [service.weight for service in route.services]
         return self._rng.choices(route.services, weights)[0].service
 
     def select(
@@ -109,7 +109,7 @@
         tried: Container[HostId],
         now_s: float,
     ) -> float:
-        """Return how long a request is held back by rate limits alone; 0 if it is not."""
+        """Return how long only rate limits prevent sending a request; 0 if they do not."""
         if not self._limits.has_any:
             return 0.0
         engine = _engine_of(requirements, configuration)
--- a/yewloom/stalls.py
+++ b/yewloom/stalls.py
@@ -13,8 +13,8 @@
 from yewloom.ids import HostId
 
 STALL_TIMEOUT_S = 0.45
-"""Time without events on any stream of a group after which the group counts as stalled: the
-duration of several events and of the prefill of a long prompt between two of them."""
+"""Time without events on any stream of a group after which the group counts as stalled: several
+events take this long, with the prefill of a long prompt between two of them."""
 
 STALLED_AVOIDANCE_S = 2.0
 """Longest time for which a stalled group gets no new requests. Within half a second the coordinator
@@ -24,9 +24,9 @@
 REPORT_TTL_S = 1.0
 """Time for which a report that a group has stalled is valid."""
 
-PEER_REPORTED_QUIET_S = 0.2
-"""Time without events on this host's own streams that confirms a peer's report that a group has
-stalled: longer than an event or the prefill of a long prompt alone takes."""
+PEER_REPORTED_TIMEOUT_S = 0.2
+"""Time without events on this host's own streams after which a group counts as stalled if a peer
+has reported it: longer than either an event or the prefill of a long prompt takes."""
 
 FIRST_EVENT_TIMEOUT_S = 1.2
 """Time without events after which a group counts as stalled if all its streams still wait for their
@@ -40,8 +40,8 @@
 """
 
 MAX_MESSAGE_DELAY_S = 0.1
-"""Longest delay until a peer's message is read if the event loop was not delayed: network latency
-and other work on a slow host."""
+"""Longest time until a peer's message is read if the event loop was not delayed: it covers network
+latency and other work on a slow host."""
 
 
 @dataclass
@@ -58,7 +58,7 @@
     has_events: bool = False
 
     @property
-    def quiet_limit_s(self) -> float:
+    def stall_timeout_s(self) -> float:
         """Return the time without events after which the group counts as stalled."""
         return STALL_TIMEOUT_S if self.has_events else FIRST_EVENT_TIMEOUT_S
 
@@ -92,7 +92,7 @@
 class StallDetector:
     """Tracks the events of every group leader at which this host has streams.
 
-    ``on_report`` is called when there is something to tell peers at once: this host reports a group
+    ``on_report`` is called when peers should be notified at once, because this host reports a group
     that it had not reported recently, or disputes a peer's report.
     """
 
@@ -113,8 +113,8 @@
     def on_event(self, leader: HostId, now_s: float, max_age_s: float = 0.0) -> None:
         """Record an event that is read now and arrived up to ``max_age_s`` ago.
 
-        The time without events is counted from the reading. As evidence that the group works, the
-        event counts only for the earliest time at which it may have arrived.
+        The time without events is counted from when the event is read. As evidence that the group
+        works, the event counts only for the earliest time at which it may have arrived.
         """
         activity = self._activity[leader]
         activity.last_read_s, activity.arrived_s, activity.has_events = (
@@ -170,10 +170,10 @@
     def progressing(self, now_s: float) -> dict[HostId, float]:
         """Return the suspected leaders with a recent event on this host, and the event's age."""
         suspected = self.suspected(now_s)
-        moving = [
+        progressing = [
             leader for leader in suspected if self._has_event_since(leader, now_s - RECENT_EVENT_S)
         ]
-        return {leader: now_s - self._activity[leader].arrived_s for leader in moving}
+        return {leader: now_s - self._activity[leader].arrived_s for leader in progressing}
 
     def has_progress_since(self, leader: HostId, since_s: float) -> bool:
         """Return whether this host or a peer got an event of a group after a given time."""
@@ -219,15 +219,16 @@
             return False
         is_reported_by_peer = self._stalled_by_peers.has(leader, now_s)
         return now_s - activity.last_read_s >= (
-            PEER_REPORTED_QUIET_S if is_reported_by_peer else activity.quiet_limit_s
+            PEER_REPORTED_TIMEOUT_S if is_reported_by_peer else activity.stall_timeout_s
         )
 
     def next_check_s(self, leader: HostId, now_s: float) -> float:
         """Return when to check a group for a stall again, if no event arrives before.
 
-        For streams that wait for their first event, a peer's report may arrive at any time.
+        Streams that wait for their first event are checked often, as a peer's report may arrive at
+        any time.
         """
         activity = self._activity[leader]
         if not activity.has_events:
             return now_s + CHECK_INTERVAL_S
-        return max(activity.last_read_s + activity.quiet_limit_s, now_s + CHECK_INTERVAL_S)
+        return max(activity.last_read_s + activity.stall_timeout_s, now_s + CHECK_INTERVAL_S)
--- a/yewloom/tests/test_stalls.py
+++ b/yewloom/tests/test_stalls.py
@@ -5,7 +5,7 @@
 from yewloom.ids import HostId
 from yewloom.stalls import (
     FIRST_EVENT_TIMEOUT_S,
-    PEER_REPORTED_QUIET_S,
+    PEER_REPORTED_TIMEOUT_S,
     REPORT_TTL_S,
     STALL_TIMEOUT_S,
     StallDetector,
@@ -62,8 +62,8 @@
         stalls.on_stream_start(LEADER, 0.0)
         stalls.on_peer_stall_report(LEADER, 0.1)
         self.assertFalse(stalls.is_stalled(LEADER, 0.1))
-        self.assertTrue(stalls.is_stalled(LEADER, PEER_REPORTED_QUIET_S))
-        self.assertLessEqual(stalls.next_check_s(LEADER, 0.1), PEER_REPORTED_QUIET_S)
+        self.assertTrue(stalls.is_stalled(LEADER, PEER_REPORTED_TIMEOUT_S))
+        self.assertLessEqual(stalls.next_check_s(LEADER, 0.1), PEER_REPORTED_TIMEOUT_S)
 
     def test_a_peer_that_can_not_reach_a_leader_does_not_make_its_streams_stalled(self) -> None:
         stalls = StallDetector()
@@ -77,7 +77,7 @@
         stalls.on_stream_start(LEADER, 0.0)
         stalls.on_peer_stall_report(LEADER, 0.3)
         stalls.on_event(LEADER, 0.35)
-        self.assertFalse(stalls.is_stalled(LEADER, 0.35 + PEER_REPORTED_QUIET_S - 0.01))
+        self.assertFalse(stalls.is_stalled(LEADER, 0.35 + PEER_REPORTED_TIMEOUT_S - 0.01))
 
     def test_only_the_first_of_several_reports_is_passed_on_at_once(self) -> None:
         calls: list[None] = []
