--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -40,8 +40,8 @@
 GRACE_S = 8.0
 
 CONFIRM_INTERVAL_S = 1.0
-"""Interval at which the configuration is confirmed as current; a real host's watches end as often.
-"""
+"""Interval at which the configuration is confirmed as current. The watches of a real host, which
+confirm it when they end, end as often."""
 
 LONG_BODY = b"x" * (15 << 20)
 """More bytes than the socket buffers of a caller that does not read can hold."""
@@ -63,7 +63,7 @@
 
 
 class Endpoint:
-    """An endpoint that runs a script: a function that gets the request and writes the answer."""
+    """An endpoint that runs a script: a function that gets the request and writes the response."""
 
     def __init__(self, script: Callable[["Endpoint", h11.Request], Awaitable[None]]) -> None:
         self._script = script
@@ -99,29 +99,29 @@
         await trio.aclose_forcefully(stream)
 
     async def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
-        """Send a complete answer that echoes the request id."""
+        """Send a complete response that echoes the request id."""
         await self.start(status, body_length=len(body), **headers)
         if body:
             await self.send(body)
 
     async def start(self, status: int, body_length: int | None = None, **headers: str) -> None:
-        """Send the head of an answer; the body is chunked if no length is given."""
+        """Send the head of a response; the body is chunked if no length is given."""
         request_id = dict(self.requests[-1].headers)[b"yewloom-request-id"]
         sent = [(b"yewloom-request-id", request_id), (b"yewloom-server-stamp", b"stamp")]
         sent += [(k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()]
         if body_length is not None:
             sent.append((b"content-length", str(body_length).encode()))
-        await self.raw(self.connection.send(h11.Response(status_code=status, headers=sent)))
+        await self.send_raw(self.connection.send(h11.Response(status_code=status, headers=sent)))
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the body."""
-        await self.raw(self.connection.send(h11.Data(data=data)))
+        """Send a chunk of the body."""
+        await self.send_raw(self.connection.send(h11.Data(data=data)))
 
     async def finish(self) -> None:
         """End the body."""
-        await self.raw(self.connection.send(h11.EndOfMessage()))
+        await self.send_raw(self.connection.send(h11.EndOfMessage()))
 
-    async def raw(self, data: bytes | None) -> None:
+    async def send_raw(self, data: bytes | None) -> None:
         """Send bytes as they are."""
         assert self.stream is not None
         await self.stream.send_all(data or b"")
@@ -142,8 +142,8 @@
     return b"id: %d\ndata: %d\n\n" % (number, number)
 
 
-class Answer:
-    """What a caller received; ``is_whole`` says whether the answer is complete by its framing."""
+class CallerResponse:
+    """What a caller received; ``is_whole`` says whether the response is complete by its framing."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -232,8 +232,8 @@
         engine = make_engine(name, membership=member, model=SMALL)
         self.directory.put(replace(engine, address=address))
 
-    async def ask(self, path: str, **headers: str) -> Answer:
-        """Send a request with a body as a caller, and read the answer."""
+    async def ask(self, path: str, **headers: str) -> CallerResponse:
+        """Send a request with a body as a caller, and read the response."""
         stream = await trio.open_tcp_stream(*self.address)
         connection = await self.send(stream, path, **headers)
         return await self.read(stream, connection)
@@ -247,13 +247,15 @@
 
     async def send(self, stream: trio.SocketStream, path: str, **headers: str) -> h11.Connection:
         """Send a request on a connection."""
-        connection, data = self._request(path, headers)
+        connection, data = self._build_request(path, headers)
         await stream.send_all(data)
         return connection
 
-    async def ask_while_blocked(self, path: str, blocked_s: float, **headers: str) -> Answer:
-        """Send a request, block the event loop before the host can read it, and read the answer."""
-        connection, data = self._request(path, headers)
+    async def ask_while_blocked(
+        self, path: str, blocked_s: float, **headers: str
+    ) -> CallerResponse:
+        """Send a request, block the event loop before the host reads it, and read the response."""
+        connection, data = self._build_request(path, headers)
         caller = socket.create_connection(self.address)
         caller.sendall(data)
         time.sleep(blocked_s)  # noqa: ASYNC251 - blocks the event loop on purpose
@@ -262,8 +264,8 @@
             trio.SocketStream(trio.socket.from_stdlib_socket(caller)), connection
         )
 
-    def _request(self, path: str, headers: dict[str, str]) -> tuple[h11.Connection, bytes]:
-        """Return the bytes of a request, and the h11 connection that parses the answer."""
+    def _build_request(self, path: str, headers: dict[str, str]) -> tuple[h11.Connection, bytes]:
+        """Return the bytes of a request, and the h11 connection that parses the response."""
         connection = h11.Connection(h11.CLIENT)
         sent = {
             "host": "x.example",
@@ -277,25 +279,25 @@
         data += connection.send(h11.Data(data=b"abc")) or b""
         return connection, data + (connection.send(h11.EndOfMessage()) or b"")
 
-    async def read(self, stream: trio.SocketStream, connection: h11.Connection) -> Answer:
-        """Read an answer until it is complete or the connection ends."""
-        answer = Answer()
+    async def read(self, stream: trio.SocketStream, connection: h11.Connection) -> CallerResponse:
+        """Read a response until it is complete or the connection ends."""
+        response = CallerResponse()
         while True:
             try:
                 h11_event = connection.next_event()
                 if h11_event is h11.NEED_DATA:
                     connection.receive_data(await stream.receive_some(65536))
             except (h11.RemoteProtocolError, trio.BrokenResourceError):
-                return answer
+                return response
             if isinstance(h11_event, h11.Response):
-                answer.status, answer.headers = h11_event.status_code, dict(h11_event.headers)
+                response.status, response.headers = h11_event.status_code, dict(h11_event.headers)
             elif isinstance(h11_event, h11.Data):
-                answer.body += h11_event.data
+                response.body += h11_event.data
             elif isinstance(h11_event, h11.EndOfMessage):
-                answer.is_whole = True
-                return answer
+                response.is_whole = True
+                return response
             elif isinstance(h11_event, h11.ConnectionClosed):
-                return answer
+                return response
 
     async def _listen(self, endpoint: Endpoint, closes_port_on_request: bool = False) -> str:
         assert self._nursery is not None
@@ -314,7 +316,7 @@
     async def _serve(
         self, serve: Callable[[trio.SocketStream], Awaitable[None]], listener: trio.SocketListener
     ) -> None:
-        """Serve until the listener is closed; accepted connections are served on."""
+        """Serve until the listener is closed; accepted connections are served to their end."""
         async with trio.open_nursery() as nursery:
             try:
                 await trio.serve_listeners(serve, [listener], handler_nursery=nursery)
--- a/yewloom/tests/test_attempts.py
+++ b/yewloom/tests/test_attempts.py
@@ -26,12 +26,12 @@
 
     @given(st.sampled_from(RouteKind), STATES, st.booleans())
     def test_a_request_is_refused_only_if_no_endpoint_can_have_run_it(
-        self, kind: RouteKind, states: list[AttemptState], is_late: bool
+        self, kind: RouteKind, states: list[AttemptState], is_out_of_time: bool
     ) -> None:
         record = _record(kind, states)
         may_have_run = bool({AttemptState.SENT, AttemptState.ANSWERED} & set(states))
         if may_have_run:
-            self.assertNotEqual(record.failure_response(is_late), FailureResponse.REFUSED)
+            self.assertNotEqual(record.failure_response(is_out_of_time), FailureResponse.REFUSED)
 
     @given(STATES)
     def test_an_unsafe_request_that_may_have_run_is_not_sent_again(
--- a/yewloom/tests/test_event_paces.py
+++ b/yewloom/tests/test_event_paces.py
@@ -13,7 +13,7 @@
 
 
 class TestEventIntervals(unittest.TestCase):
-    """A group counts as slow relative to others, by several events, while these are recent."""
+    """A group counts as slow relative to other groups, by several recent events."""
 
     def setUp(self) -> None:
         self.event_intervals = EventIntervals()
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -54,17 +54,17 @@
         async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
-            answer = await fixture.ask("/u/x%20y?a=1&a=2", x_extra="7")
-            self.assertEqual((answer.status, answer.body), (200, b"fine"))
-            self.assertEqual(answer.headers[b"yewloom-server-stamp"], b"stamp")
+            response = await fixture.ask("/u/x%20y?a=1&a=2", x_extra="7")
+            self.assertEqual((response.status, response.body), (200, b"fine"))
+            self.assertEqual(response.headers[b"yewloom-server-stamp"], b"stamp")
             [request] = endpoint.requests
             self.assertEqual((request.method, request.target), (b"POST", b"/u/x%20y?a=1&a=2"))
             self.assertEqual(endpoint.bodies, [b"abc"])
-            found = dict(request.headers)
-            self.assertEqual(found[b"x-extra"], b"7")
-            self.assertEqual(found[b"yewloom-tenant"], b"hotel")
-            self.assertEqual(found[b"yewloom-expect-instance"], b"p")
-            self.assertNotIn(b"authorization", found)
+            headers = dict(request.headers)
+            self.assertEqual(headers[b"x-extra"], b"7")
+            self.assertEqual(headers[b"yewloom-tenant"], b"hotel")
+            self.assertEqual(headers[b"yewloom-expect-instance"], b"p")
+            self.assertNotIn(b"authorization", headers)
 
         run(test)
 
@@ -73,8 +73,8 @@
             endpoints = [Endpoint(close_without_answer), Endpoint(close_without_answer)]
             for number, endpoint in enumerate(endpoints):
                 await fixture.add_plain(f"p{number}", endpoint)
-            answer = await fixture.ask("/u/1")
-            self.assertEqual(answer.status, 502)
+            response = await fixture.ask("/u/1")
+            self.assertEqual(response.status, 502)
             self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), 1)
 
         run(test)
@@ -97,8 +97,8 @@
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             for path in ("/u/1", "/r/1"):
-                answer = await fixture.ask_while_blocked(path, 0.5, yewloom_deadline_ms="300")
-                self.assertEqual(answer.status, 503)
+                response = await fixture.ask_while_blocked(path, 0.5, yewloom_deadline_ms="300")
+                self.assertEqual(response.status, 503)
             self.assertEqual(endpoint.requests, [])
 
         run(test)
@@ -107,10 +107,10 @@
         async def test(fixture: ForwarderFixture) -> None:
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
-            answer = await fixture.ask_while_blocked("/u/1", 0.5, yewloom_deadline_ms="1500")
-            self.assertEqual(answer.status, 200)
-            left_ms = int(dict(endpoint.requests[0].headers)[b"yewloom-deadline-ms"])
-            self.assertLessEqual(left_ms, 1000 + TIMER_TOLERANCE_MS)
+            response = await fixture.ask_while_blocked("/u/1", 0.5, yewloom_deadline_ms="1500")
+            self.assertEqual(response.status, 200)
+            remaining_ms = int(dict(endpoint.requests[0].headers)[b"yewloom-deadline-ms"])
+            self.assertLessEqual(remaining_ms, 1000 + TIMER_TOLERANCE_MS)
 
         run(test)
 
@@ -118,18 +118,18 @@
         """Guards against a host that attributes the delay of its own event loop to endpoints."""
         connect, calls = trio.open_tcp_stream, list[int]()
 
-        async def connect_late(*where: Any, **options: Any) -> trio.SocketStream:
+        async def connect_late(*address: Any, **options: Any) -> trio.SocketStream:
             calls.append(1)
             if len(calls) == 1:
                 time.sleep(2 * CONNECT_TIMEOUT_S)  # noqa: ASYNC251 - blocks the event loop on purpose
                 await trio.lowlevel.checkpoint()
-            return await connect(*where, **options)
+            return await connect(*address, **options)
 
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", connect_late):
-                answer = await fixture.ask_while_blocked("/u/1", 0.0)
-            self.assertEqual((answer.status, len(calls)), (200, 2))
+                response = await fixture.ask_while_blocked("/u/1", 0.0)
+            self.assertEqual((response.status, len(calls)), (200, 2))
             self.assertEqual(fixture.stalls.suspected(trio.current_time()), set())
 
         run(test)
@@ -137,10 +137,10 @@
     def test_a_refusal_has_a_retry_after_header(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(refuse_not_run))
-            answer = await fixture.ask("/u/1")
-            self.assertEqual(answer.status, 503)
-            self.assertGreater(float(answer.headers[b"retry-after"]), 0)
-            self.assertNotIn(b"yewloom-server-stamp", answer.headers)
+            response = await fixture.ask("/u/1")
+            self.assertEqual(response.status, 503)
+            self.assertGreater(float(response.headers[b"retry-after"]), 0)
+            self.assertNotIn(b"yewloom-server-stamp", response.headers)
 
         run(test)
 
@@ -165,20 +165,20 @@
     def test_the_failure_of_the_last_endpoint_is_forwarded_unchanged(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p1", Endpoint(fail))
-            answer = await fixture.ask("/r/1")
-            self.assertEqual((answer.status, answer.body), (500, b"oops"))
-            self.assertEqual(answer.headers[b"yewloom-server-stamp"], b"stamp")
+            response = await fixture.ask("/r/1")
+            self.assertEqual((response.status, response.body), (500, b"oops"))
+            self.assertEqual(response.headers[b"yewloom-server-stamp"], b"stamp")
 
         run(test)
 
     def test_a_failure_is_forwarded_if_another_request_takes_the_last_retry(self) -> None:
-        """Guards against two requests that rely on the same retry, so that one ends in 502."""
-        both_asked = trio.Event()
+        """Guards against two requests that rely on the same retry: one would get status 502."""
+        both_requested = trio.Event()
 
         async def fail_both_at_once(endpoint: Endpoint, request: h11.Request) -> None:
             if len(failing.requests) == 2:
-                both_asked.set()
-            await both_asked.wait()
+                both_requested.set()
+            await both_requested.wait()
             await fail(endpoint, request)
 
         failing = SharedEndpoint(fail_both_at_once)
@@ -201,9 +201,9 @@
 
         run(test)
 
-    def test_an_answer_to_another_request_is_not_forwarded(self) -> None:
+    def test_a_response_to_another_request_is_not_forwarded(self) -> None:
         async def answer_other_request(endpoint: Endpoint, request: h11.Request) -> None:
-            await endpoint.raw(
+            await endpoint.send_raw(
                 b"HTTP/1.1 200 OK\r\nyewloom-request-id: other\r\ncontent-length: 1\r\n\r\nx"
             )
 
@@ -213,7 +213,7 @@
 
         run(test)
 
-    def test_a_truncated_answer_is_not_forwarded(self) -> None:
+    def test_a_truncated_response_is_not_forwarded(self) -> None:
         async def truncate(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200, body_length=10)
             await endpoint.send(b"half")
@@ -230,12 +230,12 @@
 
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(hang))
-            answer = await fixture.ask("/u/1", yewloom_deadline_ms="300")
-            self.assertEqual(answer.status, 504)
+            response = await fixture.ask("/u/1", yewloom_deadline_ms="300")
+            self.assertEqual(response.status, 504)
 
         run(test)
 
-    def test_an_endpoint_that_closes_before_its_answer_is_avoided_temporarily(self) -> None:
+    def test_an_endpoint_that_closes_before_its_response_is_avoided_temporarily(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             broken, sound = Endpoint(close_without_answer), Endpoint(answer_ok)
             await fixture.add_plain("broken", broken)
@@ -250,7 +250,7 @@
 
 
 class TestAdmission(unittest.TestCase):
-    """Routes, API keys and configurations that may be outdated."""
+    """Unknown routes and API keys, and configurations that may be outdated."""
 
     def test_unknown_routes_and_keys(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
@@ -266,9 +266,9 @@
             await fixture.add_plain("p", Endpoint(answer_ok))
             fixture.configuration_state._confirmed_s = trio.current_time() - 4.0
             for path, key in (("/u/1", "Token k1"), ("/u/1", "Token no"), ("/none/", "Token k1")):
-                answer = await fixture.ask(path, authorization=key)
-                self.assertEqual(answer.status, 503)
-                self.assertIn(b"retry-after", answer.headers)
+                response = await fixture.ask(path, authorization=key)
+                self.assertEqual(response.status, 503)
+                self.assertIn(b"retry-after", response.headers)
             self.assertEqual((await fixture.ask("/open/1")).status, 200)
 
         run(test)
@@ -301,9 +301,9 @@
 
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_engine("a", Endpoint(send_split_events))
-            answer = await fixture.ask("/s/1")
-            self.assertEqual(answer.body, event(1) + event(2) + event(3))
-            self.assertTrue(answer.is_whole)
+            response = await fixture.ask("/s/1")
+            self.assertEqual(response.body, event(1) + event(2) + event(3))
+            self.assertTrue(response.is_whole)
 
         run(test)
 
@@ -324,9 +324,9 @@
             await fixture.add_engine("a", Endpoint(break_off))
             await fixture.add_engine("b", second)
             fixture.selector.begin(HostId("b"))
-            answer = await fixture.ask("/s/1")
-            self.assertEqual(answer.body, b"".join(event(n) for n in (1, 2, 3, 4)))
-            self.assertTrue(answer.is_whole)
+            response = await fixture.ask("/s/1")
+            self.assertEqual(response.body, b"".join(event(n) for n in (1, 2, 3, 4)))
+            self.assertTrue(response.is_whole)
             self.assertEqual(dict(second.requests[0].headers)[b"last-event-id"], b"2")
 
         run(test)
@@ -346,8 +346,8 @@
             await fixture.add_engine("a", Endpoint(stall))
             await fixture.add_engine("b", Endpoint(resume))
             fixture.selector.begin(HostId("b"))
-            answer = await fixture.ask("/s/1")
-            self.assertEqual((answer.body, answer.is_whole), (event(1) + event(2), True))
+            response = await fixture.ask("/s/1")
+            self.assertEqual((response.body, response.is_whole), (event(1) + event(2), True))
 
         run(test)
 
@@ -368,17 +368,17 @@
             await fixture.add_engine("a", Endpoint(continue_after_block))
             await fixture.add_engine("b", other)
             fixture.selector.begin(HostId("b"))
-            answer = await fixture.ask("/s/1")
-            self.assertEqual((answer.body, answer.is_whole), (event(1) + event(2), True))
+            response = await fixture.ask("/s/1")
+            self.assertEqual((response.body, response.is_whole), (event(1) + event(2), True))
             self.assertEqual(other.requests, [])
             self.assertEqual(fixture.stalls.suspected(trio.current_time()), set())
 
         run(test)
 
     def test_a_slow_stream_that_can_not_be_resumed_elsewhere_is_not_abandoned(self) -> None:
-        """Guards against cutting off a stream of a busy engine that has no other endpoint to go to.
+        """Guards against cutting off a stream of a busy engine that can not be resumed elsewhere.
 
-        The engine sends no event for about a second while the retry budget is used up or a stop is
+        The engine sends no event for about a second, while the retry budget is used up or a stop is
         near.
         """
 
@@ -411,7 +411,7 @@
                 run(test)
 
     def test_a_stream_is_not_abandoned_if_another_one_takes_the_last_retry(self) -> None:
-        """Guards against two streams that abandon an engine for one retry: one would be cut off."""
+        """Guards against two streams that abandon an engine for the same retry: one is cut off."""
 
         async def resume(endpoint: Endpoint, request: h11.Request) -> None:
             await endpoint.start(200)
@@ -442,8 +442,8 @@
         self.assertEqual((fixture.selector.running_here(), ended.reserved), ({}, None))
 
     async def _expect_two_events(self, fixture: ForwarderFixture) -> None:
-        answer = await fixture.ask("/s/1")
-        self.assertEqual((answer.body, answer.is_whole), (event(1) + event(2), True))
+        response = await fixture.ask("/s/1")
+        self.assertEqual((response.body, response.is_whole), (event(1) + event(2), True))
 
     def test_a_non_resumable_stream_that_breaks_off_stays_incomplete(self) -> None:
         async def break_off(endpoint: Endpoint, request: h11.Request) -> None:
@@ -455,8 +455,8 @@
             await fixture.add_engine("a", Endpoint(break_off))
             await fixture.add_engine("b", other)
             fixture.selector.begin(HostId("b"))
-            answer = await fixture.ask("/once/1")
-            self.assertEqual((answer.body, answer.is_whole), (event(1), False))
+            response = await fixture.ask("/once/1")
+            self.assertEqual((response.body, response.is_whole), (event(1), False))
             self.assertEqual(other.requests, [])
 
         run(test)
@@ -471,9 +471,9 @@
 
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_engine("a", Endpoint(skip))
-            answer = await fixture.ask("/s/1")
-            self.assertFalse(answer.is_whole)
-            self.assertNotIn(b"id: 3", answer.body)
+            response = await fixture.ask("/s/1")
+            self.assertFalse(response.is_whole)
+            self.assertNotIn(b"id: 3", response.body)
 
         run(test)
 
@@ -515,7 +515,7 @@
         """Guards against refusing a request as read too late if only its own caller delayed it."""
 
         def ask_twice(deadline_ms: dict[str, str]) -> list[tuple[int, int]]:
-            answers: list[tuple[int, bytes]] = []
+            responses: list[tuple[int, bytes]] = []
 
             async def test(fixture: ForwarderFixture) -> None:
                 await fixture.add_plain("p", Endpoint(answer_with_long_body))
@@ -527,10 +527,10 @@
                 received = bytearray()
                 while data := await caller.receive_some(65536):
                     received += data
-                answers.extend(parse_responses(bytes(received)))
+                responses.extend(parse_responses(bytes(received)))
 
             run(test)
-            return [(status, len(body)) for status, body in answers]
+            return [(status, len(body)) for status, body in responses]
 
         self.assertEqual(ask_twice({}), [(200, len(LONG_BODY))] * 2)
         own_deadline = {"yewloom_deadline_ms": str(UNSAFE_ROUTE.timeout_ms)}
@@ -551,9 +551,9 @@
             for data, status in cases.items():
                 stream = await trio.open_tcp_stream(*fixture.address)
                 await stream.send_all(data)
-                answer = await fixture.read(stream, _caller_connection())
-                self.assertEqual(answer.status, status, data[:40])
-                self.assertEqual(answer.headers[b"connection"], b"close")
+                response = await fixture.read(stream, _caller_connection())
+                self.assertEqual(response.status, status, data[:40])
+                self.assertEqual(response.headers[b"connection"], b"close")
             self.assertEqual(endpoint.requests, [])
 
         run(test)
--- a/yewloom/tests/test_forwarding_limits.py
+++ b/yewloom/tests/test_forwarding_limits.py
@@ -49,7 +49,7 @@
 
 
 class TestLimits(unittest.TestCase):
-    """Requests beyond an endpoint's limit go elsewhere or are refused at once."""
+    """Requests beyond an endpoint's limit go to other endpoints or are refused at once."""
 
     def test_requests_beyond_the_limit_of_an_endpoint_go_to_the_others(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
@@ -85,8 +85,10 @@
         async def test(fixture: ForwarderFixture) -> None:
             limited = Endpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
-            named_s = trio.current_time() - 1.05 / float(LOW_LIMIT)  # One request is allowed since.
-            fixture.limits.apply_announced(HostId("limited"), float(LOW_LIMIT), named_s)
+            announced_s = trio.current_time() - 1.05 / float(
+                LOW_LIMIT
+            )  # The limit has allowed one request since then.
+            fixture.limits.apply_announced(HostId("limited"), float(LOW_LIMIT), announced_s)
             statuses = [(await fixture.ask("/u/1")).status for _ in range(2)]
             self.assertEqual(statuses, [200, 503])
 
@@ -124,12 +126,12 @@
 
         run(test)
 
-    def test_an_answer_without_a_limit_ends_the_limit(self) -> None:
+    def test_a_response_without_a_limit_ends_the_limit(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            answers = iter([_answer_with_limit, answer_ok])
+            scripts = iter([_answer_with_limit, answer_ok])
 
             async def answer_next(endpoint: Endpoint, request: h11.Request) -> None:
-                await next(answers, answer_ok)(endpoint, request)
+                await next(scripts, answer_ok)(endpoint, request)
 
             await fixture.add_plain("p", Endpoint(answer_next))
             self.assertEqual((await fixture.ask("/u/1")).status, 200)
--- a/yewloom/tests/test_forwarding_stop.py
+++ b/yewloom/tests/test_forwarding_stop.py
@@ -1,4 +1,4 @@
-"""Tests of forwarding while a host stops, and of answers that outlast a time limit."""
+"""Tests of forwarding while a host stops, and of responses that outlast a time limit."""
 
 import os
 import time
@@ -15,7 +15,7 @@
 from yewloom.tests.forwarding_support import (
     GRACE_S,
     LONG_BODY,
-    Answer,
+    CallerResponse,
     Endpoint,
     ForwarderFixture,
     answer_ok,
@@ -26,17 +26,17 @@
 
 
 class TestStop(unittest.TestCase):
-    """Requests that end by a planned stop, by their deadline or by their caller."""
+    """Requests that are ended by a planned stop, by their deadline or by their caller."""
 
-    def test_a_planned_stop_closes_connections_after_an_answer(self) -> None:
+    def test_a_planned_stop_closes_connections_after_a_response(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(answer_ok))
             idle = await trio.open_tcp_stream(*fixture.address)
             first = await fixture.send(idle, "/u/1")
             await fixture.read(idle, first)
             fixture.server.activity.begin_stop()
-            answer = await fixture.ask("/u/1")
-            self.assertEqual((answer.status, answer.headers[b"connection"]), (200, b"close"))
+            response = await fixture.ask("/u/1")
+            self.assertEqual((response.status, response.headers[b"connection"]), (200, b"close"))
             fixture.server.activity.stop_accepting()
             self.assertEqual(await idle.receive_some(1), b"")
 
@@ -47,8 +47,8 @@
             endpoint = Endpoint(answer_ok)
             await fixture.add_plain("p", endpoint)
             fixture.server.activity.stop_accepting()
-            answer = await fixture.ask("/u/1")
-            self.assertEqual((answer.status, answer.headers[b"retry-after"]), (503, b"0"))
+            response = await fixture.ask("/u/1")
+            self.assertEqual((response.status, response.headers[b"retry-after"]), (503, b"0"))
             self.assertEqual(endpoint.requests, [])
 
         run(test)
@@ -64,8 +64,8 @@
             for _ in range(MIN_SAMPLES):
                 self.assertEqual((await fixture.ask("/u/1")).status, 200)
             fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S + 0.08)
-            answer = await fixture.ask("/u/1")
-            self.assertEqual((answer.status, answer.headers[b"retry-after"]), (503, b"0"))
+            response = await fixture.ask("/u/1")
+            self.assertEqual((response.status, response.headers[b"retry-after"]), (503, b"0"))
             self.assertEqual(len(slow.requests), MIN_SAMPLES)
             fixture.directory.remove(HostId("p"))
             await fixture.add_plain("p2", fast)
@@ -79,13 +79,13 @@
 
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p", Endpoint(never_answer))
-            answers: list[Answer] = []
+            responses: list[CallerResponse] = []
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._ask_and_append, fixture, answers)
+                nursery.start_soon(self._ask_and_append, fixture, responses)
                 await trio.sleep(0.1)
                 fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S)
                 fixture.forwarder.end_oldest()
-            self.assertEqual([answer.status for answer in answers], [502])
+            self.assertEqual([response.status for response in responses], [502])
 
         run(test)
 
@@ -109,14 +109,14 @@
             await fixture.send(caller, "/u/2", connection="close")
 
         second = {outlasts_the_stop: (503, b""), outlasts_its_deadline: (200, LONG_BODY)}
-        for outlasts, answer in second.items():
+        for outlasts, response in second.items():
 
             async def test(
                 fixture: ForwarderFixture,
                 outlasts: Callable[
                     [ForwarderFixture, trio.SocketStream], Awaitable[None]
                 ] = outlasts,
-                answer: tuple[int, bytes] = answer,
+                response: tuple[int, bytes] = response,
             ) -> None:
                 await fixture.add_plain("p", Endpoint(answer_with_long_body))
                 caller = await fixture.open_slow_reader()
@@ -125,15 +125,15 @@
                 received = bytearray()
                 while data := await caller.receive_some(65536):
                     received += data
-                self.assertEqual(parse_responses(bytes(received)), [(200, LONG_BODY), answer])
+                self.assertEqual(parse_responses(bytes(received)), [(200, LONG_BODY), response])
 
             with self.subTest(outlasts.__name__):
                 run(test)
 
-    def test_an_answer_that_arrives_as_the_time_runs_out_still_gives_the_caller_one(self) -> None:
-        """Guards against callers that get neither an answer nor a close.
+    def test_a_response_that_arrives_as_the_time_runs_out_still_gives_the_caller_one(self) -> None:
+        """Guards against callers that get neither a response nor a closed connection.
 
-        The event loop is blocked, so it sees the endpoint's answer and the deadline, or the stop,
+        The event loop is blocked, so it sees the endpoint's response and the deadline, or the stop,
         at the same time.
         """
 
@@ -168,16 +168,16 @@
                     if cause == "stop":
                         nursery.start_soon(stop, fixture)
                     with trio.move_on_after(3.0):
-                        answer = await fixture.ask("/u/1", yewloom_deadline_ms=str(deadline_ms))
-                        self.assertIn(answer.status, (200, late_status))
-                        self.assertTrue(answer.is_whole)
+                        response = await fixture.ask("/u/1", yewloom_deadline_ms=str(deadline_ms))
+                        self.assertIn(response.status, (200, late_status))
+                        self.assertTrue(response.is_whole)
                         return
-                    self.fail("neither an answer nor a close")
+                    self.fail("neither a response nor a close")
 
             with self.subTest(cause):
                 run(test)
 
-    def test_an_answer_that_the_caller_did_not_receive_fully_does_not_count_as_answered(
+    def test_a_response_that_the_caller_did_not_receive_fully_does_not_count_as_answered(
         self,
     ) -> None:
         async def test(fixture: ForwarderFixture) -> None:
@@ -226,5 +226,5 @@
         run(test)
 
     @staticmethod
-    async def _ask_and_append(fixture: ForwarderFixture, answers: list[Answer]) -> None:
-        answers.append(await fixture.ask("/u/1"))
+    async def _ask_and_append(fixture: ForwarderFixture, responses: list[CallerResponse]) -> None:
+        responses.append(await fixture.ask("/u/1"))
--- a/yewloom/tests/test_reachability.py
+++ b/yewloom/tests/test_reachability.py
@@ -33,7 +33,7 @@
 DATA_CENTRES = (DATA_CENTRE, DataCentreId("hall-b"), DataCentreId("hall-c"))
 CUT_OFF = DATA_CENTRES[2]
 LEADERS_PER_DATA_CENTRE = 6
-CUT_DURATION_S = 5.0
+PARTITION_DURATION_S = 5.0
 REQUESTS_PER_S = 13
 CONNECT_TIMEOUT_S = 0.25
 CONFIGURATION = make_configuration()
@@ -54,7 +54,7 @@
                     self.directory, f"{data_centre}-{number}", SMALL, names, data_centre=data_centre
                 )
 
-    def choose(self, now_s: float, tried: Container[HostId] = ()) -> Endpoint:
+    def select(self, now_s: float, tried: Container[HostId] = ()) -> Endpoint:
         """Return the endpoint that is selected for a request."""
         chosen = self.selector.select(REQUIREMENTS, CONFIGURATION, tried, now_s)
         assert chosen is not None
@@ -71,7 +71,7 @@
 
 
 class TestCutOffDataCentre(unittest.TestCase):
-    """A data centre that is cut off."""
+    """Detection of a data centre that is cut off, and of the end of the partition."""
 
     def setUp(self) -> None:
         self.host = EntryHostModel()
@@ -79,14 +79,14 @@
     def test_only_few_requests_wait_for_a_connection_during_a_partition(self) -> None:
         delayed = 0
         pending: list[tuple[float, Endpoint]] = []
-        for number in range(int(CUT_DURATION_S * REQUESTS_PER_S)):
+        for number in range(int(PARTITION_DURATION_S * REQUESTS_PER_S)):
             now_s = number / REQUESTS_PER_S
             while pending and pending[0][0] <= now_s:
                 failed_s, endpoint = pending.pop(0)
                 self.host.reachability.on_failure(endpoint, failed_s)
             for endpoint in self.host.reachability.take_due_probes(now_s):
                 self.assertEqual(endpoint.data_centre, CUT_OFF)  # Probes fail, as the requests do.
-            endpoint = self.host.choose(now_s)
+            endpoint = self.host.select(now_s)
             self.host.selector.begin(endpoint.id)
             if endpoint.data_centre == CUT_OFF:
                 delayed += 1
@@ -110,8 +110,8 @@
         self.host.fail_to_connect(CUT_OFF, 0, 1)
         self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
         probed = self.host.reachability.take_due_probes(0.0)
-        lost = {self.host.leader(CUT_OFF, number).id for number in (0, 1)}
-        self.assertTrue(lost.isdisjoint(endpoint.id for endpoint in probed))
+        unreachable = {self.host.leader(CUT_OFF, number).id for number in (0, 1)}
+        self.assertTrue(unreachable.isdisjoint(endpoint.id for endpoint in probed))
         self.host.reachability.on_connected(probed[0], 0.01)
         self.assertFalse(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 5)))
         self.assertTrue(self.host.reachability.is_avoided(self.host.leader(CUT_OFF, 0)))
@@ -131,7 +131,7 @@
     def test_a_host_that_reaches_no_endpoint_still_selects_one(self) -> None:
         for data_centre in DATA_CENTRES:
             self.host.fail_to_connect(data_centre, *range(LEADERS_PER_DATA_CENTRE))
-        self.host.choose(0.0)
+        self.host.select(0.0)
 
     def test_endpoints_that_are_no_longer_listed_are_not_probed(self) -> None:
         self.host.fail_to_connect(CUT_OFF, *range(LEADERS_PER_DATA_CENTRE))
--- a/yewloom/tests/test_selection.py
+++ b/yewloom/tests/test_selection.py
@@ -34,32 +34,32 @@
         self.peer_states = PeerStates(EntryHostId("me"), DATA_CENTRE)
         self.selector = make_selector(self.directory, self.peer_states)
 
-    def choose(self, *tried: str) -> str | None:
+    def select(self, *tried: str) -> str | None:
         """Select a leader of a group with the small model."""
-        return self._choose(EndpointRequirements(ENGINES, SMALL), *tried)
+        return self._select(EndpointRequirements(ENGINES, SMALL), *tried)
 
-    def _choose(self, requirements: EndpointRequirements, *tried: str) -> str | None:
-        names = {HostId(name) for name in tried}
-        found = self.selector.select(requirements, CONFIGURATION, names, 0.0)
+    def _select(self, requirements: EndpointRequirements, *tried: str) -> str | None:
+        tried_ids = {HostId(name) for name in tried}
+        found = self.selector.select(requirements, CONFIGURATION, tried_ids, 0.0)
         return found.id if found is not None else None
 
-    def test_only_open_leaders_of_the_model_take_requests(self) -> None:
+    def test_only_open_leaders_of_the_model_get_requests(self) -> None:
         put_group(self.directory, "g1", LARGE, ["a", "b", "c", "d"])
         put_group(self.directory, "g2", SMALL, ["e", "f"], MemberState.READY)
-        self.assertIsNone(self.choose())
+        self.assertIsNone(self.select())
         put_group(self.directory, "g3", SMALL, ["g", "h"])
-        self.assertEqual(self.choose(), "g")
-        self.assertIsNone(self.choose("g"))
+        self.assertEqual(self.select(), "g")
+        self.assertIsNone(self.select("g"))
 
     def test_leaving_endpoints_get_no_requests(self) -> None:
         self.directory.put(make_plain("p"))
-        self.assertEqual(self._choose(EndpointRequirements(PLAIN, None)), "p")
+        self.assertEqual(self._select(EndpointRequirements(PLAIN, None)), "p")
         key = put_group(self.directory, "g", SMALL, ["a", "b"])
         leader = self.directory.members_of(key)[0]
         self.directory.put(
             make_engine("a", membership=leader.membership, model=SMALL, is_leaving=True)
         )
-        self.assertIsNone(self.choose())
+        self.assertIsNone(self.select())
 
     def test_a_slow_group_gets_a_request_only_if_the_others_are_busy(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
@@ -68,10 +68,10 @@
             self.selector.event_intervals.record(HostId("a"), 0.5, 0.0)
             self.selector.event_intervals.record(HostId("c"), 0.05, 0.0)
         self.selector.begin(HostId("c"))
-        self.assertEqual(self.choose(), "c")
+        self.assertEqual(self.select(), "c")
         for _ in range(20):
             self.selector.begin(HostId("c"))
-        self.assertEqual(self.choose(), "a")
+        self.assertEqual(self.select(), "a")
 
     def test_a_complete_group_is_preferred_to_one_without_a_member(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
@@ -79,15 +79,15 @@
         self.directory.remove(HostId("b"))
         for _ in range(6):
             self.selector.begin(HostId("c"))
-        self.assertEqual(self.choose(), "c")
-        self.assertEqual(self.choose("c"), "a")
+        self.assertEqual(self.select(), "c")
+        self.assertEqual(self.select("c"), "a")
 
-    def test_an_avoided_endpoint_is_chosen_only_if_there_is_no_other(self) -> None:
+    def test_an_avoided_endpoint_is_selected_only_if_there_is_no_other(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         self.selector.avoid(HostId("a"), 5.0)
-        self.assertEqual(self.choose(), "a")
+        self.assertEqual(self.select(), "a")
         put_group(self.directory, "g2", SMALL, ["c", "d"])
-        self.assertEqual(self.choose(), "c")
+        self.assertEqual(self.select(), "c")
 
     def test_endpoints_in_the_same_data_centre_are_preferred_until_they_are_busier(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
@@ -101,21 +101,21 @@
                     data_centre=DataCentreId("hall-b"),
                 )
             )
-        self.assertEqual(self.choose(), "a")
+        self.assertEqual(self.select(), "a")
         for _ in range(5):
             self.selector.begin(HostId("a"))
-        self.assertEqual(self.choose(), "c")
+        self.assertEqual(self.select(), "c")
 
     def test_requests_of_peers_count_as_load(self) -> None:
         put_group(self.directory, "g1", SMALL, ["a", "b"])
         put_group(self.directory, "g2", SMALL, ["c", "d"])
         loads = [EndpointLoad(endpoint="a", running=4)]
         self.peer_states.update(EntryState(host_id="peer", sequence=1, loads=loads), 0.0)
-        self.assertEqual(self.choose(), "c")
+        self.assertEqual(self.select(), "c")
         self.peer_states.drop_expired(10.0)
         for _ in range(2):
             self.selector.begin(HostId("c"))
-        self.assertEqual(self.choose(), "a")
+        self.assertEqual(self.select(), "a")
 
     @given(st.lists(st.sampled_from("abc"), max_size=30))
     def test_counts_return_to_zero(self, names: list[str]) -> None:
--- a/yewloom/tests/test_slow_engines.py
+++ b/yewloom/tests/test_slow_engines.py
@@ -1,7 +1,7 @@
 """Tests of a coordinator whose engines answer late or never, on trio's mock clock.
 
-The scenario is a host lost every three seconds: the coordinator keeps querying the dead ones, each
-until the query times out, while it has to repair the groups of others.
+The scenario is one lost host every three seconds. The coordinator still queries the lost
+hosts, and waits for each query to time out, while it has to repair the groups of other hosts.
 """
 
 import functools
@@ -38,30 +38,33 @@
 from yewloom.states import GroupIntent
 from yewloom.tests.entry_support import SMALL, make_engine
 
-SILENT_AFTER_S = 0.4
-"""Time after which an order to a dead engine fails."""
+ORDER_TIMEOUT_S = 0.4
+"""Time after which an order to the engine named ``dead`` fails."""
 
 SLOW_ANSWER_S = 1.0
-"""Time that a slow engine takes to answer."""
+"""Time that the engine named ``slow`` takes to answer."""
 
 KEY = GroupKey(GroupId("g"), 1)
 
 
 class FakeEngines:
-    """Engines that record what they are sent; the one named ``dead`` never answers."""
+    """Engines that record the orders and queries that they get.
+
+    The engine named ``dead`` never answers.
+    """
 
     def __init__(self) -> None:
         self.orders: list[tuple[HostId, EngineOrder]] = []
-        self.asked: list[str] = []
+        self.queried: list[str] = []
         self.started_unix_ms = 0
 
     async def send(
-        self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
+        self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
         """Record an order; ``dead`` does not confirm it."""
         self.orders.append((engine, order))
         if engine == "dead":
-            await trio.sleep(SILENT_AFTER_S)
+            await trio.sleep(ORDER_TIMEOUT_S)
             return OrderAnswer.UNREACHABLE
         return OrderAnswer.STARTED
 
@@ -69,7 +72,7 @@
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
         """Return a report; the engine named ``slow`` takes a second, ``dead`` never answers."""
-        self.asked.append(address)
+        self.queried.append(address)
         if address == "dead" or (address == "slow" and timeout_s < SLOW_ANSWER_S):
             await trio.sleep(timeout_s)
             return None
@@ -106,7 +109,7 @@
             await trio.testing.wait_all_tasks_blocked()
             self.assertEqual(trio.current_time(), began_s)
             self.assertIn(("a", OpenGroup(KEY)), self.engines.orders)
-            await trio.sleep(SILENT_AFTER_S * 2)
+            await trio.sleep(ORDER_TIMEOUT_S * 2)
             self.assertTrue(self.state.is_unresponsive(HostId("dead")))
 
         _run(test)
@@ -118,7 +121,7 @@
             self.assertTrue(self.state.mark_sent_if_due(staging, 0.0))
             self.delivery.send_all([staging], tasks)
             self.assertTrue(self.state.mark_sent_if_due(staging, 0.0))
-            await trio.sleep(SILENT_AFTER_S * 2)
+            await trio.sleep(ORDER_TIMEOUT_S * 2)
             self.assertEqual(len(self.engines.orders), 1)
 
         _run(test)
@@ -132,15 +135,15 @@
 
         _run(test)
 
-    def test_a_silent_engine_gets_a_load_order_once_and_no_join_order(self) -> None:
+    def test_an_unresponsive_engine_gets_a_load_order_once_and_no_join_order(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             for order in (StageModel(SMALL), JoinGroup(KEY, SMALL, [HostId("dead")])):
                 planned = _order("dead", order)
                 self.assertTrue(self.state.mark_sent_if_due(planned, trio.current_time()))
                 self.delivery.send_all([planned], tasks)
-                await trio.sleep(JOIN_REPORT_TIMEOUT_S + SILENT_AFTER_S)
-                is_given = self.state.next_send_s[order_id(planned)] > float("-inf")
-                self.assertEqual(is_given, isinstance(order, StageModel))
+                await trio.sleep(JOIN_REPORT_TIMEOUT_S + ORDER_TIMEOUT_S)
+                is_sent = self.state.next_send_s[order_id(planned)] > float("-inf")
+                self.assertEqual(is_sent, isinstance(order, StageModel))
             self.assertEqual(self.engines.orders, [("dead", StageModel(SMALL))])
 
         _run(test)
@@ -173,22 +176,22 @@
 
         _run(test)
 
-    def test_each_new_process_is_asked_for_its_order_sequence(self) -> None:
+    def test_each_new_process_is_queried_for_its_order_count(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             for started_unix_ms in (7, 9):
                 self.engines.started_unix_ms = started_unix_ms
                 order = PlannedOrder(HostId("a"), "a", StageModel(SMALL), started_unix_ms)
                 self.delivery.send_all([order], tasks)
                 await trio.testing.wait_all_tasks_blocked()
-            self.assertEqual(len(self.engines.asked), 2)
+            self.assertEqual(len(self.engines.queried), 2)
 
         _run(test)
 
 
-class TestQuestions(unittest.TestCase):
+class TestQueries(unittest.TestCase):
     """Queries to members that do not answer."""
 
-    def test_all_members_are_asked_at_once_and_a_dead_one_is_suspected(self) -> None:
+    def test_all_members_are_queried_at_once_and_a_dead_one_is_suspected(self) -> None:
         async def test(tasks: BackgroundTasks) -> None:
             engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
             group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
@@ -198,17 +201,17 @@
             groups = StalledGroups(EndpointDirectory(), stalls, engines, state)
             groups.start_probes([group], tasks)
             await trio.testing.wait_all_tasks_blocked()
-            self.assertEqual(set(engines.asked), {"a", "dead", "b"})
+            self.assertEqual(set(engines.queried), {"a", "dead", "b"})
             self.assertEqual(state.suspects, set())
-            await trio.sleep(SILENT_AFTER_S * 2)
+            await trio.sleep(ORDER_TIMEOUT_S * 2)
             self.assertEqual(state.suspects, {"dead"})
 
         _run(test)
 
-    def test_a_member_that_is_silent_only_to_this_host_is_not_suspected(self) -> None:
-        """Covers a peer that reports an event of the group.
+    def test_a_member_that_is_unresponsive_only_to_this_host_is_not_suspected(self) -> None:
+        """Covers a peer that reports an event of the group while the member is queried.
 
-        The report clears the member only if the event is later than the query.
+        The member is cleared only if the event is later than the query.
         """
 
         async def test(tasks: BackgroundTasks) -> None:
@@ -226,7 +229,7 @@
                 await trio.testing.wait_all_tasks_blocked()
                 await trio.sleep(report_after_s)
                 stalls.on_peer_progress(HostId("dead"), 0.05, trio.current_time())
-                await trio.sleep(SILENT_AFTER_S)
+                await trio.sleep(ORDER_TIMEOUT_S)
                 self.assertEqual(state.suspects, suspects)
 
         _run(test)
@@ -270,27 +273,27 @@
             await trio.sleep(PROBE_INTERVAL_S)
             groups.start_probes([], tasks)
             await trio.testing.wait_all_tasks_blocked()
-            self.assertEqual(sorted(engines.asked), ["dead", "dead", "slow"])
+            self.assertEqual(sorted(engines.queried), ["dead", "dead", "slow"])
 
         _run(test)
 
-    def test_a_member_is_asked_again_if_the_event_loop_was_blocked(self) -> None:
+    def test_a_member_is_queried_again_if_the_event_loop_was_blocked(self) -> None:
         """Guards against a host that attributes the delay of its own event loop to members."""
 
         async def test(tasks: BackgroundTasks) -> None:
-            for late_s, asked in ((0.0, 1), (2.0, 2)):
+            for delay_s, query_count in ((0.0, 1), (2.0, 2)):
                 engines, state, stalls = FakeEngines(), PlanState(), StallDetector()
                 group = Group(id="g", generation=1, intent=GroupIntent.ACTIVE.value)
                 group.members.add(host_id="dead", address="dead")
                 stalls.report_stalled(HostId("dead"), trio.current_time())
-                late = functools.partial(float, late_s)
-                groups = StalledGroups(EndpointDirectory(), stalls, engines, state, late)
+                loop_delay_s = functools.partial(float, delay_s)
+                groups = StalledGroups(EndpointDirectory(), stalls, engines, state, loop_delay_s)
                 groups.start_probes([group], tasks)
-                await trio.sleep(REPORT_TIMEOUT_S * asked - 0.1)
+                await trio.sleep(REPORT_TIMEOUT_S * query_count - 0.1)
                 self.assertEqual(state.suspects, set())
                 await trio.sleep(0.2)
                 self.assertEqual(state.suspects, {"dead"})
-                self.assertEqual(engines.asked, ["dead"] * asked)
+                self.assertEqual(engines.queried, ["dead"] * query_count)
 
         _run(test)
 
