--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -205,7 +205,7 @@
     Mutation(
         "keys: an unknown key gets a final refusal only with a proof",
         "request_admission",
-        "if self._key_trust.may_refuse_permanently(source.read_s):",
+        "if self._key_trust.may_refuse_permanently(caller_request.read_s):",
         "if True:",
         "test_key_trust",
     ),
@@ -310,22 +310,22 @@
     Mutation(
         "streams: a stream that no other endpoint can resume is not abandoned",
         "endpoint_choice",
-        "        return request.reserved is not None",
+        "        return request.reserved_endpoint is not None",
         "        return True",
         "test_forwarding",
     ),
     Mutation(
         "streams: a stream that is moved uses the endpoint claimed for it",
         "endpoint_choice",
-        "        request.reserved = self._reserve(request)\n"
-        "        return request.reserved is not None",
+        "        request.reserved_endpoint = self._reserve(request)\n"
+        "        return request.reserved_endpoint is not None",
         "        return self._select(request) is not None",
         "test_forwarding",
     ),
     Mutation(
         "forwarding: an unused claim of an endpoint is released",
         "endpoint_choice",
-        "            self._selector.end(request.reserved.id)\n",
+        "            self._selector.end(request.reserved_endpoint.id)\n",
         "",
         "test_forwarding",
     ),
--- a/tools/mutations_lateness.py
+++ b/tools/mutations_lateness.py
@@ -76,7 +76,7 @@
     Mutation(
         "delays: time spent waiting for the caller does not count towards a route's time-out",
         "request_admission",
-        "source.send_blocked_s + route.timeout_ms / 1000",
+        "caller_request.send_blocked_s + route.timeout_ms / 1000",
         "route.timeout_ms / 1000",
         "test_forwarding",
     ),
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -76,12 +76,12 @@
         reachability: Reachability,
         chooser: EndpointChooser,
         loop_delay: LoopDelayMonitor,
-        crashes: CrashRecord,
+        crash_record: CrashRecord,
         crash_checks: CrashChecks,
         limits: EndpointLimits,
     ) -> None:
         self._limits = limits
-        self._crashes = crashes
+        self._crash_record = crash_record
         self._crash_checks = crash_checks
         self._codec = codec
         self._loop_delay = loop_delay
@@ -114,8 +114,8 @@
     def _clear_crash_suspicion(self, request: ForwardRequest) -> None:
         """Stop suspecting a request of causing crashes if it did not end in a server error."""
         status = request.response.status if request.response is not None else request.reply.status
-        if status < MIN_SERVER_ERROR_STATUS and self._crashes.has_any:
-            self._crashes.record_answer(request.fingerprint, trio.current_time())
+        if status < MIN_SERVER_ERROR_STATUS and self._crash_record.has_any:
+            self._crash_record.record_answer(request.fingerprint, trio.current_time())
 
     async def _run_attempt(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
         """Return whether the caller gets this response, and the outcome of the attempt.
@@ -209,11 +209,18 @@
             deadline_ms=max(1, request.remaining_ms(trio.current_time())),
             last_event_id=request.cursor.last_event_id if is_resumed else None,
         )
-        source = request.source
-        headers = self._codec.request_headers(source.headers, metadata)
-        if source.body or source.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
-            headers.append((b"content-length", str(len(source.body)).encode()))
-        return OutgoingRequest(source.method, source.target, headers, source.body)
+        caller_request = request.caller_request
+        headers = self._codec.request_headers(caller_request.headers, metadata)
+        if caller_request.body or caller_request.method not in (
+            b"GET",
+            b"HEAD",
+            b"DELETE",
+            b"OPTIONS",
+        ):
+            headers.append((b"content-length", str(len(caller_request.body)).encode()))
+        return OutgoingRequest(
+            caller_request.method, caller_request.target, headers, caller_request.body
+        )
 
     def _check_request_id(self, request: ForwardRequest, metadata: ResponseMetadata) -> None:
         """Raise ExchangeError unless the response belongs to the request."""
--- a/yewloom/endpoint_choice.py
+++ b/yewloom/endpoint_choice.py
@@ -44,7 +44,7 @@
 
         The attempt is counted, and from now on the request counts as running at that endpoint.
         """
-        reserved, request.reserved = request.reserved, None
+        reserved, request.reserved_endpoint = request.reserved_endpoint, None
         return reserved or self._reserve(request)
 
     def reserve_another(self, request: ForwardRequest) -> bool:
@@ -54,14 +54,14 @@
         one. Without the reservation, another request could use up the last allowed retry before
         this request has abandoned its endpoint.
         """
-        request.reserved = self._reserve(request)
-        return request.reserved is not None
+        request.reserved_endpoint = self._reserve(request)
+        return request.reserved_endpoint is not None
 
     def release_reserved(self, request: ForwardRequest) -> None:
         """Release the endpoint that was reserved for a request which has ended."""
-        if request.reserved is not None:
-            self._selector.end(request.reserved.id)
-            request.reserved = None
+        if request.reserved_endpoint is not None:
+            self._selector.end(request.reserved_endpoint.id)
+            request.reserved_endpoint = None
 
     def _reserve(self, request: ForwardRequest) -> Endpoint | None:
         """Choose an endpoint and count the attempt, without yielding to other tasks in between."""
--- a/yewloom/forward_request.py
+++ b/yewloom/forward_request.py
@@ -31,13 +31,13 @@
 class ForwardRequest:
     """A request that is being forwarded; times are seconds of trio's clock.
 
-    ``response`` is the final response of an endpoint, if it is not a stream, once it has arrived.
-    ``quarantine_count`` is the number of times that the request had been quarantined when it was
-    admitted.
-    ``reserved`` is the endpoint that gets the request after it has abandoned its current one.
+    ``reply`` writes the response to the caller. ``response`` is the final response of an endpoint,
+    if it is not a stream, once it has arrived. ``quarantine_count`` is the number of times that the
+    request had been quarantined when it was admitted. ``reserved_endpoint`` gets the request after
+    it has abandoned its current endpoint.
     """
 
-    source: CallerRequest
+    caller_request: CallerRequest
     reply: ResponseWriter
     metadata: RequestMetadata
     configuration: Configuration
@@ -50,7 +50,7 @@
     first_event_s: float | None = None
     response: BufferedResponse | None = None
     quarantine_count: int = 0
-    reserved: Endpoint | None = None
+    reserved_endpoint: Endpoint | None = None
     _fingerprint: Fingerprint | None = None
 
     @property
@@ -60,9 +60,9 @@
         It is computed on first use.
         """
         if self._fingerprint is None:
-            source = self.source
+            caller_request = self.caller_request
             self._fingerprint = compute_fingerprint(
-                self.metadata.host, source.target, self.customer, source.body
+                self.metadata.host, caller_request.target, self.customer, caller_request.body
             )
         return self._fingerprint
 
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -66,7 +66,7 @@
         codec: HeaderCodec,
         selector: Selector,
         retries: RetryBudget,
-        attempts: AttemptRunner,
+        attempt_runner: AttemptRunner,
         metrics: ForwardMetrics,
         key_trust: KeyTrust,
         is_ready: Callable[[], bool],
@@ -76,7 +76,7 @@
         self._configuration_state = configuration_state
         self._selector = selector
         self._retries = retries
-        self._attempts = attempts
+        self._attempt_runner = attempt_runner
         self._metrics = metrics
         self._chooser = chooser
         self._timers: dict[trio.CancelScope, None] = {}  # In the order in which they started.
@@ -84,14 +84,14 @@
             configuration_state, codec, selector, key_trust, is_ready, quarantine
         )
 
-    async def handle(self, source: CallerRequest, reply: ResponseWriter) -> None:
+    async def handle(self, caller_request: CallerRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         request = metadata = None
         try:
-            metadata = self._admission.decode_metadata(source)
-            request = self._admission.admit(source, reply, metadata)
+            metadata = self._admission.decode_metadata(caller_request)
+            request = self._admission.admit(caller_request, reply, metadata)
             self._admission.check_quarantine(request)
-            self._retries.on_request(request.requirements.service, source.read_s)
+            self._retries.on_request(request.requirements.service, caller_request.read_s)
             outcome = await self._forward(request)
         except Refusal as refusal:
             outcome = refusal.reason
@@ -100,19 +100,19 @@
             # A caller that closes right after it received the complete response has been served.
             is_served = request is not None and request.record.is_answered and reply.is_complete
             outcome = ANSWERED if is_served else "caller gone"
-            self._record_outcome(source, metadata, request, reply, outcome)
+            self._record_outcome(caller_request, metadata, request, reply, outcome)
             raise
-        self._record_outcome(source, metadata, request, reply, outcome)
+        self._record_outcome(caller_request, metadata, request, reply, outcome)
 
-    async def reject(self, source: CallerRequest, reply: ResponseWriter) -> None:
+    async def reject(self, caller_request: CallerRequest, reply: ResponseWriter) -> None:
         """Refuse a request that arrived after the host stopped accepting requests."""
         metadata, outcome = None, STOPPING
         try:
-            metadata = self._admission.decode_metadata(source)
+            metadata = self._admission.decode_metadata(caller_request)
         except Refusal as refusal:
             outcome = f"{STOPPING}; {refusal.reason}"
         await self._send_refusal(reply, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
-        self._record_outcome(source, metadata, None, reply, outcome)
+        self._record_outcome(caller_request, metadata, None, reply, outcome)
 
     def end_oldest(self, max_requests: int = sys.maxsize) -> bool:
         """End up to ``max_requests`` open requests, oldest first; each gets its final response.
@@ -159,7 +159,7 @@
     async def _attempt(self, request: ForwardRequest, endpoint: Endpoint) -> bool:
         request.record.begin(endpoint.id)
         try:
-            return await self._attempts.run(request, endpoint)
+            return await self._attempt_runner.run(request, endpoint)
         finally:
             self._selector.end(endpoint.id)
 
@@ -197,7 +197,7 @@
 
     def _record_outcome(
         self,
-        source: CallerRequest,
+        caller_request: CallerRequest,
         metadata: RequestMetadata | None,
         request: ForwardRequest | None,
         reply: ResponseWriter,
@@ -205,33 +205,33 @@
     ) -> None:
         """Log the outcome of a request in one line, and record outcome and duration as metrics."""
         now_s = trio.current_time()
-        took_ms = round((now_s - source.arrived_s) * 1000)
+        took_ms = round((now_s - caller_request.arrived_s) * 1000)
         if request is not None and outcome == ANSWERED:
-            self._chooser.durations.record(request.route.name, now_s - source.read_s)
+            self._chooser.durations.record(request.route.name, now_s - caller_request.read_s)
         kind = request.route.kind.value if request is not None else "none"
         self._metrics.on_request(kind, reply.status, outcome, took_ms / 1000)
         logger.info(
             "request",
             request_id=metadata.request_id if metadata is not None else "",
-            route=request.route.name if request is not None else source.path,
+            route=request.route.name if request is not None else caller_request.path,
             outcome=outcome,
             status=reply.status,
             took_ms=took_ms,
-            waited_ms=round((source.read_s - source.arrived_s) * 1000),
-            first_ms=_first_event_ms(source, request),
+            waited_ms=round((caller_request.read_s - caller_request.arrived_s) * 1000),
+            first_ms=_first_event_ms(caller_request, request),
             attempts=_format_attempts(request),
-            number_on_connection=source.number_on_connection,
-            stopping_ms=source.stopping_ms,
+            number_on_connection=caller_request.number_on_connection,
+            stopping_ms=caller_request.stopping_ms,
             configuration=request.configuration.version if request is not None else None,
             configuration_age_ms=self._configuration_state.reported_age_ms(now_s),
             **_fingerprint_fields(request, outcome),
         )
 
 
-def _first_event_ms(source: CallerRequest, request: ForwardRequest | None) -> int | None:
+def _first_event_ms(caller_request: CallerRequest, request: ForwardRequest | None) -> int | None:
     if request is None or request.first_event_s is None:
         return None
-    return round((request.first_event_s - source.arrived_s) * 1000)
+    return round((request.first_event_s - caller_request.arrived_s) * 1000)
 
 
 def _fingerprint_fields(request: ForwardRequest | None, outcome: str) -> dict[str, str]:
--- a/yewloom/request_admission.py
+++ b/yewloom/request_admission.py
@@ -50,78 +50,80 @@
         self._key_trust = key_trust
         self._is_ready = is_ready
 
-    def decode_metadata(self, source: CallerRequest) -> RequestMetadata:
+    def decode_metadata(self, caller_request: CallerRequest) -> RequestMetadata:
         """Return the decoded headers of a request, or raise Refusal."""
         try:
-            return self._codec.decode_request(source.headers)
+            return self._codec.decode_request(caller_request.headers)
         except HeaderError as error:
             raise Refusal(400, str(error)) from error
 
     def admit(
-        self, source: CallerRequest, reply: ResponseWriter, metadata: RequestMetadata
+        self, caller_request: CallerRequest, reply: ResponseWriter, metadata: RequestMetadata
     ) -> ForwardRequest:
         """Return a request with its route and customer, or raise Refusal."""
         configuration = self._configuration_state.current
         if configuration is None or not self._is_ready():
             raise Refusal(503, "no configuration yet", NOT_READY_RETRY_AFTER_S)
-        route = self._find_route(configuration, metadata.host, source)
+        route = self._find_route(configuration, metadata.host, caller_request)
         customer = None
         if configuration.requires_keys and not route.is_open:
-            customer = self._find_customer(configuration, metadata.api_key or "", source)
-        return self._build(source, reply, metadata, configuration, route, customer)
+            customer = self._find_customer(configuration, metadata.api_key or "", caller_request)
+        return self._build(caller_request, reply, metadata, configuration, route, customer)
 
     def check_quarantine(self, request: ForwardRequest) -> None:
         """Raise Refusal if a request is known to crash endpoints, unless a trial is due."""
         if not self._quarantine.has_any:
             return
-        fingerprint, now_s = request.fingerprint, request.source.read_s
+        fingerprint, now_s = request.fingerprint, request.caller_request.read_s
         wait_s = self._quarantine.wait_s(fingerprint, now_s)
         if wait_s > 0:
             raise Refusal(503, QUARANTINED, math.ceil(wait_s))
         request.quarantine_count = self._quarantine.count_of(fingerprint)
         self._quarantine.record_trial(fingerprint, now_s)
 
-    def _find_route(self, configuration: Configuration, host: str, source: CallerRequest) -> Route:
-        route = configuration.routes.find(host, source.path)
+    def _find_route(
+        self, configuration: Configuration, host: str, caller_request: CallerRequest
+    ) -> Route:
+        route = configuration.routes.find(host, caller_request.path)
         if route is None:
-            raise self._unknown_refusal(404, "no such route", source)
+            raise self._unknown_refusal(404, "no such route", caller_request)
         return route
 
     def _find_customer(
-        self, configuration: Configuration, key: str, source: CallerRequest
+        self, configuration: Configuration, key: str, caller_request: CallerRequest
     ) -> CustomerId:
-        if not self._key_trust.may_accept(source.read_s):
-            raise self._stale_refusal("keys", source)
+        if not self._key_trust.may_accept(caller_request.read_s):
+            raise self._stale_refusal("keys", caller_request)
         customer = configuration.customers.get(key)
         if customer is None:
-            raise self._unknown_refusal(401, "unknown key", source)
+            raise self._unknown_refusal(401, "unknown key", caller_request)
         return customer
 
-    def _unknown_refusal(self, status: int, reason: str, source: CallerRequest) -> Refusal:
+    def _unknown_refusal(self, status: int, reason: str, caller_request: CallerRequest) -> Refusal:
         """Return a permanent refusal, or a temporary one if this configuration may be outdated."""
-        if self._key_trust.may_refuse_permanently(source.read_s):
+        if self._key_trust.may_refuse_permanently(caller_request.read_s):
             return Refusal(status, reason)
-        return self._stale_refusal(f"{reason}; configuration", source)
+        return self._stale_refusal(f"{reason}; configuration", caller_request)
 
-    def _stale_refusal(self, subject: str, source: CallerRequest) -> Refusal:
-        age_s = self._configuration_state.age_s(source.read_s)
+    def _stale_refusal(self, subject: str, caller_request: CallerRequest) -> Refusal:
+        age_s = self._configuration_state.age_s(caller_request.read_s)
         return Refusal(503, f"{subject} {age_s:.1f} s old", NOT_READY_RETRY_AFTER_S)
 
     def _build(
         self,
-        source: CallerRequest,
+        caller_request: CallerRequest,
         reply: ResponseWriter,
         metadata: RequestMetadata,
         configuration: Configuration,
         route: Route,
         customer: CustomerId | None,
     ) -> ForwardRequest:
-        deadline_s = _deadline_s(source, metadata, route)
-        if source.arrived_s < source.read_s and deadline_s <= source.read_s:
+        deadline_s = _deadline_s(caller_request, metadata, route)
+        if caller_request.arrived_s < caller_request.read_s and deadline_s <= caller_request.read_s:
             raise Refusal(503, "read too late", READ_TOO_LATE_RETRY_AFTER_S)
         requirements = EndpointRequirements(self._selector.choose_service(route), metadata.model)
         return ForwardRequest(
-            source=source,
+            caller_request=caller_request,
             reply=reply,
             metadata=metadata,
             configuration=configuration,
@@ -134,12 +136,12 @@
         )
 
 
-def _deadline_s(source: CallerRequest, metadata: RequestMetadata, route: Route) -> float:
+def _deadline_s(caller_request: CallerRequest, metadata: RequestMetadata, route: Route) -> float:
     """Return the time at which a request is ended, a margin before its deadline.
 
     The route's time limit excludes the time for which this host waited for the caller to receive
     an earlier response on the same connection; the caller's deadline includes it.
     """
     deadline_ms = metadata.deadline_ms if metadata.deadline_ms is not None else DEFAULT_DEADLINE_MS
-    route_deadline_s = source.send_blocked_s + route.timeout_ms / 1000
-    return source.arrived_s + min(deadline_ms / 1000, route_deadline_s) - RESPONSE_MARGIN_S
+    route_deadline_s = caller_request.send_blocked_s + route.timeout_ms / 1000
+    return caller_request.arrived_s + min(deadline_ms / 1000, route_deadline_s) - RESPONSE_MARGIN_S
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -436,10 +436,10 @@
         fixture = ForwarderFixture()
         endpoint = make_plain("p", "127.0.0.1:1")
         fixture.selector.begin(endpoint.id)
-        ended = mock.Mock(reserved=endpoint)
+        ended = mock.Mock(reserved_endpoint=endpoint)
         fixture.chooser.release_reserved(ended)
         fixture.chooser.release_reserved(ended)
-        self.assertEqual((fixture.selector.running_here(), ended.reserved), ({}, None))
+        self.assertEqual((fixture.selector.running_here(), ended.reserved_endpoint), ({}, None))
 
     async def _expect_two_events(self, fixture: ForwarderFixture) -> None:
         response = await fixture.ask("/s/1")
