--- a/yewloom/request_admission.py
+++ b/yewloom/request_admission.py
@@ -121,7 +121,7 @@
         deadline_s = _deadline_s(caller_request, metadata, route)
         if caller_request.arrived_s < caller_request.read_s and deadline_s <= caller_request.read_s:
             raise Refusal(503, "read too late", READ_TOO_LATE_RETRY_AFTER_S)
-        requirements = EndpointRequirements(self._selector.choose_service(route), metadata.model)
+        requirements = EndpointRequirements(self._selector.draw_service(route), metadata.model)
         return ForwardRequest(
             caller_request=caller_request,
             reply=reply,
--- a/yewloom/selection.py
+++ b/yewloom/selection.py
@@ -71,7 +71,7 @@
         self._avoid_until_s: dict[HostId, float] = {}
         self.event_intervals = EventIntervals()
 
-    def choose_service(self, route: Route) -> ServiceName:
+    def draw_service(self, route: Route) -> ServiceName:
         """Return the service for one request on a route, drawn at random by weight."""
         if len(route.services) == 1:
             return route.services[0].service
--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -57,9 +57,9 @@
 STREAM_ROUTE = make_route(RouteKind.STREAM, "/s/", ENGINES, is_resumable=True)
 NON_RESUMABLE_ROUTE = make_route(RouteKind.STREAM, "/once/", ENGINES)
 UNSAFE_ROUTE = make_route(RouteKind.UNSAFE, "/u/")
-SAFE_ROUTE = make_route(RouteKind.REPEATABLE, "/r/")
+REPEATABLE_ROUTE = make_route(RouteKind.REPEATABLE, "/r/")
 OPEN_ROUTE = make_route(RouteKind.REPEATABLE, "/open/", is_open=True)
-ROUTES = (STREAM_ROUTE, NON_RESUMABLE_ROUTE, UNSAFE_ROUTE, SAFE_ROUTE, OPEN_ROUTE)
+ROUTES = (STREAM_ROUTE, NON_RESUMABLE_ROUTE, UNSAFE_ROUTE, REPEATABLE_ROUTE, OPEN_ROUTE)
 
 
 class Endpoint:
