--- a/yewloom/attempts.py
+++ b/yewloom/attempts.py
@@ -14,8 +14,8 @@
 class AttemptState(Enum):
     """How far an attempt at one endpoint got.
 
-    ``NOT_RUN``: the endpoint stated that it did not run the request. ``ANSWERED``: it gave the
-    response that the caller gets.
+    ``NOT_RUN``: the endpoint stated that it did not run the request. ``ANSWERED``: its
+    response is the one that the caller gets.
     """
 
     NOTHING_SENT = "nothing_sent"
--- a/yewloom/forward_metrics.py
+++ b/yewloom/forward_metrics.py
@@ -46,7 +46,7 @@
 
     def on_request(self, kind: str, status: int, outcome: str, duration_s: float) -> None:
         """Count a request that has ended."""
-        # Such an outcome contains an age, which would make a time series of its own.
+        # Such an outcome contains an age, and each age would create a new time series.
         label = "stale" if outcome.endswith(" old") else outcome
         self._requests.labels(kind, str(status), label).inc()
         self._duration_s.labels(kind).observe(duration_s)
--- a/yewloom/stalls.py
+++ b/yewloom/stalls.py
@@ -3,8 +3,8 @@
 The members of a group work in lockstep, so one event of any stream shows that all of them work.
 Streams that wait for their first event prove little by themselves, since an engine's queue may be
 long. Together with the report of a peer whose streams had delivered events and stopped, they are
-sufficient evidence. A group is identified by its leader. Times are seconds of the caller's monotonic
-clock.
+sufficient evidence. A group is identified by its leader. Times are seconds of the caller's
+monotonic clock.
 """
 
 from collections import defaultdict
