--- a/tools/mutations_lateness.py
+++ b/tools/mutations_lateness.py
@@ -76,7 +76,7 @@
     Mutation(
         "delays: time spent waiting for the caller does not count towards a route's time-out",
         "request_admission",
-        "source.send_blocked_s + route.timeout_ms / 1000",
+        "caller_request.send_blocked_s + route.timeout_ms / 1000",
         "route.timeout_ms / 1000",
         "test_forwarding",
     ),
@@ -132,7 +132,7 @@
     Mutation(
         "delays: a delayed host checks a seemingly stalled group twice",
         "endpoint_attempts",
-        "if is_stalled and not was_late and self._loop_delay.delay_s():",
+        "if is_stalled and not was_delayed and self._loop_delay.delay_s():",
         "if False:",
         "test_forwarding",
     ),
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to endpoints: attempts, final responses, and one log line for each."""
+"""Forward callers' requests to endpoints, and log the outcome of each request."""
 
 import itertools
 import math
@@ -29,17 +29,18 @@
 logger = structlog.get_logger(__name__)
 
 RETRY_AFTER_S = 0.25
-"""Retry-After of refused requests; endpoints' slots become free several times a second."""
+"""Retry-After of refused requests: a fraction of a second, as endpoints' slots become free several
+times a second."""
 
 STOPPING_RETRY_AFTER_S = 0.0
-"""Retry-After of requests that a stopping host refuses: zero, as other hosts are unaffected by the
-stop and can answer at once."""
+"""Retry-After of requests that a stopping host refuses: zero, as the stop does not affect the other
+hosts, which can answer at once."""
 
 ANSWERED = "answered"
-"""Outcome of a request whose caller has an endpoint's complete response."""
+"""Outcome of a request whose caller received an endpoint's complete response."""
 
 LIMITED = "endpoints limited"
-"""Reason for refusing a request if all its endpoints have reached the rate limit they announced."""
+"""Reason for refusing a request if all its endpoints have reached their announced rate limits."""
 
 STOPPING = "host is stopping"
 """Reason for refusing a request because this host is stopping."""
@@ -65,7 +66,7 @@
         codec: HeaderCodec,
         selector: Selector,
         retries: RetryBudget,
-        attempts: AttemptRunner,
+        attempt_runner: AttemptRunner,
         metrics: ForwardMetrics,
         key_trust: KeyTrust,
         is_ready: Callable[[], bool],
@@ -75,7 +76,7 @@
         self._configuration_state = configuration_state
         self._selector = selector
         self._retries = retries
-        self._attempts = attempts
+        self._attempt_runner = attempt_runner
         self._metrics = metrics
         self._chooser = chooser
         self._timers: dict[trio.CancelScope, None] = {}  # In the order in which they started.
@@ -83,14 +84,14 @@
             configuration_state, codec, selector, key_trust, is_ready, quarantine
         )
 
-    async def handle(self, source: CallerRequest, reply: ResponseWriter) -> None:
+    async def handle(self, caller_request: CallerRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         request = metadata = None
         try:
-            metadata = self._admission.decode_metadata(source)
-            request = self._admission.admit(source, reply, metadata)
+            metadata = self._admission.decode_metadata(caller_request)
+            request = self._admission.admit(caller_request, reply, metadata)
             self._admission.check_quarantine(request)
-            self._retries.on_request(request.requirements.service, source.read_s)
+            self._retries.on_request(request.requirements.service, caller_request.read_s)
             outcome = await self._forward(request)
         except Refusal as refusal:
             outcome = refusal.reason
@@ -99,22 +100,22 @@
             # A caller that closes right after it received the complete response has been served.
             is_served = request is not None and request.record.is_answered and reply.is_complete
             outcome = ANSWERED if is_served else "caller gone"
-            self._record_outcome(source, metadata, request, reply, outcome)
+            self._record_outcome(caller_request, metadata, request, reply, outcome)
             raise
-        self._record_outcome(source, metadata, request, reply, outcome)
+        self._record_outcome(caller_request, metadata, request, reply, outcome)
 
-    async def reject(self, source: CallerRequest, reply: ResponseWriter) -> None:
+    async def reject(self, caller_request: CallerRequest, reply: ResponseWriter) -> None:
         """Refuse a request that arrived after the host stopped accepting requests."""
         metadata, outcome = None, STOPPING
         try:
-            metadata = self._admission.decode_metadata(source)
+            metadata = self._admission.decode_metadata(caller_request)
         except Refusal as refusal:
             outcome = f"{STOPPING}; {refusal.reason}"
         await self._send_refusal(reply, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
-        self._record_outcome(source, metadata, None, reply, outcome)
+        self._record_outcome(caller_request, metadata, None, reply, outcome)
 
     def end_oldest(self, max_requests: int = sys.maxsize) -> bool:
-        """End open requests, oldest first, so that each gets its final response.
+        """End up to ``max_requests`` open requests, oldest first; each gets its final response.
 
         Returns whether there were any.
         """
@@ -147,7 +148,7 @@
 
     @contextmanager
     def _time_limit(self, request: ForwardRequest) -> Iterator[None]:
-        """Cancel the forwarding at the request's deadline, or when a planned stop ends it."""
+        """Cancel the forwarding of a request at its deadline, or when a planned stop ends it."""
         with trio.move_on_at(request.deadline_s) as timer:
             self._timers[timer] = None
             try:
@@ -158,7 +159,7 @@
     async def _attempt(self, request: ForwardRequest, endpoint: Endpoint) -> bool:
         request.record.begin(endpoint.id)
         try:
-            return await self._attempts.run(request, endpoint)
+            return await self._attempt_runner.run(request, endpoint)
         finally:
             self._selector.end(endpoint.id)
 
@@ -169,7 +170,7 @@
         is_out_of_time = trio.current_time() >= request.deadline_s
         match request.record.failure_response(is_out_of_time):
             case FailureResponse.REFUSED:
-                refusal = self._refusal(request)
+                refusal = self._build_refusal(request)
                 await self._send_refusal(request.reply, refusal)
                 return refusal.reason
             case FailureResponse.MAY_HAVE_RUN:
@@ -179,8 +180,8 @@
                 await request.reply.send_complete(504, [], b"")
                 return "out of time"
 
-    def _refusal(self, request: ForwardRequest) -> Refusal:
-        """Return why a request that has not run is refused, and when it may be retried."""
+    def _build_refusal(self, request: ForwardRequest) -> Refusal:
+        """Return the refusal of a request that has not run, with the time after which to retry."""
         if not self._chooser.has_time_before_stop(request):
             return Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S)
         limit_wait_s = self._chooser.limit_wait_s(request)
@@ -196,7 +197,7 @@
 
     def _record_outcome(
         self,
-        source: CallerRequest,
+        caller_request: CallerRequest,
         metadata: RequestMetadata | None,
         request: ForwardRequest | None,
         reply: ResponseWriter,
@@ -204,33 +205,33 @@
     ) -> None:
         """Log the outcome of a request in one line, and record outcome and duration as metrics."""
         now_s = trio.current_time()
-        took_ms = round((now_s - source.arrived_s) * 1000)
+        took_ms = round((now_s - caller_request.arrived_s) * 1000)
         if request is not None and outcome == ANSWERED:
-            self._chooser.durations.record(request.route.name, now_s - source.read_s)
+            self._chooser.durations.record(request.route.name, now_s - caller_request.read_s)
         kind = request.route.kind.value if request is not None else "none"
         self._metrics.on_request(kind, reply.status, outcome, took_ms / 1000)
         logger.info(
             "request",
             request_id=metadata.request_id if metadata is not None else "",
-            route=request.route.name if request is not None else source.path,
+            route=request.route.name if request is not None else caller_request.path,
             outcome=outcome,
             status=reply.status,
             took_ms=took_ms,
-            waited_ms=round((source.read_s - source.arrived_s) * 1000),
-            first_ms=_first_event_ms(source, request),
+            waited_ms=round((caller_request.read_s - caller_request.arrived_s) * 1000),
+            first_ms=_first_event_ms(caller_request, request),
             attempts=_format_attempts(request),
-            number_on_connection=source.number_on_connection,
-            stopping_ms=source.stopping_ms,
+            number_on_connection=caller_request.number_on_connection,
+            stopping_ms=caller_request.stopping_ms,
             configuration=request.configuration.version if request is not None else None,
             configuration_age_ms=self._configuration_state.reported_age_ms(now_s),
             **_fingerprint_fields(request, outcome),
         )
 
 
-def _first_event_ms(source: CallerRequest, request: ForwardRequest | None) -> int | None:
+def _first_event_ms(caller_request: CallerRequest, request: ForwardRequest | None) -> int | None:
     if request is None or request.first_event_s is None:
         return None
-    return round((request.first_event_s - source.arrived_s) * 1000)
+    return round((request.first_event_s - caller_request.arrived_s) * 1000)
 
 
 def _fingerprint_fields(request: ForwardRequest | None, outcome: str) -> dict[str, str]:
