--- a/yewloom/cli.py
+++ b/yewloom/cli.py
@@ -100,7 +100,7 @@
     hosts: HostsOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Compare the two sides of an experiment.  Example: yewloom compare prefixes"""
+    """Compare the two policies of an experiment.  Example: yewloom compare prefixes"""
     row = read_row_or_exit(platform, f"{RowKind.EXPERIMENT.value}/{experiment}").row.experiment
     records = [
         record_from_fields(read_status_or_exit(host, f"/experiments/{experiment}"))
@@ -116,7 +116,7 @@
     host: HostOption,
     model: Annotated[str, typer.Option(help="Model to ask.")],
     key: Annotated[str, typer.Option(envvar="YEWLOOM_KEY", help="API key of the customer.")],
-    max_tokens: Annotated[int, typer.Option(help="Maximum number of tokens in the answer.")] = 32,
+    max_tokens: Annotated[int, typer.Option(help="Maximum number of tokens to generate.")] = 32,
     as_json: JsonOption = False,
 ) -> None:
     """Send one chat request and print its stream.  Example: yewloom request Hello --model m"""
@@ -127,14 +127,14 @@
         "stream": not as_json,
     }
     headers = {"authorization": f"Bearer {key}", "content-type": "application/json"}
-    answer = call_entry_host_or_exit(
+    response = call_entry_host_or_exit(
         "POST", f"{host.rstrip('/')}/v1/chat/completions", body, headers
     )
-    if answer.status != 200:
+    if response.status != 200:
         exit_with_error(
-            f"The request was refused: {answer.body.decode(errors='replace')}", EXIT_FAILED
+            f"The request failed: {response.body.decode(errors='replace')}", EXIT_FAILED
         )
-    typer.echo(answer.body.decode())
+    typer.echo(response.body.decode())
 
 
 def main() -> None:
--- a/yewloom/cli_calls.py
+++ b/yewloom/cli_calls.py
@@ -1,7 +1,7 @@
 """Options, exit codes, remote calls and output shared by the commands of the ``yewloom`` tool.
 
 Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict with another edit, 4 an entry host has
-not applied every row yet.
+not applied every row of the table yet.
 """
 
 import json
@@ -28,7 +28,7 @@
 from yewloom.tables import parse_row_name
 
 CONNECT_TIMEOUT_S = 3.0
-"""Time-out for connecting, and for an answer from the platform; short, as an operator waits."""
+"""Time-out for connecting, and for a response of the platform; short for interactive use."""
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
@@ -76,11 +76,11 @@
 def call_entry_host_or_exit(
     method: str, url: str, body: dict[str, Any], headers: dict[str, str]
 ) -> Any:
-    """Call an entry host and return its answer; exit if there is no answer."""
+    """Call an entry host and return its response; exit if there is none."""
 
     async def call() -> Any:
-        caller = create_caller()
-        return await caller.call(method, url, 120.0, json.dumps(body).encode(), headers)
+        client = create_client()
+        return await client.call(method, url, 120.0, json.dumps(body).encode(), headers)
 
     try:
         return trio.run(call)
@@ -113,22 +113,22 @@
 
     async def call() -> Result[T, OperationError]:
         return await run(
-            HttpPlatform(create_caller(), url, CONNECT_TIMEOUT_S, CONNECT_TIMEOUT_S, token)
+            HttpPlatform(create_client(), url, CONNECT_TIMEOUT_S, CONNECT_TIMEOUT_S, token)
         )
 
     return value_or_exit(trio.run(call))
 
 
 def read_status_or_exit(host: str, path: str = "/status") -> dict[str, Any]:
-    """Read a JSON page of an entry host; exit if there is no valid answer."""
+    """Read a JSON page of an entry host; exit if there is no valid response."""
 
     async def call() -> Result[dict[str, Any], OperationError]:
-        return await read_entry_host(create_caller(), host, path)
+        return await read_entry_host(create_client(), host, path)
 
     return value_or_exit(trio.run(call))
 
 
-def create_caller() -> HttpClient:
+def create_client() -> HttpClient:
     """Create an HTTP client that verifies entry hosts as configured by the operator."""
     return HttpClient(CONNECT_TIMEOUT_S, tls=_tls_contexts[0] if _tls_contexts else None)
 
--- a/yewloom/comparison.py
+++ b/yewloom/comparison.py
@@ -14,15 +14,19 @@
 from yewloom.values import value_class
 
 ERROR_RATE = 0.05
-"""Accepted rate of false positives: comparisons of equal policies that report a difference."""
+"""Accepted share of comparisons of equal policies that report a difference (false positives)."""
 
 RESAMPLES = 400
+"""Number of bootstrap resamples for each confidence interval."""
+
 PERCENTILE = 0.95
+"""Percentile of a metric that is compared."""
+
 MIN_SESSIONS = 30
 """Minimum number of sessions on each side for a difference to count as established."""
 
 MAX_IMBALANCE = 3.0
-"""Maximum deviation of the split from the configured share, in standard deviations."""
+"""Maximum deviation of the split from its configured share, in standard deviations."""
 
 _MetricReader = Callable[[Observation], float | None]
 _METRICS: dict[str, _MetricReader] = {
@@ -72,7 +76,8 @@
     sessions = {side: _sessions_on_side(record, side) for side in Side}
     session_counts = {side: len(found) for side, found in sessions.items()}
     metrics = tuple(
-        _compare_metric(name, value, sessions, rng, resamples) for name, value in _METRICS.items()
+        _compare_metric(name, read_value, sessions, rng, resamples)
+        for name, read_value in _METRICS.items()
     )
     counts = {
         side: {outcome: record.counts[(side, outcome)] for outcome in Outcome} for side in Side
@@ -101,12 +106,12 @@
 
 def _compare_metric(
     name: str,
-    value: _MetricReader,
+    read_value: _MetricReader,
     sessions: dict[Side, list[list[Observation]]],
     rng: random.Random,
     resamples: int,
 ) -> MetricComparison:
-    samples = {side: _Sample(found, value) for side, found in sessions.items()}
+    samples = {side: _Sample(found, read_value) for side, found in sessions.items()}
     a, b = samples[Side.A], samples[Side.B]
     if min(a.session_count, b.session_count) == 0:
         return MetricComparison(name, math.nan, math.nan, -math.inf, math.inf, False)
@@ -126,12 +131,14 @@
 class _Sample:
     """Values of one metric on one side, sorted, each with the index of its session."""
 
-    def __init__(self, sessions: Sequence[Sequence[Observation]], value: _MetricReader) -> None:
+    def __init__(
+        self, sessions: Sequence[Sequence[Observation]], read_value: _MetricReader
+    ) -> None:
         numbered_values = [
             (v, n)
             for n, observations in enumerate(sessions)
             for o in observations
-            if (v := value(o)) is not None
+            if (v := read_value(o)) is not None
         ]
         session_numbers = sorted({number for _, number in numbered_values})
         indexes = {number: index for index, number in enumerate(session_numbers)}
@@ -139,7 +146,7 @@
         self._values = sorted((v, indexes[number]) for v, number in numbered_values)
 
     def percentile(self) -> float:
-        """Return the percentile over all values."""
+        """Return the percentile of all values."""
         return self._weighted_percentile([1] * self.session_count)
 
     def resampled_percentile(self, rng: random.Random) -> float:
@@ -158,7 +165,7 @@
         return self._values[0][0]
 
 
-def _quantile(sorted_values: Sequence[float], share: float) -> float:
+def _quantile(sorted_values: Sequence[float], fraction: float) -> float:
     return sorted_values[
-        min(len(sorted_values) - 1, max(0, round(share * (len(sorted_values) - 1))))
+        min(len(sorted_values) - 1, max(0, round(fraction * (len(sorted_values) - 1))))
     ]
--- a/yewloom/experiments.py
+++ b/yewloom/experiments.py
@@ -1,9 +1,9 @@
 """Experiments that split sessions at random between two policies on the same groups.
 
-The side of a session is derived from a salted hash of the experiment and the session name, so it
-does not depend on load, time or entry host. Every entry host counts all requests, and keeps the
-individual observations of the sessions with the lowest hashes, so that the samples of several
-entry hosts can be merged without bias.
+The side of a session is derived from a salted hash of the experiment and the session name.
+Therefore it does not depend on load, time or entry host. Every entry host counts all requests, and
+keeps the individual observations of the sessions with the lowest hashes, so that the samples of
+several entry hosts can be merged without bias.
 """
 
 from collections import Counter, defaultdict
@@ -42,7 +42,7 @@
 
 @value_class
 class Observation:
-    """Measurements of one request; a time is None if too few tokens arrived to measure it."""
+    """Measurements of one request; a time is None if there were too few tokens to measure it."""
 
     side: Side
     outcome: Outcome
@@ -82,7 +82,10 @@
     def to_fields(self) -> dict[str, Any]:
         """Return the record as JSON fields."""
         counts = {f"{side.value} {o.value}": n for (side, o), n in self.counts.items()}
-        sample = {str(p): [_observation_fields(o) for o in os] for p, os in self.sample.items()}
+        sample = {
+            str(session_hash): [_observation_fields(o) for o in observations]
+            for session_hash, observations in self.sample.items()
+        }
         return {"counts": counts, "sample": sample, "threshold": str(self.threshold)}
 
     def _lower_threshold(self, threshold: int) -> None:
--- a/yewloom/explanation.py
+++ b/yewloom/explanation.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-_LEADING_FIELDS = ("timestamp", "host", "event", "level", "request_id")
+_UNLISTED_FIELDS = ("timestamp", "host", "event", "level", "request_id")
+"""Fields that are shown at the start of a line or not at all."""
 
 CONTEXT_EVENTS = frozenset(
     {
@@ -25,10 +26,10 @@
         "stopping",
     }
 )
-"""Events of other subjects that may explain the outcome of a request on the same host."""
+"""Events that name no request but may explain the outcome of one on the same host."""
 
 MAX_CONTEXT_LINES = 8
-"""Maximum number of context lines; the latest before the end of the request are kept."""
+"""Maximum number of context events shown: the latest up to the last event of the request."""
 
 
 @dataclass
@@ -36,7 +37,7 @@
     """Collects the log events of one request and earlier context events of the same hosts."""
 
     request_id: str
-    unreadable: int = 0
+    skipped_lines: int = 0
     _request_events: list[dict[str, Any]] = field(default_factory=list)
     _context_events: list[dict[str, Any]] = field(default_factory=list)
 
@@ -55,7 +56,7 @@
             except ValueError:
                 fields = None
             if not isinstance(fields, dict):
-                self.unreadable += 1
+                self.skipped_lines += 1
             elif fields.get("request_id") == self.request_id:
                 self._request_events.append(fields)
             elif fields.get("event") in CONTEXT_EVENTS:
@@ -67,8 +68,10 @@
         context = self._format_context()
         if context:
             output += ["", "Earlier events on the same hosts:", *context]
-        if self.unreadable:
-            output.append(f"({self.unreadable} lines are not valid JSON objects and were skipped.)")
+        if self.skipped_lines:
+            output.append(
+                f"({self.skipped_lines} lines are not valid JSON objects and were skipped.)"
+            )
         return output
 
     def _format_context(self) -> list[str]:
@@ -88,7 +91,7 @@
 
 def _format_event(fields: dict[str, Any]) -> str:
     other_fields = ", ".join(
-        f"{k}={_format_value(v)}" for k, v in fields.items() if k not in _LEADING_FIELDS
+        f"{k}={_format_value(v)}" for k, v in fields.items() if k not in _UNLISTED_FIELDS
     )
     return (
         f"{_timestamp(fields)} {fields.get('host', '')} {fields.get('event', '')}: {other_fields}"
--- a/yewloom/ids.py
+++ b/yewloom/ids.py
@@ -13,7 +13,7 @@
 CustomerId = NewType("CustomerId", str)
 RequestId = NewType("RequestId", str)
 AttemptId = NewType("AttemptId", str)
-"""Identifies one write to the platform, so that the writer can find it if the answer is lost."""
+"""Identifies one write to the platform, so that the writer can find it if its response is lost."""
 
 ModelName = NewType("ModelName", str)
 PolicyName = NewType("PolicyName", str)
@@ -24,4 +24,4 @@
 
 IdempotencyKey = NewType("IdempotencyKey", str)
 Fingerprint = NewType("Fingerprint", int)
-"""64-bit hash of the content of a request, equal for repeats of that request."""
+"""64-bit hash of the content of a request: equal for its retries, different for other requests."""
--- a/yewloom/log_sink.py
+++ b/yewloom/log_sink.py
@@ -1,7 +1,7 @@
-"""Structured logs that are written without blocking the program.
+"""Structured logs on standard output, written without blocking the program.
 
-Lines that the reader does not accept yet are buffered up to ``MAX_PENDING_BYTES``; further lines
-are dropped and counted.
+Lines that the reader of the pipe does not accept yet are buffered up to ``MAX_PENDING_BYTES``;
+further lines are dropped and counted.
 """
 
 import logging
@@ -46,7 +46,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader has closed its end; the error itself can be logged nowhere else.
+                # The reader has closed the pipe, and there is nowhere else to log this.
                 self._on_line_dropped()
                 written = len(self._pending[0])
             self._pending_bytes -= written
--- a/yewloom/operations.py
+++ b/yewloom/operations.py
@@ -21,7 +21,7 @@
 
 @value_class
 class OperationError:
-    """Why an operation failed; ``is_conflict`` means that the row was changed by another edit."""
+    """Why an operation failed; with ``is_conflict``, because another edit has changed the row."""
 
     message: str
     is_conflict: bool = False
@@ -67,7 +67,7 @@
     try:
         rows = [parse_row(stored) for stored in objects]
     except RecordError as error:
-        return Err(OperationError(f"A row cannot be decoded ({error}); write it again."))
+        return Err(OperationError(f"Cannot decode a row ({error}); write it again."))
     return Ok([row for row in rows if not row.row.deleted])
 
 
@@ -75,7 +75,7 @@
     try:
         return Ok(parse_row(stored))
     except RecordError as error:
-        return Err(OperationError(f"The row cannot be decoded ({error}); write it again."))
+        return Err(OperationError(f"Cannot decode the row ({error}); write it again."))
 
 
 async def apply_edit(platform: Platform, edit: Edit) -> Result[VersionedRow, OperationError]:
@@ -127,16 +127,16 @@
         case Ok(stored):
             return Ok(parse_row(stored))
         case Err(error):
-            return Err(_write_failure(name, error))
+            return Err(_write_error(name, error))
 
 
-def _write_failure(name: RowName, error: WriteError) -> OperationError:
+def _write_error(name: RowName, error: WriteError) -> OperationError:
     if isinstance(error, WriteConflict):
         return _conflict_error(
             name, parse_row(error.current) if error.current is not None else None
         )
     return OperationError(
-        f"The write of {name} was not confirmed ({error.detail}); read the row before a retry."
+        f"The write of {name} was not confirmed ({error.detail}); read the row before trying again."
     )
 
 
@@ -160,7 +160,7 @@
 
 
 def cells_by_path(row: VersionedRow) -> dict[str, Any]:
-    """Return the cells of a row by their dotted names."""
+    """Return the cells of a row by dotted name, for example ``downtime.spare_hosts``."""
     kind = row.row.WhichOneof("cells")
     if kind is None:
         return {}
@@ -183,11 +183,11 @@
 
 
 async def read_entry_host(
-    caller: HttpClient, url: str, path: str = "/status"
+    client: HttpClient, url: str, path: str = "/status"
 ) -> Result[dict[str, Any], OperationError]:
     """Read the status of one entry host, or another of its JSON pages."""
     try:
-        answer = await caller.call("GET", f"{url.rstrip('/')}{path}", 3.0)
-        return Ok(dict(answer.json()))
+        response = await client.call("GET", f"{url.rstrip('/')}{path}", 3.0)
+        return Ok(dict(response.json()))
     except (HttpCallError, ValueError) as error:
         return Err(OperationError(f"The entry host at {url} did not answer ({error})."))
