--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -353,7 +353,7 @@
     Mutation(
         "unanswered calls: a listing uses a new connection",
         "platform/store",
-        "            await self._caller.renew_connections(self._url)\n",
+        "            await self._client.renew_connections(self._url)\n",
         "            pass\n",
         "test_silent_connections",
     ),
@@ -493,7 +493,7 @@
     Mutation(
         "unanswered calls: a slow store is not mistaken for a dead connection",
         "platform/store",
-        "max(WATCH_SLACK_S, 2 * self._listing_s)",
+        "max(WATCH_SLACK_S, 2 * self._first_page_s)",
         "WATCH_SLACK_S",
         "test_silent_connections",
     ),
--- a/yewloom/platform/__main__.py
+++ b/yewloom/platform/__main__.py
@@ -1,9 +1,9 @@
 """Start an entry host on the users' platform: ``python3 -m yewloom.platform``.
 
 Signal handlers are installed and the listening socket is opened before the main program is
-imported, which takes long: a signal would otherwise end the process by its default action, and
-callers could not connect. Signal handlers come first because even the imports that the socket
-needs take milliseconds.
+imported, because that import is slow: until it is complete, a signal would otherwise end the
+process by its default action, and callers could not connect. Signal handlers come first because
+even the imports that the socket needs take milliseconds.
 """
 
 import gc
@@ -31,13 +31,13 @@
         listener.start()
     from yewloom.platform.program import main
 
-    return main(settings, signals, listener, end)
+    return main(settings, signals, listener, exit_process)
 
 
-def end(code: int) -> None:
-    """Exit at once: a normal exit of Python takes some 100 ms, and no resource is open any more."""
+def exit_process(code: int) -> None:
+    """Exit at once: a normal exit of Python takes about 100 ms, and nothing is left to close."""
     os._exit(code)
 
 
 if __name__ == "__main__":
-    end(run())
+    exit_process(run())
--- a/yewloom/platform/bodies.py
+++ b/yewloom/platform/bodies.py
@@ -1,8 +1,8 @@
 """Lenient decoding of JSON bodies: one invalid value does not make the other values unreadable.
 
-A value of another writer may contain invalid UTF-8, numbers with thousands of digits, or nesting
-that is too deep for a recursive parser. Such a part is replaced by a value that the decoders of
-records reject.
+A value that another program wrote may contain invalid UTF-8, numbers with thousands of digits, or
+nesting that is too deep for a recursive parser. Such a part is replaced by a value that the
+decoders of records reject.
 """
 
 import json
@@ -12,10 +12,10 @@
 """Character that replaces invalid UTF-8 in a text."""
 
 MAX_DEPTH = 100
-"""Maximum nesting that is decoded; objects of the platform have some eight levels."""
+"""Maximum nesting that is decoded; objects of the platform have about eight levels."""
 
 
-def read_body(body: bytes) -> Any:
+def decode_body(body: bytes) -> Any:
     """Decode a JSON body; raise ValueError if it is not JSON."""
     text = body.decode("utf-8", "replace")
     try:
--- a/yewloom/platform/engines.py
+++ b/yewloom/platform/engines.py
@@ -7,8 +7,8 @@
 from yewloom.directory import GroupKey
 from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure
 from yewloom.ids import HostId
-from yewloom.platform.bodies import read_body
-from yewloom.platform.records import DECODE_ERRORS, membership_of, process_start_unix_ms
+from yewloom.platform.bodies import decode_body
+from yewloom.platform.records import DECODE_ERRORS, decode_membership, decode_start_unix_ms
 from yewloom.replica_orders import (
     REPORT_TIMEOUT_S,
     CloseGroup,
@@ -37,21 +37,21 @@
 class HttpEngineClient:
     """Sends orders to engines, and reads their reports, over HTTP."""
 
-    def __init__(self, caller: HttpClient) -> None:
-        self._caller = caller
+    def __init__(self, client: HttpClient) -> None:
+        self._client = client
 
     async def send(
         self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
-        """Send an order; an engine with another order count than the expected rejects it."""
+        """Send an order; an engine whose order count is not the expected one rejects it."""
         fields = order_fields(order)
         if expected_order_count is not None:
-            # The wire's "expectedRev" is the number of orders that the engine has accepted.
+            # The wire field "expectedRev" is the number of orders that the engine has accepted.
             fields["expectedRev"] = expected_order_count
         headers = {"content-type": "application/json", "yewloom-expect-instance": engine}
         url = f"http://{address}/order"
         try:
-            answer = await self._caller.call(
+            response = await self._client.call(
                 "POST",
                 url,
                 ORDER_TIMEOUT_S,
@@ -60,27 +60,27 @@
                 new_connection=True,
             )
         except HttpCallError as error:
-            may_be_sent = error.failure is not HttpFailure.NOT_SENT
-            return OrderAnswer.UNKNOWN if may_be_sent else OrderAnswer.UNREACHABLE
-        return _ANSWERS_BY_STATUS.get(answer.status, OrderAnswer.UNKNOWN)
+            may_have_been_sent = error.failure is not HttpFailure.NOT_SENT
+            return OrderAnswer.UNKNOWN if may_have_been_sent else OrderAnswer.UNREACHABLE
+        return _ANSWERS_BY_STATUS.get(response.status, OrderAnswer.UNKNOWN)
 
     async def read_report(
         self, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> EngineReport | None:
-        """Read the report of an engine; return None without a valid answer in time."""
+        """Read the report of an engine; return None if no valid one arrives in time."""
         url = f"http://{address}/report"
         try:
-            answer = await self._caller.call("GET", url, timeout_s, new_connection=True)
-            fields = read_body(answer.body)
-            member = membership_of(fields)
-            group = member.key if member is not None else None
-            # The wire's "utilization" says whether an order is being carried out.
+            response = await self._client.call("GET", url, timeout_s, new_connection=True)
+            fields = decode_body(response.body)
+            membership = decode_membership(fields)
+            group = membership.key if membership is not None else None
+            # The wire field "utilization" says whether an order is being carried out.
             is_busy = fields.get("utilization") is True
             return EngineReport(
-                int(fields["sequence"]), process_start_unix_ms(fields), group, is_busy
+                int(fields["sequence"]), decode_start_unix_ms(fields), group, is_busy
             )
         except (HttpCallError, *DECODE_ERRORS):
-            return None  # The caller logs that the engine did not answer.
+            return None  # The calling function logs that the engine did not answer.
 
 
 @singledispatch
@@ -112,7 +112,7 @@
 
 @order_fields.register
 def _(order: StageModel) -> dict[str, Any]:
-    # The wire's "phase" with a model loads the weights of that model onto the host.
+    # The wire operation "phase" with a model loads the weights of that model onto the host.
     return {"op": "phase", "model": order.model}
 
 
--- a/yewloom/platform/headers.py
+++ b/yewloom/platform/headers.py
@@ -33,9 +33,11 @@
         b"upgrade",
     }
 )
-_SET_BY_ENTRY_HOST = frozenset(
+_NOT_FROM_CALLER = frozenset(
     {b"authorization", DEADLINE_HEADER, _EXPECTED_ENDPOINT, _CUSTOMER, b"content-length"}
 )
+"""Headers of callers that are not forwarded: the API key, and those that the entry host sets."""
+
 _MISDIRECTED_STATUS = 421
 _SERVER_LIMIT = b"server-limit"
 _DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
@@ -43,7 +45,7 @@
 
 
 class HttpHeaderCodec:
-    """Translates the headers of requests from callers and of answers from endpoints."""
+    """Translates the headers of requests from callers and of responses from endpoints."""
 
     def decode_request(self, headers: Sequence[Header]) -> RequestMetadata:
         """Decode the headers of a request; raise HeaderError if one is invalid."""
@@ -63,7 +65,7 @@
         self, headers: Sequence[Header], sending: ForwardingMetadata
     ) -> list[Header]:
         """Return the headers of a request to forward to an endpoint."""
-        dropped = _listed_in_connection(headers) | _HOP_BY_HOP | _SET_BY_ENTRY_HOST
+        dropped = _listed_in_connection(headers) | _HOP_BY_HOP | _NOT_FROM_CALLER
         if sending.last_event_id is not None:
             dropped |= {_LAST_EVENT_ID}
         forwarded = [header for header in headers if header[0] not in dropped]
@@ -76,23 +78,23 @@
         return forwarded
 
     def decode_response(self, head: ResponseHead) -> ResponseMetadata:
-        """Decode the headers of an answer."""
+        """Decode the headers of a response."""
         request_id = head.get(_REQUEST_ID)
         is_not_run = head.get(_NOT_RUN) is not None or head.status == _MISDIRECTED_STATUS
         return ResponseMetadata(
             request_id=RequestId(request_id.decode("latin-1")) if request_id else None,
             is_not_run=is_not_run,
-            limit=_limit(head),
+            limit=_announced_limit(head),
         )
 
     def response_headers(self, head: ResponseHead) -> list[Header]:
-        """Return the headers of an answer to forward to the caller, without framing headers."""
+        """Return the headers of a response to forward to the caller, without framing headers."""
         dropped = _listed_in_connection(head.headers) | _HOP_BY_HOP | {b"content-length"}
         return [header for header in head.headers if header[0] not in dropped]
 
 
-def _limit(head: ResponseHead) -> AnnouncedLimit:
-    """Return the limit that an answer states.
+def _announced_limit(head: ResponseHead) -> AnnouncedLimit:
+    """Return the limit that a response announces.
 
     A misdirected request was answered by another process, whose limit says nothing about the
     endpoint.
--- a/yewloom/platform/program.py
+++ b/yewloom/platform/program.py
@@ -32,13 +32,13 @@
 logger = structlog.get_logger(__name__)
 
 CONNECT_TIMEOUT_S = 0.5
-"""Time-out for connecting to the store, or to an engine to send it an order."""
+"""Time-out for connecting to the store, or to an engine that an order is sent to."""
 
 STORE_KEEP_ALIVE_S = 0.5
 """Time for which an idle connection to the store may be reused.
 
-Watches send their next request immediately after each answer, so only other connections stay idle
-for longer, and these may no longer work. A new connection costs one round trip, some 4 ms.
+A watch sends its next request immediately after each response, so only other connections stay idle
+for longer, and these may have failed unnoticed. A new connection costs one round trip, about 4 ms.
 """
 
 
@@ -50,10 +50,10 @@
 ) -> PlatformParts:
     """Create the parts of an entry host that depend on the platform."""
     store, watch_s = settings.store, follow_times(settings).watch_s
-    caller = HttpClient(CONNECT_TIMEOUT_S, keep_alive_s=STORE_KEEP_ALIVE_S)
+    client = HttpClient(CONNECT_TIMEOUT_S, keep_alive_s=STORE_KEEP_ALIVE_S)
     open_store = partial(
         StoreClient,
-        caller,
+        client,
         store.address,
         store.timeout_ms / 1000,
         rng,
@@ -67,21 +67,22 @@
         stale_store=open_store(allows_stale=True),
         records=StoreRecordDecoder(),
         codec=HttpHeaderCodec(),
-        orders=HttpEngineClient(caller),
+        orders=HttpEngineClient(client),
     )
 
 
 def main(
     path: Path,
-    early: EarlySignals,
+    early_signals: EarlySignals,
     listener: EarlyListener | None,
-    end: Callable[[int], None],
+    exit_process: Callable[[int], None],
 ) -> int:
-    """Run an entry host with a settings file; ``listener`` is its socket for callers, if open.
+    """Run an entry host; ``listener`` is its socket for callers, if that is already open.
 
-    Return the exit code, unless a planned stop exits the process by calling ``end`` with it.
+    ``path`` is the settings file. Return the exit code, unless a planned stop ends the process by
+    calling ``exit_process`` with it.
     """
-    signals = ProcessSignals(early)
+    signals = ProcessSignals(early_signals)
     signals.listen()
     metrics = ForwardMetrics()
     sink = LogSink(sys.stdout.fileno(), metrics.on_log_line_lost)
@@ -99,12 +100,12 @@
     host = EntryHost(settings, parts, metrics, rng, listener, loop_delay)
     _enable_garbage_collection()
 
-    def end_process() -> None:
+    def flush_and_exit() -> None:
         sink.flush()
-        end(0)
+        exit_process(0)
 
     trio.run(
-        host.run, signals, lambda: _check_changed_settings(path), end_process, clock=BootClock()
+        host.run, signals, lambda: _check_changed_settings(path), flush_and_exit, clock=BootClock()
     )
     return 0
 
@@ -119,7 +120,7 @@
 
 
 def _check_changed_settings(path: Path) -> None:
-    """Validate the changed settings file; the current settings stay in force until a restart."""
+    """Validate the changed settings file; the current settings apply until a restart."""
     match read_entry_settings(path):
         case Ok(_):
             logger.info("settings file checked", outcome="in force from the next start")
--- a/yewloom/platform/records.py
+++ b/yewloom/platform/records.py
@@ -25,13 +25,13 @@
 }
 
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError)
-"""Exceptions raised by decoding an object whose fields have unexpected types or values."""
+"""Exceptions raised when an object whose fields have unexpected types or values is decoded."""
 
-_IS_LEAVING = {"ready": False, "draining": True}
-"""Whether an endpoint is leaving, by its state; an endpoint in another state is invalid."""
+_IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
+"""Whether an endpoint is leaving, by its state; an endpoint with any other state is invalid."""
 
 _MAX_UNIX_MS = 2**53
-"""Greatest accepted time, some 285,000 years from now."""
+"""Greatest accepted time, about 285,000 years from now."""
 
 _MAX_NUMBER = 2**31 - 1
 """Greatest generation of a group or rank of a member that messages to peers can carry."""
@@ -50,14 +50,14 @@
         try:
             return _configuration(json.loads(stored.value))
         except DECODE_ERRORS as error:
-            raise RecordError(f"{stored.key} can't be decoded: {error!r}") from error
+            raise RecordError(f"cannot decode {stored.key}: {error!r}") from error
 
     def decode_endpoint(self, stored: StoredObject) -> Endpoint:
         """Decode an endpoint; raise RecordError if it is invalid."""
         try:
             return _endpoint(self.endpoint_id(stored.key), json.loads(stored.value))
         except DECODE_ERRORS as error:
-            raise RecordError(f"{stored.key} can't be decoded: {error!r}") from error
+            raise RecordError(f"cannot decode {stored.key}: {error!r}") from error
 
     def endpoint_id(self, key: str) -> HostId:
         """Return the id of the endpoint from the key of its object."""
@@ -92,7 +92,7 @@
         ),
         max_endpoints=int(fields.get("attempts") or 1),
         timeout_ms=int(fields["timeoutMs"]),
-        # The wire's "sloMs" is the time within which an answer earns its full credit.
+        # The wire field "sloMs" is the time within which a response earns its full credit.
         objective_ms=int(fields.get("sloMs") or 0),
         priority=int(fields.get("priority") or 0),
         is_open=bool(fields.get("anonymous")),
@@ -113,7 +113,7 @@
             share=float(item.get("share") or 0),
             pace=float(item.get("pace") or 1),
             load_s=float(item["loadS"]),
-            # The wire's "warmupS" is the time to join a group with the weights already on the host.
+            # The wire field "warmupS" is the time to join a group once the weights are on the host.
             warm_up_s=float(item["warmupS"]),
         )
         for item in fields.get("models") or []
@@ -141,14 +141,14 @@
         service=ServiceName(_check_text(fields["service"])),
         address=check_address(_check_text(fields["address"])),
         data_centre=DataCentreId(_check_text(fields["zone"])),
-        is_leaving=_IS_LEAVING[fields["state"]],
+        is_leaving=_IS_LEAVING_BY_STATE[fields["state"]],
         fabric_domain=_check_text(fields.get("domain") or ""),
         models=frozenset(
             ModelName(_check_text(item["name"])) for item in fields.get("models") or []
         ),
         staged=frozenset(_model_name(item) for item in fields.get("staged") or []),
-        membership=membership_of(fields),
-        started_unix_ms=process_start_unix_ms(fields),
+        membership=decode_membership(fields),
+        started_unix_ms=decode_start_unix_ms(fields),
     )
 
 
@@ -156,7 +156,7 @@
     return ModelName(_check_text(item["name"] if isinstance(item, dict) else item))
 
 
-def membership_of(fields: Any) -> GroupMembership | None:
+def decode_membership(fields: Any) -> GroupMembership | None:
     """Decode the group membership of an endpoint, None without one; raise one of DECODE_ERRORS."""
     group = fields.get("group")
     if not group or not group.get("name"):
@@ -165,9 +165,9 @@
     return GroupMembership(key, _check_number(group["rank"]), MemberState(group["state"]))
 
 
-def process_start_unix_ms(fields: Any) -> int:
+def decode_start_unix_ms(fields: Any) -> int:
     """Decode the start time of a process, 0 if not given; raise ValueError if it is invalid."""
-    # The wire's "born" is the Unix time of the start, in milliseconds.
+    # The wire field "born" is the Unix time of the start, in milliseconds.
     started_unix_ms = fields.get("born")
     if started_unix_ms is None:
         return 0
--- a/yewloom/platform/store.py
+++ b/yewloom/platform/store.py
@@ -14,7 +14,7 @@
 
 from yewloom.http_calls import HttpCallError, HttpClient, HttpFailure, HttpResponse
 from yewloom.ids import DataCentreId
-from yewloom.platform.bodies import read_body
+from yewloom.platform.bodies import decode_body
 from yewloom.platforms import (
     DOWN_AFTER_FAILURES,
     Listing,
@@ -28,15 +28,16 @@
 WATCH_SLACK_S = 0.4
 """Time beyond its requested duration after which a watch counts as lost.
 
-It is as long as a slow store takes for some answers. A watch on a connection that has gone silent
-is noticed after 1.9 s at most, because changes may have to be in force within 2 s.
+A slow store takes about that long for some responses. With a longer time, changes might not be in
+force within 2 s; a watch on a connection that has gone silent is noticed after 1.9 s at most.
 """
 
 MAX_WATCH_SLACK_S = 0.8
-"""Upper bound of that time when the latest listing was slow: it is then twice the listing's time.
+"""Upper bound of the slack after a slow listing.
 
-With ``WATCH_SLACK_S`` alone, each watch of a store that answers in 0.6 s would time out and be
-followed by a listing, which makes a slow store slower (``test_silent_connections``).
+The slack is then twice the time that the first page of the latest listing took. With
+``WATCH_SLACK_S`` alone, each watch of a store that responds in 0.6 s would time out and be followed
+by a listing, which makes a slow store slower (``test_silent_connections``).
 """
 
 MIN_WATCH_FRACTION = 0.75
@@ -57,7 +58,7 @@
 
 
 OnCall = Callable[[str, str, str], None]
-"""Called after each call with the kind of call, the kind of object, and the status or ``none``."""
+"""Called after each call with its kind, the kind of object, and the status (``none`` if lost)."""
 
 
 class StoreClient:
@@ -65,27 +66,27 @@
 
     def __init__(
         self,
-        caller: HttpClient,
+        client: HttpClient,
         address: str,
         timeout_s: float,
         rng: random.Random,
         watch_s: float = 1.0,
         allows_stale: bool = False,
-        on_call: OnCall = lambda call, kind, answer: None,
+        on_call: OnCall = lambda call, kind, status: None,
         loop_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Initialize; ``loop_delay_s`` returns how long ago an answer read now may have arrived."""
+        """Initialize; ``loop_delay_s`` returns how long ago data read now may have arrived."""
         self._loop_delay_s = loop_delay_s
         self._on_call = on_call
-        self._caller = caller
+        self._client = client
         self._url = f"http://{address}/objects/"
         self._timeout_s = timeout_s
         self._rng = rng
         self._watch_s = watch_s
-        # The wire's "serializable" asks for an answer that need not be the latest.
+        # The wire option "serializable" asks for a state that need not be the latest.
         self._read_options = {"serializable": 1} if allows_stale else {}
         self._consecutive_failures = 0
-        self._listing_s = 0.0
+        self._first_page_s = 0.0
 
     @property
     def is_down(self) -> bool:
@@ -95,10 +96,10 @@
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Read one object; return None if it does not exist."""
         match await self._call("GET", key, self._read_options):
-            case Ok(_Answer(status=404)):
+            case Ok(_StoreResponse(status=404)):
                 return Ok(None)
-            case Ok(answer):
-                return Ok(_decode_object(_kind_from_key(key), answer.fields))
+            case Ok(response):
+                return Ok(_decode_object(_kind_from_key(key), response.fields))
             case Err(error):
                 return Err(error)
 
@@ -113,10 +114,10 @@
         body = json.dumps({"metadata": metadata, "spec": json.loads(value)}).encode()
         method, path = ("PUT", key) if expected_version else ("POST", kind)
         match await self._call(method, path, {}, body):
-            case Ok(_Answer(status=404)):
+            case Ok(_StoreResponse(status=404)):
                 return Err(PlatformError(PlatformFailure.CONFLICT, "the object no longer exists"))
-            case Ok(answer):
-                return Ok(int(answer.fields["metadata"]["revision"]))
+            case Ok(response):
+                return Ok(int(response.fields["metadata"]["revision"]))
             case Err(error):
                 return Err(error)
 
@@ -124,18 +125,18 @@
         """Read all objects of a kind, page by page.
 
         Unless stale reads are allowed, a new connection is used: a listing follows a watch that
-        has failed or missed a change, so the other open connections may be broken as well.
+        failed or missed a change, so the other open connections may be broken as well.
         """
         if not self._read_options:
-            await self._caller.renew_connections(self._url)
+            await self._client.renew_connections(self._url)
         started_s = trio.current_time()
         objects: list[StoredObject] = []
         position: int | None = None
         query: dict[str, Any] = dict(self._read_options)
         while True:
             match await self._call("GET", prefix, query):
-                case Ok(answer):
-                    fields = answer.fields
+                case Ok(response):
+                    fields = response.fields
                 case Err(error):
                     return Err(error)
             page = [_decode_object(prefix, item) for item in fields["items"]]
@@ -143,10 +144,10 @@
             if position is None:
                 # A watch continues from the first page, so that no change between pages is missed.
                 position = int(fields["storeRevision"])
-                self._listing_s = trio.current_time() - started_s
+                self._first_page_s = trio.current_time() - started_s
             if not fields.get("morePages") or not page:
                 return Ok(Listing(objects, position))
-            # The wire's "sinceRev" takes the name after which the next page starts.
+            # The wire option "sinceRev" takes the name after which the next page starts.
             query["sinceRev"] = page[-1].key.partition("/")[2]
 
     async def watch(self, prefix: str, position: int) -> Result[Listing, PlatformError]:
@@ -154,22 +155,22 @@
         wait_ms = round(self._watch_s * self._rng.uniform(MIN_WATCH_FRACTION, 1.0) * 1000)
         wait_s = wait_ms / 1000
         query = {"watch": position, "waitMs": wait_ms}
-        slack_s = min(MAX_WATCH_SLACK_S, max(WATCH_SLACK_S, 2 * self._listing_s))
+        slack_s = min(MAX_WATCH_SLACK_S, max(WATCH_SLACK_S, 2 * self._first_page_s))
         sent_s = trio.current_time()
         match await self._call("GET", prefix, query, timeout_s=wait_s + slack_s):
-            case Ok(answer):
-                fields = answer.fields
+            case Ok(response):
+                fields = response.fields
             case Err(error):
                 return Err(error)
-        # An answer may contain several changes of one object; the last one counts.
+        # A response may contain several changes of one object; the last one counts.
         latest = {_object_name(event["object"]): event for event in fields["events"]}
         changed = [e["object"] for e in latest.values() if not e["tombstone"]]
         removed = [f"{prefix}/{name}" for name, e in latest.items() if e["tombstone"]]
         objects = [_decode_object(prefix, item) for item in changed]
-        # A watch that ended early proves nothing about the time after its start.
+        # A watch that ended early confirms nothing about the time after its start.
         duration_s = trio.current_time() - self._loop_delay_s() - sent_s
-        has_elapsed_unchanged = not latest and duration_s >= wait_s
-        confirmed_after_s = wait_s if has_elapsed_unchanged else 0.0
+        is_full_and_empty = not latest and duration_s >= wait_s
+        confirmed_after_s = wait_s if is_full_and_empty else 0.0
         return Ok(Listing(objects, int(fields["storeRevision"]), removed, confirmed_after_s))
 
     async def hosts(self, data_centre: DataCentreId) -> Result[Sequence[Host], PlatformError]:
@@ -183,38 +184,40 @@
         query: dict[str, Any],
         body: bytes = b"",
         timeout_s: float | None = None,
-    ) -> Result["_Answer", PlatformError]:
+    ) -> Result["_StoreResponse", PlatformError]:
         url = self._url + path + (f"?{urlencode(query)}" if query else "")
         try:
-            answer = await self._caller.call(
+            response = await self._client.call(
                 method, url, timeout_s or self._timeout_s, body, _JSON if body else None
             )
         except HttpCallError as error:
             self._consecutive_failures += 1
             self._on_call(_call_kind(method, path, query), _kind_from_key(path), "none")
-            may_be_sent = error.failure is not HttpFailure.NOT_SENT
-            failure = PlatformFailure.AMBIGUOUS if may_be_sent else PlatformFailure.NOT_APPLIED
+            may_have_been_sent = error.failure is not HttpFailure.NOT_SENT
+            failure = (
+                PlatformFailure.AMBIGUOUS if may_have_been_sent else PlatformFailure.NOT_APPLIED
+            )
             return Err(PlatformError(failure, str(error)))
-        self._on_call(_call_kind(method, path, query), _kind_from_key(path), str(answer.status))
-        return self._check(answer)
+        self._on_call(_call_kind(method, path, query), _kind_from_key(path), str(response.status))
+        return self._check(response)
 
-    def _check(self, answer: HttpResponse) -> Result["_Answer", PlatformError]:
-        self._consecutive_failures = self._consecutive_failures + 1 if answer.status >= 500 else 0
-        if answer.status in (200, 201, 202):
+    def _check(self, response: HttpResponse) -> Result["_StoreResponse", PlatformError]:
+        self._consecutive_failures = self._consecutive_failures + 1 if response.status >= 500 else 0
+        if response.status in (200, 201, 202):
             try:
-                return Ok(_Answer(answer.status, read_body(answer.body)))
+                return Ok(_StoreResponse(response.status, decode_body(response.body)))
             except ValueError as error:
                 return Err(PlatformError(PlatformFailure.AMBIGUOUS, f"invalid JSON: {error}"))
-        if answer.status == 404:
-            return Ok(_Answer(answer.status, None))
-        default = PlatformFailure.AMBIGUOUS if answer.status >= 500 else PlatformFailure.INVALID
-        failure = _FAILURES_BY_STATUS.get(answer.status, default)
-        return Err(PlatformError(failure, f"status {answer.status}"))
+        if response.status == 404:
+            return Ok(_StoreResponse(response.status, None))
+        default = PlatformFailure.AMBIGUOUS if response.status >= 500 else PlatformFailure.INVALID
+        failure = _FAILURES_BY_STATUS.get(response.status, default)
+        return Err(PlatformError(failure, f"status {response.status}"))
 
 
 @value_class
-class _Answer:
-    """Status and decoded body of an answer; ``fields`` is None if the object does not exist."""
+class _StoreResponse:
+    """Status and decoded body of a response; ``fields`` is None if the object does not exist."""
 
     status: int
     fields: Any
--- a/yewloom/tests/test_platform_adapter.py
+++ b/yewloom/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter: decoding of the platform's formats, and the calls sent to it."""
+"""Tests of the platform adapter: decoding of its formats, and calls to its store and engines."""
 
 import json
 import random
@@ -88,7 +88,7 @@
     return StoredObject(f"{kind}/{name}", 3, json.dumps(fields))
 
 
-class TestStoreRecords(unittest.TestCase):
+class TestStoreRecordDecoder(unittest.TestCase):
     """Decoding of configurations and endpoints."""
 
     def setUp(self) -> None:
@@ -122,7 +122,7 @@
         self.assertEqual(endpoint.staged, {"m"})
         self.assertFalse(endpoint.is_leaving)
 
-    def test_any_state_but_ready_is_leaving(self) -> None:
+    def test_a_draining_endpoint_is_leaving(self) -> None:
         fields = ENDPOINT | {"state": "draining", "group": None}
         endpoint = self.records.decode_endpoint(_stored_object("servers", "i1", fields))
         self.assertTrue(endpoint.is_leaving)
@@ -164,8 +164,8 @@
 ]
 
 
-class TestWireHeaders(unittest.TestCase):
-    """Translation of the headers of requests and answers."""
+class TestHttpHeaderCodec(unittest.TestCase):
+    """Translation of the headers of requests and responses."""
 
     def setUp(self) -> None:
         self.codec = HttpHeaderCodec()
@@ -206,20 +206,20 @@
         self.assertNotIn(b"yewloom-tenant", sent)
         self.assertEqual(sent[b"last-event-id"], b"12")
 
-    def test_only_a_marked_or_misdirected_answer_means_not_run(self) -> None:
+    def test_only_a_marked_or_misdirected_response_means_not_run(self) -> None:
         marked = ResponseHead(503, [(b"yewloom-not-executed", b"1")])
         self.assertTrue(self.codec.decode_response(marked).is_not_run)
         self.assertTrue(self.codec.decode_response(ResponseHead(421, [])).is_not_run)
         self.assertFalse(self.codec.decode_response(ResponseHead(503, [])).is_not_run)
 
-    def test_the_limit_of_an_answer_is_decoded(self) -> None:
+    def test_the_limit_in_a_response_is_decoded(self) -> None:
         for text, per_s in ((b"1", 1.0), (b"0.25", 0.25), (b"0", 0.0), (b"120.50", 120.5)):
             head = ResponseHead(200, [(b"server-limit", text)])
             self.assertEqual(self.codec.decode_response(head).limit, AnnouncedLimit(per_s))
         self.assertEqual(self.codec.decode_response(ResponseHead(200, [])).limit, AnnouncedLimit())
 
     def test_an_invalid_limit_is_ignored(self) -> None:
-        """An invalid text must not be taken for a limit of zero, no limit, or a negative one."""
+        """An invalid text must not be read as a limit of zero, a negative limit or no limit."""
         texts = (
             b"",
             b"-1",
@@ -252,12 +252,12 @@
         self.assertEqual(self.codec.response_headers(head), [(b"yewloom-server-stamp", b"s")])
 
 
-class _FakeCaller(HttpClient):
-    """Answers calls from a list and records them."""
+class _FakeHttpClient(HttpClient):
+    """Returns responses from a list and records the calls."""
 
-    def __init__(self, *answers: HttpResponse | HttpFailure) -> None:
+    def __init__(self, *responses: HttpResponse | HttpFailure) -> None:
         super().__init__(1.0)
-        self.answers = list(answers)
+        self.responses = list(responses)
         self.calls: list[tuple[str, str, Any]] = []
         self.pause_s = 0.0
 
@@ -272,10 +272,10 @@
     ) -> HttpResponse:
         self.calls.append((method, url, json.loads(body) if body else None))
         await trio.sleep(self.pause_s)
-        answer = self.answers.pop(0)
-        if isinstance(answer, HttpFailure):
-            raise HttpCallError(answer, "lost")
-        return answer
+        response = self.responses.pop(0)
+        if isinstance(response, HttpFailure):
+            raise HttpCallError(response, "lost")
+        return response
 
 
 def _json(status: int, fields: Any) -> HttpResponse:
@@ -286,18 +286,18 @@
     return {"metadata": {"name": name, "revision": revision}, "spec": spec}
 
 
-class TestObjectStore(unittest.TestCase):
-    """Calls to the store and the decoding of its answers."""
+class TestStoreClient(unittest.TestCase):
+    """Calls to the store and the decoding of its responses."""
 
     def test_a_listing_reads_all_pages_and_keeps_the_position_of_the_first(self) -> None:
-        caller = _FakeCaller(
+        client = _FakeHttpClient(
             _json(200, {"items": [_object("a", 1)], "morePages": True, "storeRevision": 5}),
             _json(200, {"items": [_object("b", 2)], "morePages": False, "storeRevision": 9}),
         )
-        listing = run_on_mock_clock(lambda: StoreClient(caller, "s:1", 1.0, RNG).list("k")).unwrap()
+        listing = run_on_mock_clock(lambda: StoreClient(client, "s:1", 1.0, RNG).list("k")).unwrap()
         self.assertEqual([stored.key for stored in listing.objects], ["k/a", "k/b"])
         self.assertEqual(listing.position, 5)
-        self.assertIn("sinceRev=a", caller.calls[1][1])
+        self.assertIn("sinceRev=a", client.calls[1][1])
 
     def test_the_last_of_several_changes_counts(self) -> None:
         events = [
@@ -307,53 +307,53 @@
             {"object": _object("c", 9), "tombstone": False},
             {"object": _object("c", 10), "tombstone": True},
         ]
-        caller = _FakeCaller(_json(200, {"events": events, "storeRevision": 10}))
+        client = _FakeHttpClient(_json(200, {"events": events, "storeRevision": 10}))
         listing = run_on_mock_clock(
-            lambda: StoreClient(caller, "s:1", 1.0, RNG).watch("k", 5)
+            lambda: StoreClient(client, "s:1", 1.0, RNG).watch("k", 5)
         ).unwrap()
         self.assertEqual([(s.key, s.version, s.value) for s in listing.objects], [("k/a", 8, "2")])
         self.assertEqual(sorted(listing.removed), ["k/b", "k/c"])
 
-    def test_a_watch_proves_its_full_time_only_if_it_did_not_end_early(self) -> None:
+    def test_a_watch_confirms_its_full_duration_only_if_it_did_not_end_early(self) -> None:
         async def watch(pause_s: float) -> float:
-            caller = _FakeCaller(_json(200, {"events": [], "storeRevision": 10}))
-            caller.pause_s = pause_s
-            store = StoreClient(caller, "s:1", 1.0, RNG, watch_s=1.0)
+            client = _FakeHttpClient(_json(200, {"events": [], "storeRevision": 10}))
+            client.pause_s = pause_s
+            store = StoreClient(client, "s:1", 1.0, RNG, watch_s=1.0)
             return (await store.watch("k", 5)).unwrap().confirmed_after_s
 
         self.assertGreaterEqual(run_on_mock_clock(lambda: watch(1.0)), 0.75)
         self.assertEqual(run_on_mock_clock(lambda: watch(0.5)), 0.0)
 
-    def test_a_watch_whose_answer_was_read_late_may_prove_only_its_start(self) -> None:
-        """A host that was suspended must not take an answer that arrived earlier for current."""
+    def test_a_watch_whose_response_was_read_late_may_confirm_only_its_start(self) -> None:
+        """A host that was suspended must not treat a response that arrived earlier as current."""
 
-        async def watch(late_s: float) -> float:
-            caller = _FakeCaller(_json(200, {"events": [], "storeRevision": 10}))
-            caller.pause_s = 3.0
-            store = StoreClient(caller, "s:1", 1.0, RNG, watch_s=1.0, loop_delay_s=lambda: late_s)
+        async def watch(delay_s: float) -> float:
+            client = _FakeHttpClient(_json(200, {"events": [], "storeRevision": 10}))
+            client.pause_s = 3.0
+            store = StoreClient(client, "s:1", 1.0, RNG, watch_s=1.0, loop_delay_s=lambda: delay_s)
             return (await store.watch("k", 5)).unwrap().confirmed_after_s
 
         self.assertGreaterEqual(run_on_mock_clock(lambda: watch(1.5)), 0.75)
         self.assertEqual(run_on_mock_clock(lambda: watch(2.5)), 0.0)
 
     def test_the_first_write_creates_and_later_ones_state_the_revision(self) -> None:
-        caller = _FakeCaller(_json(201, _object("a", 4)), _json(200, _object("a", 6)))
-        store = StoreClient(caller, "s:1", 1.0, RNG)
+        client = _FakeHttpClient(_json(201, _object("a", 4)), _json(200, _object("a", 6)))
+        store = StoreClient(client, "s:1", 1.0, RNG)
         self.assertEqual(run_on_mock_clock(lambda: store.update("k/a", "{}", 0)).unwrap(), 4)
         self.assertEqual(run_on_mock_clock(lambda: store.update("k/a", "{}", 4)).unwrap(), 6)
-        self.assertEqual([call[0] for call in caller.calls], ["POST", "PUT"])
-        self.assertEqual(caller.calls[1][2]["metadata"]["revision"], 4)
+        self.assertEqual([call[0] for call in client.calls], ["POST", "PUT"])
+        self.assertEqual(client.calls[1][2]["metadata"]["revision"], 4)
 
     def test_on_call_gets_the_kind_and_status_of_each_call(self) -> None:
-        answers: list[HttpResponse | HttpFailure] = [
+        responses: list[HttpResponse | HttpFailure] = [
             _json(200, {"items": [], "storeRevision": 5}),
             HttpFailure.NOT_SENT,
         ]
-        answers += [_json(200, {"events": [], "storeRevision": 5}), _json(409, {})]
-        caller, calls = _FakeCaller(*answers, _json(404, {})), list[tuple[str, str, str]]()
-        store = StoreClient(caller, "s:1", 1.0, RNG, on_call=lambda *call: calls.append(call))
+        responses += [_json(200, {"events": [], "storeRevision": 5}), _json(409, {})]
+        client, calls = _FakeHttpClient(*responses, _json(404, {})), list[tuple[str, str, str]]()
+        store = StoreClient(client, "s:1", 1.0, RNG, on_call=lambda *call: calls.append(call))
         stale = StoreClient(
-            caller, "s:1", 1.0, RNG, allows_stale=True, on_call=lambda *call: calls.append(call)
+            client, "s:1", 1.0, RNG, allows_stale=True, on_call=lambda *call: calls.append(call)
         )
 
         async def main() -> None:
@@ -364,8 +364,8 @@
             await store.get("k/a")
 
         run_on_mock_clock(main)
-        answered = ["list 200", "stale list none", "watch 200", "update 409", "get 404"]
-        self.assertEqual([f"{call} {answer}" for call, _, answer in calls], answered)
+        expected = ["list 200", "stale list none", "watch 200", "update 409", "get 404"]
+        self.assertEqual([f"{call} {status}" for call, _, status in calls], expected)
         self.assertEqual({kind for _, kind, _ in calls}, {"k"})
 
     def test_each_status_is_mapped_to_a_failure(self) -> None:
@@ -381,13 +381,13 @@
             with self.subTest(status=status):
                 self.assertIs(self._failure(_json(status, {})), failure)
 
-    def test_a_write_without_an_answer_is_ambiguous_unless_it_was_not_sent(self) -> None:
+    def test_a_write_without_a_response_is_ambiguous_unless_it_was_not_sent(self) -> None:
         self.assertIs(self._failure(HttpFailure.NOT_SENT), PlatformFailure.NOT_APPLIED)
         self.assertIs(self._failure(HttpFailure.MAYBE_SENT), PlatformFailure.AMBIGUOUS)
         self.assertIs(self._failure(HttpFailure.TIMED_OUT), PlatformFailure.AMBIGUOUS)
 
-    def _failure(self, answer: HttpResponse | HttpFailure) -> PlatformFailure:
-        store = StoreClient(_FakeCaller(answer), "s:1", 1.0, RNG)
+    def _failure(self, response: HttpResponse | HttpFailure) -> PlatformFailure:
+        store = StoreClient(_FakeHttpClient(response), "s:1", 1.0, RNG)
         match run_on_mock_clock(lambda: store.update("k/a", "{}", 3)):
             case Err(error):
                 return error.failure
@@ -397,8 +397,8 @@
 KEY = GroupKey(GroupId("g"), 4)
 
 
-class TestEngineOrders(unittest.TestCase):
-    """Encoding of orders and decoding of their answers."""
+class TestHttpEngineClient(unittest.TestCase):
+    """Encoding of orders, and decoding of the responses to them and of reports."""
 
     def test_orders_are_encoded(self) -> None:
         join = order_fields(JoinGroup(KEY, ModelName("m"), [HostId("a"), HostId("b")]))
@@ -407,7 +407,7 @@
         self.assertEqual(order_fields(CloseGroup(KEY))["mode"], "wait")
         self.assertEqual(order_fields(StageModel(ModelName("m"))), {"op": "phase", "model": "m"})
 
-    def test_answers_are_decoded(self) -> None:
+    def test_responses_to_orders_are_decoded(self) -> None:
         pairs: list[tuple[HttpResponse | HttpFailure, OrderAnswer]] = [
             (_json(202, {}), OrderAnswer.STARTED),
             (_json(200, {}), OrderAnswer.UNCHANGED),
@@ -418,24 +418,24 @@
             (HttpFailure.NOT_SENT, OrderAnswer.UNREACHABLE),
             (HttpFailure.TIMED_OUT, OrderAnswer.UNKNOWN),
         ]
-        for answer, expected in pairs:
-            caller = _FakeCaller(answer)
-            orders = HttpEngineClient(caller)
-            send = partial(orders.send, HostId("i"), "i:1", StageModel(ModelName("m")), 6)
+        for response, expected in pairs:
+            client = _FakeHttpClient(response)
+            engines = HttpEngineClient(client)
+            send = partial(engines.send, HostId("i"), "i:1", StageModel(ModelName("m")), 6)
             found = run_on_mock_clock(send)
             self.assertIs(found, expected)
-            self.assertEqual(caller.calls[0][2]["expectedRev"], 6)
+            self.assertEqual(client.calls[0][2]["expectedRev"], 6)
 
     def test_a_missing_or_invalid_report_is_none(self) -> None:
-        answers: list[HttpResponse | HttpFailure] = [
+        responses: list[HttpResponse | HttpFailure] = [
             HttpFailure.TIMED_OUT,
             _json(200, {"sequence": 5}),
             _json(200, {"sequence": 6, "born": 1_790_000_000_000}),
             _json(200, {"sequence": 6, "born": "yesterday"}),
             _json(200, []),
         ]
-        orders = HttpEngineClient(_FakeCaller(*answers))
-        found = [run_on_mock_clock(lambda: orders.read_report("i:1")) for _ in answers]
+        engines = HttpEngineClient(_FakeHttpClient(*responses))
+        found = [run_on_mock_clock(lambda: engines.read_report("i:1")) for _ in responses]
         known = EngineReport(6, 1_790_000_000_000)
         self.assertEqual(found, [None, EngineReport(5), known, None, None])
 
