--- a/yewloom/tests/test_explanation.py
+++ b/yewloom/tests/test_explanation.py
@@ -41,7 +41,7 @@
         text = "\n".join(history.lines())
         self.assertIn("reason=down", text)
         self.assertNotIn("elsewhere", text)
-        self.assertNotIn("regained", text)
+        self.assertNotIn("reachable again", text)
 
     def test_context_is_bounded(self) -> None:
         history = RequestHistory("r1")
