--- a/yewloom/platform/standin_engine.py
+++ b/yewloom/platform/standin_engine.py
@@ -20,16 +20,16 @@
 """Time to join a group; the users' engines take some seconds."""
 
 DEFAULT_EVENT_INTERVAL_S = 0.02
-"""Default time between two events of an answer."""
+"""Default time between two events of a response."""
 
 DEFAULT_EVENT_COUNT = 5
-"""Default number of events of an answer."""
+"""Default number of events of a response."""
 
 FIRST_START_UNIX_MS = 1_790_000_000_000
 """Start time of an engine's first process; a day in 2026."""
 
 
-def _set_event() -> trio.Event:
+def _new_set_event() -> trio.Event:
     event = trio.Event()
     event.set()
     return event
@@ -41,19 +41,19 @@
 
     Switches: while ``progress_enabled`` is not set, its streams stall, as after the loss of a group
     member. With ``is_silent``, it sends no reports and does not update the store; with
-    ``is_cut_off_from_store``, only the store is not updated. With ``is_loading``, it is loading
-    weights.
+    ``is_cut_off_from_store``, it sends reports but does not update the store. With ``is_loading``,
+    it reports that it is loading weights, and rejects orders to load others.
 
-    Records: ``groups_made_ready`` holds the groups, with their members, in which it has been ready,
-    and ``groups_of_earlier_processes`` the names and generations of the groups of its earlier
-    processes.
+    Records: ``groups_made_ready`` holds the groups in which it has been ready, with their members,
+    and ``groups_of_earlier_processes`` the names and generations of the groups that its earlier
+    processes were in.
 
     Callbacks: ``on_run`` gets each request, with its body, before it runs; ``on_join`` each order
-    to join before it is carried out; ``on_complete_answer`` each request whose answer is complete;
-    and ``on_group_left`` is called after each departure from a group.
+    to join before it is carried out; ``on_complete_answer`` each request whose response is
+    complete; and ``on_group_left`` is called after each departure from a group.
 
-    ``event_count`` returns the number of events of an answer, and ``event_interval_s`` is
-    the time between two.
+    ``event_count`` returns the number of events of the response to a request, and
+    ``event_interval_s`` is the time between two of them.
     """
 
     name: str
@@ -72,7 +72,7 @@
     is_loading: bool = False
     started_unix_ms: int = FIRST_START_UNIX_MS
     groups_of_earlier_processes: set[tuple[str, int]] = field(default_factory=set)
-    progress_enabled: trio.Event = field(default_factory=_set_event)
+    progress_enabled: trio.Event = field(default_factory=_new_set_event)
     orders: list[dict[str, Any]] = field(default_factory=list)
     groups_made_ready: set[tuple[str, int, tuple[str, ...]]] = field(default_factory=set)
     on_run: Callable[["UserEngineStandIn", Request, bytes], None] | None = None
@@ -87,7 +87,7 @@
         routes = [
             Route("/order", self._order, methods=["POST"]),
             Route("/report", self._report, methods=["GET"]),
-            Route("/{path:path}", self._answer, methods=["GET", "POST"]),
+            Route("/{path:path}", self._serve_request, methods=["GET", "POST"]),
         ]
         return Starlette(routes=routes)
 
@@ -101,7 +101,7 @@
         self.publish()
 
     def publish(self) -> None:
-        """Write the engine's object to the store, unless it is lost or cut off from the store."""
+        """Write the engine's object to the store, unless it is silent or cut off from the store."""
         if self.is_silent or self.is_cut_off_from_store:
             return
         spec = {
@@ -138,7 +138,7 @@
     async def _join(self, order: dict[str, Any]) -> Response:
         if self.on_join is not None:
             self.on_join(self, order)
-        self.progress_enabled = _set_event()
+        self.progress_enabled = _new_set_event()
         self.members = order["members"]
         rank = self.members.index(self.name)
         self.group = {"name": order["group"], "epoch": order["epoch"], "rank": rank}
@@ -194,7 +194,7 @@
         report |= {"utilization": self.is_loading}
         return JSONResponse(report | {"born": self.started_unix_ms, "group": self.group})
 
-    async def _answer(self, request: Request) -> Response:
+    async def _serve_request(self, request: Request) -> Response:
         headers = {"yewloom-request-id": request.headers["yewloom-request-id"]}
         is_serving = self.group is not None and self.group["state"] == "open"
         if request.headers.get("yewloom-expect-instance") != self.name or not is_serving:
@@ -210,8 +210,8 @@
         )
 
     async def _events(self, request: Request, last_event_id: int) -> AsyncIterator[bytes]:
-        events = self.event_count(request)
-        for number in range(last_event_id + 1, events + 1):
+        count = self.event_count(request)
+        for number in range(last_event_id + 1, count + 1):
             await self.progress_enabled.wait()
             yield b"id: %d\ndata: %d\n\n" % (number, number)
             await trio.sleep(self.event_interval_s)
--- a/yewloom/platform/standin_store.py
+++ b/yewloom/platform/standin_store.py
@@ -17,18 +17,18 @@
 from starlette.routing import Route
 
 PAGE_SIZE = 50
-"""Objects per page; the users' store returns some 500, but small pages exercise the paging."""
+"""Objects per page; the users' store returns about 500, but small pages exercise the paging."""
 
 View = Callable[[str, Any], Any]
-"""Maps a kind and a spec to the spec that is returned to callers."""
+"""Maps a kind and a spec to the spec that clients read."""
 
 
 @dataclass
 class StoreFaults:
     """Injected faults.
 
-    ``status`` is returned for every call if it is not 0. With ``loses_answers``, writes take effect
-    but are answered with an error.
+    Unless ``status`` is 0, every call that arrives gets a response with that status. With
+    ``loses_answers``, writes take effect but get an error response.
     """
 
     status: int = 0
@@ -47,7 +47,7 @@
         self._changed = trio.Event()
 
     def application(self, view: View = lambda kind, spec: spec) -> Starlette:
-        """Return an ASGI application; ``view`` replaces the specs that its callers read."""
+        """Return an ASGI application; ``view`` replaces the specs that its clients read."""
 
         async def list_kind(request: Request) -> Response:
             return await self._list(request, view)
