--- a/yewloom/standins/engine.py
+++ b/yewloom/standins/engine.py
@@ -1,13 +1,15 @@
 """Stand-in for a model engine: one member of a group.
 
 The first member of a group is its leader and generates the tokens. It derives them from the
-prompt, so that a test can tell whether an answer is complete. While it serves, it pings the other
+prompt, so that a test can tell whether a response is complete. While it serves, it pings the other
 members; when one is lost, the replica fails and its streams break.
 
-Switches (``POST /control`` with JSON fields): ``token_ms``, ``load_ms``, ``leaving``,
-``report_lag_ms`` (reports may be that old), ``break_after`` (streams break after that many
-tokens), ``shuffle`` (pieces arrive duplicated and out of order), ``lose_events`` (number of cache
-events to lose), ``frozen``, ``refuse``, ``checks_fences``.
+Switches (``POST /control`` with JSON fields): ``token_ms`` (time for one token), ``load_ms`` (time
+to load a model), ``leaving`` (reported as such), ``report_lag_ms`` (reports may be that old),
+``break_after`` (streams break after that many tokens), ``shuffle`` (chunks arrive duplicated and
+out of order), ``lose_events`` (number of cache events to lose), ``frozen`` (calls get no
+response), ``refuse`` (requests are rejected) and ``checks_fences`` (orders with a fence lower than
+the highest one seen are rejected).
 """
 
 from collections import deque
@@ -27,11 +29,15 @@
 from yewloom.hashing import hash64
 from yewloom.prefixes import block_hashes
 from yewloom.schema.records_pb2 import CacheEvent, HostReport, Order
-from yewloom.standins.server import read_json, refuse, serve, set_switches
+from yewloom.standins.server import not_run_response, read_json, serve, set_switches
 from yewloom.states import EngineState
 
-MAX_STREAMS = 256
-MAX_EVENTS = 64
+MAX_RUNS = 256
+"""Number of kept runs at which the oldest complete ones are deleted."""
+
+MAX_CACHE_EVENTS = 64
+"""Maximum number of cache events in a report: the latest."""
+
 MAX_CACHED_BLOCKS = 2048
 PING_INTERVAL_S = 0.25
 TOKENS = ("room ", "plate ", "night ", "star ", "guest ", "survey ", "rate ", "field ")
@@ -62,11 +68,11 @@
 
 
 @dataclass
-class _Generation:
-    """One request that the engine runs."""
+class _Run:
+    """One run of a request; it is complete once ``token_count`` tokens have been produced."""
 
     tokens: list[str]
-    finish_at: int
+    token_count: int
     produced: int
     readers: int = 0
     is_cancelled: bool = False
@@ -86,15 +92,15 @@
         self.switches = Switches()
         self.state = EngineState.IDLE
         self.order = Order()
-        self.runs: dict[str, _Generation] = {}
+        self.runs: dict[str, _Run] = {}
         self.run_counts: dict[str, int] = {}
         self.cached_model = ""
         self._fence = 0
-        self._sequence = 0
-        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
-        self._blocks: dict[int, None] = {}
+        self._cache_sequence = 0
+        self._cache_events: deque[CacheEvent] = deque(maxlen=MAX_CACHE_EVENTS)
+        self._cached_blocks: dict[int, None] = {}
         self._last_report: HostReport | None = None
-        self._reported_s = float("-inf")
+        self._last_report_s = float("-inf")
         self._has_been_complete = False
         self._nursery: trio.Nursery | None = None
 
@@ -103,7 +109,7 @@
         return Starlette(
             routes=[
                 Route("/report", self._report),
-                Route("/order", self._take_order, methods=["POST"]),
+                Route("/order", self._handle_order, methods=["POST"]),
                 Route("/generate", self._generate, methods=["POST"]),
                 Route("/cancel", self._cancel, methods=["POST"]),
                 Route("/ping", self._ping),
@@ -113,7 +119,7 @@
         )
 
     async def run(self) -> None:
-        """Run loads and generations until cancelled."""
+        """Run model loads and requests until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await self._watch_members()
@@ -121,13 +127,17 @@
     async def _report(self, request: Request) -> Response:
         await self._wait_while_frozen()
         lag_s = self.switches.report_lag_ms / 1000
-        if self._last_report is None or trio.current_time() - self._reported_s >= lag_s:
-            self._last_report, self._reported_s = self._current_report(), trio.current_time()
+        if self._last_report is None or trio.current_time() - self._last_report_s >= lag_s:
+            self._last_report, self._last_report_s = self._current_report(), trio.current_time()
         text = json_format.MessageToJson(self._last_report, preserving_proto_field_name=True)
         return Response(text, media_type="application/json")
 
     def _current_report(self) -> HostReport:
-        active = [g for g in self.runs.values() if g.produced < g.finish_at and not g.is_cancelled]
+        active = [
+            run
+            for run in self.runs.values()
+            if run.produced < run.token_count and not run.is_cancelled
+        ]
         return HostReport(
             host_id=self.host_id,
             state=self.state.value,
@@ -139,15 +149,15 @@
             waiting=max(0, len(active) - self.capacity),
             capacity=self.capacity,
             cached_model=self.cached_model,
-            cache_sequence=self._sequence,
-            cache_events=self._events,
+            cache_sequence=self._cache_sequence,
+            cache_events=self._cache_events,
         )
 
-    async def _take_order(self, request: Request) -> Response:
+    async def _handle_order(self, request: Request) -> Response:
         await self._wait_while_frozen()
         order = json_format.Parse(await request.body(), Order(), ignore_unknown_fields=True)
         if self.switches.checks_fences and order.fence < self._fence:
-            return refuse(f"fence {order.fence} is below {self._fence}")
+            return not_run_response(f"fence {order.fence} is below {self._fence}")
         self._fence = max(self._fence, order.fence)
         if (order.group_id, order.generation) != (self.order.group_id, self.order.generation):
             self._stop_runs()
@@ -169,7 +179,7 @@
             run.is_cancelled = True
             run.notify()
         self.runs.clear()
-        self._blocks.clear()
+        self._cached_blocks.clear()
 
     async def _watch_members(self) -> None:
         """Fail the replica if this engine is its leader and a member does not answer."""
@@ -184,14 +194,15 @@
                         self.state = EngineState.FAILED
 
     async def _ping_members(self, pool: httpcore.AsyncConnectionPool, order: Order) -> bool:
+        """Tell whether the group is intact: all members answer, or it is still forming."""
         matches: list[bool] = []
         placement = f"{order.group_id}@{order.generation}"
 
         async def ping(address: str) -> None:
             with trio.move_on_after(4 * PING_INTERVAL_S):
                 try:
-                    answer = await pool.request("GET", f"http://{address}/ping")
-                    matches.append(answer.content.decode() == placement)
+                    response = await pool.request("GET", f"http://{address}/ping")
+                    matches.append(response.content.decode() == placement)
                 except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
                     return
 
@@ -212,25 +223,25 @@
         request_id, offset = fields["request_id"], int(fields["offset"])
         group = (fields["group_id"], fields["generation"])
         if group != (self.order.group_id, self.order.generation) or self.order.rank != 0:
-            return refuse("this engine does not lead that group")
+            return not_run_response("this engine does not lead that group")
         if self.state is not EngineState.READY or self.switches.refuse:
-            return refuse(f"the engine is {self.state.value}", 503)
+            return not_run_response(f"the engine is {self.state.value}", 503)
         run = self.runs.get(request_id)
         if run is None:
             if fields["resume_only"]:
-                return refuse("the request is not known here")
+                return not_run_response("the request is not known here")
             run = self._start_run(request_id, fields)
         return StreamingResponse(
             self._stream(request_id, run, offset), media_type="text/event-stream"
         )
 
-    def _start_run(self, request_id: str, fields: dict[str, Any]) -> _Generation:
+    def _start_run(self, request_id: str, fields: dict[str, Any]) -> _Run:
         prompt, count = str(fields["prompt"]), int(fields["max_tokens"])
         tokens = expected_tokens(prompt, count)
-        run = _Generation(tokens, count, produced=len(fields.get("delivered", [])))
-        if len(self.runs) >= MAX_STREAMS:
-            finished = [name for name, g in self.runs.items() if g.produced >= g.finish_at]
-            for name in finished[: MAX_STREAMS // 2]:
+        run = _Run(tokens, count, produced=len(fields.get("delivered", [])))
+        if len(self.runs) >= MAX_RUNS:
+            finished = [name for name, r in self.runs.items() if r.produced >= r.token_count]
+            for name in finished[: MAX_RUNS // 2]:
                 del self.runs[name]
         self.runs[request_id] = run
         self.run_counts[request_id] = self.run_counts.get(request_id, 0) + 1
@@ -239,28 +250,28 @@
         return run
 
     def _cache_prompt(self, prompt: str) -> int:
-        """Cache the blocks of a prompt and return how many of them were missing."""
-        missing = [block for block in block_hashes(prompt) if block not in self._blocks]
+        """Cache the blocks of a prompt; return how many of them were not cached before."""
+        missing = [block for block in block_hashes(prompt) if block not in self._cached_blocks]
         for block in block_hashes(prompt):
-            self._blocks.pop(block, None)
-            self._blocks[block] = None
-        removed = list(self._blocks)[: max(0, len(self._blocks) - MAX_CACHED_BLOCKS)]
+            self._cached_blocks.pop(block, None)
+            self._cached_blocks[block] = None
+        removed = list(self._cached_blocks)[: max(0, len(self._cached_blocks) - MAX_CACHED_BLOCKS)]
         for block in removed:
-            del self._blocks[block]
+            del self._cached_blocks[block]
         if missing:
-            self._sequence += 1
+            self._cache_sequence += 1
             if self.switches.lose_events > 0:
                 self.switches.lose_events -= 1
             else:
-                self._events.append(
-                    CacheEvent(sequence=self._sequence, added=missing, removed=removed)
+                self._cache_events.append(
+                    CacheEvent(sequence=self._cache_sequence, added=missing, removed=removed)
                 )
         return len(missing)
 
-    async def _produce(self, run: _Generation, missing_blocks: int) -> None:
-        """Produce tokens, more slowly while more requests run than the capacity."""
+    async def _produce(self, run: _Run, missing_blocks: int) -> None:
+        """Produce the tokens of a run, more slowly while more requests run than the capacity."""
         await trio.sleep(missing_blocks * self.switches.token_ms / 1000)
-        while run.produced < run.finish_at and not run.is_cancelled:
+        while run.produced < run.token_count and not run.is_cancelled:
             slowdown = max(
                 1.0, self._current_report().running / self.capacity + self._waiting_share()
             )
@@ -272,40 +283,40 @@
     def _waiting_share(self) -> float:
         return self._current_report().waiting / self.capacity
 
-    async def _stream(self, request_id: str, run: _Generation, offset: int) -> AsyncIterator[bytes]:
+    async def _stream(self, request_id: str, run: _Run, offset: int) -> AsyncIterator[bytes]:
         run.readers += 1
         generation = self.order.generation
         try:
             sent = 0
-            while offset < run.finish_at:
+            while offset < run.token_count:
                 while run.produced <= offset and not run.is_cancelled:
                     await run.changed.wait()
                 if run.is_cancelled:
                     raise ConnectionAbortedError("the replica has stopped")
-                ready = min(run.produced, run.finish_at)
-                for event in self._encoded_pieces(request_id, generation, run, offset, ready):
-                    yield event
+                ready = min(run.produced, run.token_count)
+                for chunk in self._encoded_chunks(request_id, generation, run, offset, ready):
+                    yield chunk
                 sent += ready - offset
                 offset = ready
                 if self.switches.break_after and sent >= self.switches.break_after:
                     raise ConnectionAbortedError("stream broken by break_after")
-            if offset >= run.finish_at and sent == 0:
-                yield _encode(request_id, generation, run.finish_at, [], True)
+            if offset >= run.token_count and sent == 0:
+                yield _encode(request_id, generation, run.token_count, [], True)
         finally:
             run.readers -= 1
 
-    def _encoded_pieces(
-        self, request_id: str, generation: int, run: _Generation, start: int, end: int
+    def _encoded_chunks(
+        self, request_id: str, generation: int, run: _Run, start: int, end: int
     ) -> list[bytes]:
-        pieces = [
-            _encode(request_id, generation, i, run.tokens[i : i + 1], i + 1 == run.finish_at)
+        chunks = [
+            _encode(request_id, generation, i, run.tokens[i : i + 1], i + 1 == run.token_count)
             for i in range(start, end)
         ]
         if self.switches.shuffle:
             foreign = _encode("another-request", generation, start, ["wrong"], False)
             stale = _encode(request_id, generation - 1, start, ["stale"], False)
-            pieces = [foreign, stale, *reversed(pieces), *pieces[:1]]
-        return pieces
+            chunks = [foreign, stale, *reversed(chunks), *chunks[:1]]
+        return chunks
 
     async def _cancel(self, request: Request) -> Response:
         await self._wait_while_frozen()
--- a/yewloom/standins/platform.py
+++ b/yewloom/standins/platform.py
@@ -1,9 +1,10 @@
 """Stand-in for the platform: object API, watches and a host list that lags behind.
 
-Switches (``POST /control`` with JSON fields): ``outage``, ``delay_ms``, ``lose_answers`` (number of
-writes that take effect but whose answers are lost), ``host_lag_ms``, ``cut_ports`` (calls to these
-ports are refused, as from a data centre that is cut off), and the rate limits per second,
-``writes_a_s`` and ``reads_a_s``.
+Switches (``POST /control`` with JSON fields): ``outage`` (every call fails), ``delay_ms`` (before
+each response), ``lose_answers`` (number of writes that take effect but get an error response),
+``host_lag_ms`` (delay of changes to the host list), ``cut_ports`` (calls to these ports fail, as
+from a data centre that is cut off), and the rate limits per second, ``writes_a_s`` and
+``reads_a_s``.
 """
 
 import configparser
@@ -39,7 +40,7 @@
 
 @dataclass
 class ObjectStore:
-    """Objects with versions, and the positions from which watches continue."""
+    """Objects, each with its version and the position of its latest write among all writes."""
 
     objects: dict[str, tuple[int, Any, int]] = field(default_factory=dict)
     position: int = 0
@@ -94,8 +95,8 @@
     def _is_forbidden(self, request: Request, key: str) -> bool:
         """Tell whether a write to the table lacks the operator's token."""
         token = request.headers.get("authorization", "").removeprefix("Bearer ")
-        is_operator = hmac.compare_digest(token, self.operator_token)
-        return bool(self.operator_token) and key.startswith("table/") and not is_operator
+        has_token = hmac.compare_digest(token, self.operator_token)
+        return bool(self.operator_token) and key.startswith("table/") and not has_token
 
     def _is_cut_off(self, request: Request) -> bool:
         return request.scope["server"][1] in self.switches.cut_ports
@@ -175,11 +176,11 @@
         return JSONResponse({"hosts": hosts})
 
     async def _control(self, request: Request) -> Response:
-        answer = await set_switches(request, self.switches)
+        response = await set_switches(request, self.switches)
         if self.switches.outage or self.switches.cut_ports:
             self.store.changed.set()
             self.store.changed = trio.Event()
-        return answer
+        return response
 
     async def _set_host(self, request: Request) -> Response:
         """Add, change or remove a host in the list, after the configured lag."""
--- a/yewloom/standins/server.py
+++ b/yewloom/standins/server.py
@@ -1,4 +1,4 @@
-"""Helpers shared by all stand-ins: serving, JSON bodies, switches and refusals."""
+"""Helpers shared by all stand-ins: serving, JSON bodies, switches and error responses."""
 
 import signal
 from typing import Any
@@ -48,6 +48,6 @@
     return JSONResponse(vars(switches))
 
 
-def refuse(reason: str, status: int = 409) -> Response:
+def not_run_response(reason: str, status: int = 409) -> Response:
     """Return the response with which an endpoint states that it did not run the request."""
     return JSONResponse({"detail": reason}, status, {"x-outcome": "not_run"})
--- a/yewloom/standins/service.py
+++ b/yewloom/standins/service.py
@@ -1,8 +1,9 @@
 """Stand-in for a plain service that counts how often it runs each call.
 
-Switches (``POST /control`` with JSON fields): ``delay_ms``, ``leaving``, ``refuse``,
-``drop_answers`` (number of calls that run but whose connections break before the answer),
-``frozen``.
+Switches (``POST /control`` with JSON fields): ``delay_ms`` (time that each call takes), ``leaving``
+(reported as such), ``refuse`` (calls are rejected without being run), ``drop_answers`` (number of
+calls that run but whose connections break before the response is complete), ``frozen`` (no call
+gets a response).
 """
 
 from collections import Counter
@@ -19,7 +20,7 @@
 from starlette.routing import Route
 
 from yewloom.schema.records_pb2 import HostReport
-from yewloom.standins.server import refuse, serve, set_switches
+from yewloom.standins.server import not_run_response, serve, set_switches
 from yewloom.states import EngineState
 
 
@@ -66,7 +67,7 @@
     async def _run(self, request: Request) -> Response:
         await self._wait_while_frozen()
         if self.switches.refuse:
-            return refuse("the service takes no calls now", 503)
+            return not_run_response("the service takes no calls now", 503)
         body = await request.body()
         call_name = request.headers.get("idempotency-key") or request.path_params["path"]
         self.runs[call_name] += 1
