--- a/yewloom/tests/support.py
+++ b/yewloom/tests/support.py
@@ -37,7 +37,7 @@
 class FakePlatform:
     """In-memory platform that injects faults into the next writes.
 
-    ``is_unavailable`` makes every call fail; ``is_down`` tells callers that earlier calls have
+    ``is_unavailable`` makes every call fail; ``is_down`` tells clients that earlier calls have
     failed.
     """
 
@@ -163,10 +163,13 @@
 
 
 class FakeEngines:
-    """In-memory model engines and services; ``faults`` holds the faults of the next calls."""
+    """In-memory model engines and services; ``faults`` are injected into the next calls, in order.
 
-    def __init__(self, answer: Sequence[str], faults: Sequence[CallFault] = ()) -> None:
-        self.answer = tuple(answer)
+    ``tokens`` are the tokens of every stream.
+    """
+
+    def __init__(self, tokens: Sequence[str], faults: Sequence[CallFault] = ()) -> None:
+        self.tokens = tuple(tokens)
         self.faults = list(faults)
         self.running: set[tuple[str, str]] = set()
         self.runs: Counter[str] = Counter()
@@ -228,11 +231,11 @@
     ) -> AsyncIterator[StreamChunk]:
         if fault is CallFault.FAIL:
             raise EndpointError(CallFailure.ENDPOINT_ERROR, "status 500")
-        breaks_after = {CallFault.BREAK: 0, CallFault.STALL: 1, CallFault.LOSE_STATE: 1}
-        break_after = breaks_after.get(
-            fault, 2 if fault is CallFault.BREAK_LATER else len(self.answer)
+        break_after_by_fault = {CallFault.BREAK: 0, CallFault.STALL: 1, CallFault.LOSE_STATE: 1}
+        break_after = break_after_by_fault.get(
+            fault, 2 if fault is CallFault.BREAK_LATER else len(self.tokens)
         )
-        for sent, offset in enumerate(range(call.offset, len(self.answer))):
+        for sent, offset in enumerate(range(call.offset, len(self.tokens))):
             if sent == break_after:
                 break
             await trio.sleep(self.token_interval_s)
@@ -241,10 +244,10 @@
         if fault is CallFault.STALL:
             await trio.sleep(stall_timeout_s)
             raise EndpointError(CallFailure.STALLED, "silence")
-        if break_after < len(self.answer):
+        if break_after < len(self.tokens):
             raise EndpointError(CallFailure.BROKEN, "cut")
 
     def _chunk(self, call: GenerateCall, offset: int) -> StreamChunk:
-        is_last = offset + 1 == len(self.answer)
-        tokens = (self.answer[offset],)
+        is_last = offset + 1 == len(self.tokens)
+        tokens = (self.tokens[offset],)
         return StreamChunk(call.request_id, call.generation, offset, tokens, is_last, "length")
