--- a/yewloom/cli.py
+++ b/yewloom/cli.py
@@ -74,13 +74,13 @@
 @app.command()
 def groups(host: HostOption, as_json: JsonOption = False) -> None:
     """Print the groups that one entry host knows.  Example: yewloom groups"""
-    found = read_status_or_exit(host)["groups"]
+    group_statuses = read_status_or_exit(host)["groups"]
     lines = [
         f"{g['id']} {g['state']} generation {g['generation']} "
         f"running {g['running']}/{g['capacity']} members {' '.join(g['members'])}"
-        for g in found
+        for g in group_statuses
     ]
-    print_result(as_json, found, lines)
+    print_result(as_json, group_statuses, lines)
 
 
 @app.command()
@@ -106,8 +106,8 @@
         record_from_fields(read_status_or_exit(host, f"/experiments/{experiment}"))
         for host in hosts
     ]
-    found = comparison.compare(merge_records(records), row.share_b, random.Random(experiment))
-    print_result(as_json, comparison_fields(found), comparison_lines(found, row))
+    result = comparison.compare(merge_records(records), row.share_b, random.Random(experiment))
+    print_result(as_json, comparison_fields(result), comparison_lines(result, row))
 
 
 @app.command()
--- a/yewloom/cli_calls.py
+++ b/yewloom/cli_calls.py
@@ -91,10 +91,10 @@
 def read_row_or_exit(platform: str, row: str) -> VersionedRow:
     """Read a row; exit if it does not exist."""
     name = row_name_or_exit(row)
-    found = run_on_platform(platform, lambda api: get_row(api, name))
-    if found is None or found.row.deleted:
+    versioned_row = run_on_platform(platform, lambda api: get_row(api, name))
+    if versioned_row is None or versioned_row.row.deleted:
         exit_with_error(f"There is no row {name}; see `yewloom table list`.", EXIT_FAILED)
-    return found
+    return versioned_row
 
 
 def row_name_or_exit(text: str) -> RowName:
--- a/yewloom/cli_table.py
+++ b/yewloom/cli_table.py
@@ -39,9 +39,13 @@
 @table_app.command("get")
 def table_get(row: RowArgument, platform: PlatformOption, as_json: JsonOption = False) -> None:
     """Print one row.  Example: yewloom table get policy/hotel"""
-    found = read_row_or_exit(platform, row)
-    lines = [f"{cell} = {value}" for cell, value in cells_by_path(found).items()]
-    print_result(as_json, row_fields(found), [f"{found.name} version {found.version}", *lines])
+    versioned_row = read_row_or_exit(platform, row)
+    lines = [f"{cell} = {value}" for cell, value in cells_by_path(versioned_row).items()]
+    print_result(
+        as_json,
+        row_fields(versioned_row),
+        [f"{versioned_row.name} version {versioned_row.version}", *lines],
+    )
 
 
 @table_app.command("set")
--- a/yewloom/comparison.py
+++ b/yewloom/comparison.py
@@ -74,7 +74,7 @@
 ) -> Comparison:
     """Compare the sides of an experiment; ``share_b`` is the share of sessions on side B."""
     sessions = {side: _sessions_on_side(record, side) for side in Side}
-    session_counts = {side: len(found) for side, found in sessions.items()}
+    session_counts = {side: len(on_side) for side, on_side in sessions.items()}
     metrics = tuple(
         _compare_metric(name, read_value, sessions, rng, resamples)
         for name, read_value in _METRICS.items()
@@ -86,11 +86,11 @@
 
 
 def _sessions_on_side(record: ExperimentRecord, side: Side) -> list[list[Observation]]:
-    found = (
+    sessions = (
         [o for o in record.sample[session_hash] if o.side is side]
         for session_hash in sorted(record.sample)
     )
-    return [observations for observations in found if observations]
+    return [observations for observations in sessions if observations]
 
 
 def _imbalance(session_counts: dict[Side, int], share_b: float) -> float:
@@ -111,7 +111,7 @@
     rng: random.Random,
     resamples: int,
 ) -> MetricComparison:
-    samples = {side: _Sample(found, read_value) for side, found in sessions.items()}
+    samples = {side: _Sample(on_side, read_value) for side, on_side in sessions.items()}
     a, b = samples[Side.A], samples[Side.B]
     if min(a.session_count, b.session_count) == 0:
         return MetricComparison(name, math.nan, math.nan, -math.inf, math.inf, False)
--- a/yewloom/log_sink.py
+++ b/yewloom/log_sink.py
@@ -12,7 +12,7 @@
 import structlog
 
 MAX_PENDING_BYTES = 262144
-"""Maximum size of the buffered log lines; enough for the lines of some hundred requests."""
+"""Maximum size of the buffered log lines; enough for the lines of a few hundred requests."""
 
 
 class LogSink:
--- a/yewloom/platform/headers.py
+++ b/yewloom/platform/headers.py
@@ -49,16 +49,16 @@
 
     def decode_request(self, headers: Sequence[Header]) -> RequestMetadata:
         """Decode the headers of a request; raise HeaderError if one is invalid."""
-        found = dict(headers)
-        key = found.get(b"authorization")
-        model = found.get(_MODEL)
+        values = dict(headers)
+        key = values.get(b"authorization")
+        model = values.get(_MODEL)
         return RequestMetadata(
-            request_id=RequestId(found.get(_REQUEST_ID, b"").decode("latin-1")),
-            host=found.get(b"host", b"").decode("latin-1").partition(":")[0],
+            request_id=RequestId(values.get(_REQUEST_ID, b"").decode("latin-1")),
+            host=values.get(b"host", b"").decode("latin-1").partition(":")[0],
             api_key=_api_key(key) if key is not None else None,
-            deadline_ms=_integer_header(found, DEADLINE_HEADER),
+            deadline_ms=_integer_header(values, DEADLINE_HEADER),
             model=ModelName(model.decode("latin-1")) if model else None,
-            last_event_id=_integer_header(found, _LAST_EVENT_ID) or 0,
+            last_event_id=_integer_header(values, _LAST_EVENT_ID) or 0,
         )
 
     def request_headers(
@@ -119,8 +119,8 @@
     return frozenset(name.strip().lower() for name in values.split(b",") if name.strip())
 
 
-def _integer_header(found: dict[bytes, bytes], name: bytes) -> int | None:
-    text = found.get(name)
+def _integer_header(values: dict[bytes, bytes], name: bytes) -> int | None:
+    text = values.get(name)
     if text is None:
         return None
     if not text.isdigit():
--- a/yewloom/platform/records.py
+++ b/yewloom/platform/records.py
@@ -92,7 +92,7 @@
         ),
         max_endpoints=int(fields.get("attempts") or 1),
         timeout_ms=int(fields["timeoutMs"]),
-        # The wire field "sloMs" is the time within which a response earns its full credit.
+        # The wire field "sloMs": a response within this time earns its full credit.
         objective_ms=int(fields.get("sloMs") or 0),
         priority=int(fields.get("priority") or 0),
         is_open=bool(fields.get("anonymous")),
--- a/yewloom/platform/standin_engine.py
+++ b/yewloom/platform/standin_engine.py
@@ -17,7 +17,7 @@
 from yewloom.platform.standin_store import StoreStandIn
 
 JOIN_DURATION_S = 0.1
-"""Time to join a group; the users' engines take some seconds."""
+"""Time to join a group; the users' engines take a few seconds."""
 
 DEFAULT_EVENT_INTERVAL_S = 0.02
 """Default time between two events of a response."""
--- a/yewloom/tests/test_comparison.py
+++ b/yewloom/tests/test_comparison.py
@@ -60,7 +60,7 @@
                 host.add(str(number), Observation(Side.A, Outcome.ANSWERED, 1.0, None))
         merged = merge_records(hosts)
         self.assertLessEqual(len(merged.sample), MAX_SAMPLED_SESSIONS)
-        self.assertTrue(all(len(found) == 3 for found in merged.sample.values()))
+        self.assertTrue(all(len(observations) == 3 for observations in merged.sample.values()))
         self.assertEqual(merged.counts[(Side.A, Outcome.ANSWERED)], 3 * total)
 
     def test_a_record_survives_a_json_round_trip(self) -> None:
@@ -73,11 +73,11 @@
     """Detection of real differences, without false positives."""
 
     def test_equal_policies_rarely_differ(self) -> None:
-        found = 0
+        false_positives = 0
         for seed in range(120):
             result = compare(_simulate(seed), 0.5, random.Random(seed), resamples=150)
-            found += any(metric.is_established for metric in result.metrics)
-        self.assertLessEqual(found / 120, 2 * ERROR_RATE)
+            false_positives += any(metric.is_established for metric in result.metrics)
+        self.assertLessEqual(false_positives / 120, 2 * ERROR_RATE)
 
     def test_a_large_difference_is_established(self) -> None:
         result = compare(_simulate(1, 400, slowdown=3.0), 0.5, random.Random(1))
--- a/yewloom/tests/test_platform_adapter.py
+++ b/yewloom/tests/test_platform_adapter.py
@@ -95,18 +95,20 @@
         self.records = StoreRecordDecoder()
 
     def test_a_configuration_is_decoded(self) -> None:
-        found = self.records.decode_configuration(_stored_object("config", "main", CONFIGURATION))
-        assert found is not None
-        stream = found.routes.find("x.example", "/a/1")
-        unsafe = found.routes.find("x.example", "/b/1")
+        configuration = self.records.decode_configuration(
+            _stored_object("config", "main", CONFIGURATION)
+        )
+        assert configuration is not None
+        stream = configuration.routes.find("x.example", "/a/1")
+        unsafe = configuration.routes.find("x.example", "/b/1")
         assert stream is not None and unsafe is not None
         self.assertEqual((stream.kind, stream.is_resumable), (RouteKind.STREAM, True))
         self.assertEqual([part.weight for part in stream.services], [90, 10])
         self.assertEqual((unsafe.kind, unsafe.max_endpoints), (RouteKind.UNSAFE, 1))
         self.assertTrue(unsafe.is_open)
-        self.assertEqual(found.customers["k2"], "hotel")
-        self.assertEqual(found.limits.max_body_bytes, 99)
-        [service] = found.engine_services()
+        self.assertEqual(configuration.customers["k2"], "hotel")
+        self.assertEqual(configuration.limits.max_body_bytes, 99)
+        [service] = configuration.engine_services()
         assert service.engine is not None
         self.assertEqual(service.engine.models[ModelName("m")].group_size, 4)
 
@@ -184,20 +186,20 @@
             self.codec.decode_request([(b"yewloom-deadline-ms", b"soon")])
 
     def test_the_api_key_and_forged_headers_are_not_forwarded(self) -> None:
-        sending = ForwardingMetadata(HostId("i1"), CustomerId("hotel"), 700, last_event_id=15)
-        sent = self.codec.request_headers(REQUEST, sending)
+        metadata = ForwardingMetadata(HostId("i1"), CustomerId("hotel"), 700, last_event_id=15)
+        sent = self.codec.request_headers(REQUEST, metadata)
         names = [name for name, _ in sent]
         self.assertEqual(len(names), len(set(names)))
-        found = dict(sent)
-        self.assertNotIn(b"authorization", found)
-        self.assertNotIn(b"x-hop", found)
-        self.assertNotIn(b"connection", found)
-        self.assertEqual(found[b"x-end"], b"2")
-        self.assertEqual(found[b"yewloom-tenant"], b"hotel")
-        self.assertEqual(found[b"yewloom-expect-instance"], b"i1")
-        self.assertEqual(found[b"yewloom-deadline-ms"], b"700")
-        self.assertEqual(found[b"last-event-id"], b"15")
-        self.assertEqual(found[b"yewloom-request-id"], b"abc")
+        sent_values = dict(sent)
+        self.assertNotIn(b"authorization", sent_values)
+        self.assertNotIn(b"x-hop", sent_values)
+        self.assertNotIn(b"connection", sent_values)
+        self.assertEqual(sent_values[b"x-end"], b"2")
+        self.assertEqual(sent_values[b"yewloom-tenant"], b"hotel")
+        self.assertEqual(sent_values[b"yewloom-expect-instance"], b"i1")
+        self.assertEqual(sent_values[b"yewloom-deadline-ms"], b"700")
+        self.assertEqual(sent_values[b"last-event-id"], b"15")
+        self.assertEqual(sent_values[b"yewloom-request-id"], b"abc")
 
     def test_without_a_customer_a_forged_customer_header_is_dropped(self) -> None:
         sent = dict(
@@ -422,8 +424,8 @@
             client = _FakeHttpClient(response)
             engines = HttpEngineClient(client)
             send = partial(engines.send, HostId("i"), "i:1", StageModel(ModelName("m")), 6)
-            found = run_on_mock_clock(send)
-            self.assertIs(found, expected)
+            answer = run_on_mock_clock(send)
+            self.assertIs(answer, expected)
             self.assertEqual(client.calls[0][2]["expectedRev"], 6)
 
     def test_a_missing_or_invalid_report_is_none(self) -> None:
@@ -435,9 +437,9 @@
             _json(200, []),
         ]
         engines = HttpEngineClient(_FakeHttpClient(*responses))
-        found = [run_on_mock_clock(lambda: engines.read_report("i:1")) for _ in responses]
-        known = EngineReport(6, 1_790_000_000_000)
-        self.assertEqual(found, [None, EngineReport(5), known, None, None])
+        reports = [run_on_mock_clock(lambda: engines.read_report("i:1")) for _ in responses]
+        with_start = EngineReport(6, 1_790_000_000_000)
+        self.assertEqual(reports, [None, EngineReport(5), with_start, None, None])
 
     def test_the_start_time_of_an_endpoint_is_decoded(self) -> None:
         records = StoreRecordDecoder()
