--- a/yewloom/cli_calls.py
+++ b/yewloom/cli_calls.py
@@ -28,7 +28,7 @@
 from yewloom.tables import parse_row_name
 
 CONNECT_TIMEOUT_S = 3.0
-"""Time-out for connecting, and for a response of the platform; short for interactive use."""
+"""Time-out for connecting, and for responses of the platform; short, as an operator waits."""
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
--- a/yewloom/operations.py
+++ b/yewloom/operations.py
@@ -67,7 +67,7 @@
     try:
         rows = [parse_row(stored) for stored in objects]
     except RecordError as error:
-        return Err(OperationError(f"Cannot decode a row ({error}); write it again."))
+        return Err(OperationError(f"The table contains an invalid row ({error}); write it again."))
     return Ok([row for row in rows if not row.row.deleted])
 
 
@@ -75,7 +75,7 @@
     try:
         return Ok(parse_row(stored))
     except RecordError as error:
-        return Err(OperationError(f"Cannot decode the row ({error}); write it again."))
+        return Err(OperationError(f"The row is invalid ({error}); write it again."))
 
 
 async def apply_edit(platform: Platform, edit: Edit) -> Result[VersionedRow, OperationError]:
--- a/yewloom/tests/test_platform_adapter.py
+++ b/yewloom/tests/test_platform_adapter.py
@@ -438,8 +438,8 @@
         ]
         engines = HttpEngineClient(_FakeHttpClient(*responses))
         reports = [run_on_mock_clock(lambda: engines.read_report("i:1")) for _ in responses]
-        with_start = EngineReport(6, 1_790_000_000_000)
-        self.assertEqual(reports, [None, EngineReport(5), with_start, None, None])
+        with_start_time = EngineReport(6, 1_790_000_000_000)
+        self.assertEqual(reports, [None, EngineReport(5), with_start_time, None, None])
 
     def test_the_start_time_of_an_endpoint_is_decoded(self) -> None:
         records = StoreRecordDecoder()
