--- a/yewloom/platform/store.py
+++ b/yewloom/platform/store.py
@@ -58,7 +58,7 @@
 
 
 OnCall = Callable[[str, str, str], None]
-"""Called after each call with its kind, the kind of object, and the status (``none`` if lost)."""
+"""Called after each call: kind of call, kind of object, status (``none`` without a response)."""
 
 
 class StoreClient:
