--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -72,8 +72,8 @@
     Removal(
         "demand is estimated from running requests",
         "model_need",
-        "model: self._average.get(model, 0.0) + PRIOR_REQUESTS * part / total",
-        "model: PRIOR_REQUESTS * part / total",
+        "model: self._average.get(model, 0.0) + PRIOR_REQUESTS * share / total",
+        "model: PRIOR_REQUESTS * share / total",
     ),
     Removal(
         "a data centre that is cut off is detected",
--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -13,8 +13,8 @@
     Mutation(
         "lease: other hosts wait for the whole duration",
         "leases",
-        "return now_s >= self._first_read_s + expiry_s",
-        "return now_s >= self._first_read_s + expiry_s / 2",
+        "return now_s >= self._version_seen_s + expiry_s",
+        "return now_s >= self._version_seen_s + expiry_s / 2",
         "test_leases",
     ),
     Mutation(
@@ -219,7 +219,7 @@
     Mutation(
         "lease: the last holder renews immediately after an outage",
         "leases",
-        "self._next_step_s = now_s  # Renew immediately, as the lease may have expired.",
+        "self._next_action_s = now_s  # Renew immediately, as the lease may have expired.",
         "pass",
         "test_leases",
     ),
--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -27,14 +27,14 @@
     Mutation(
         "orders: a refused order is repeated with exponential back-off",
         "plan_state",
-        "REFUSED_PAUSE_S * 2 ** self.refusals[name]",
+        "REFUSED_PAUSE_S * 2 ** self.refusals[identity]",
         "REFUSED_PAUSE_S",
         "test_refused_orders",
     ),
     Mutation(
         "orders: a refused load does not count against the load rate",
         "plan_state",
-        "self.recent_load_starts_s.remove(staging.since_s)",
+        "self.recent_load_starts_s.remove(load.since_s)",
         "pass",
         "test_refused_orders",
     ),
--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -69,7 +69,7 @@
     Mutation(
         "placement: hosts of a group are not free",
         "placement",
-        "or host_id in taken\n",
+        "or host_id in assigned\n",
         "\n",
         "test_placement",
     ),
--- a/yewloom/coordinator_records.py
+++ b/yewloom/coordinator_records.py
@@ -24,7 +24,7 @@
 logger = structlog.get_logger(__name__)
 
 WRITE_TIMEOUT_S = 2.0
-"""Longest time to retry a write whose outcome is unknown before the record is read again."""
+"""Longest time to retry a write whose outcome is unknown; then the record is read again."""
 
 
 class LeaseRecord:
@@ -106,11 +106,11 @@
             case WriteNotApplied():
                 self._keeper.on_failed(now_s)
             case WriteOutcomeUnknown():
-                self._keeper.on_unsettled(now_s)
+                self._keeper.on_outcome_unknown(now_s)
 
 
 class PlacementRecord:
-    """The placement record as last read or written; ``current`` is None until it is read again."""
+    """Reads, caches and writes the placement record; ``current`` is None while none is cached."""
 
     def __init__(self, data_centre: DataCentreId, platform: Platform) -> None:
         self._data_centre = data_centre
@@ -119,7 +119,7 @@
         self._version = 0
         self.current: Placement | None = None
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Discard the cached record, as another host may have written a newer one."""
         self.current = None
 
@@ -161,5 +161,5 @@
                 return True
             case Err(error):
                 logger.info("cannot write placement record", reason=str(error))
-                self.forget()
+                self.invalidate()
         return False
--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -3,7 +3,7 @@
 Every entry host runs a coordinator, which acts only while it holds the lease. Its actions are safe
 even if two coordinators act at once: the placement is changed by conditional update, and orders
 carry fences. Orders to engines that do not check fences are sent only until the lease duration
-less its margin has elapsed.
+less its safety margin has elapsed.
 """
 
 from collections.abc import Awaitable, Callable
@@ -40,13 +40,13 @@
         node: Node,
         platform: Platform,
         endpoints: Endpoints,
-        observer: EndpointProber,
+        prober: EndpointProber,
         new_attempt: Callable[[], AttemptId],
     ) -> None:
         self._node = node
         self._platform = platform
         self._endpoints = endpoints
-        self._observer = observer
+        self._prober = prober
         self._new_attempt = new_attempt
         self._writer = EntryHostId(f"{node.id}/{node.membership.own_member.incarnation}")
         self._lease = LeaseKeeper(self._writer, lease_timing(node.settings.lease))
@@ -91,7 +91,7 @@
             logger.error("cannot decode platform record", reason=str(error))
 
     def _has_duty(self) -> bool:
-        """Return whether to act on the lease; a holder continues until its lease expires."""
+        """Return whether to read, acquire or renew the lease; a holder does so until it expires."""
         now_s, membership = trio.current_time(), self._node.membership
         is_chosen = membership.has_platform_duty(COORDINATE_DUTY, COORDINATE_COUNT, now_s)
         return not self._node.work.is_leaving and (is_chosen or self.is_holding)
@@ -142,11 +142,11 @@
             await trio.sleep(interval_s)
 
     async def _coordinate_once(self) -> None:
-        """Observe the fleet, update the placement if needed, and send the orders that are due."""
+        """Probe the engines, update the placement if needed, and send the orders that are due."""
         if not self._is_placement_current and not await self._read_placement():
             return
         await self._read_hosts()
-        await self._observer.probe_members(self._members_to_probe())
+        await self._prober.probe_members(self._members_to_probe())
         self._aggregate_closed_groups()
         plan = self._plan()
         if plan.placement is not None and self.is_holding:
@@ -186,15 +186,15 @@
         members = [
             m for g in placement.groups if not self._node.fleet.is_open(g, now_s) for m in g.members
         ]
-        taken = {member.host_id for group in placement.groups for member in group.members}
+        assigned = {member.host_id for group in placement.groups for member in group.members}
         listed = (self._listed_hosts or {}).values()
-        free = [h for h in listed if not (h.service or h.is_entry_host or h.id in taken)]
+        free = [h for h in listed if not (h.service or h.is_entry_host or h.id in assigned)]
         return members + [GroupMember(host_id=host.id, address=host.address) for host in free]
 
     def _aggregate_closed_groups(self) -> None:
-        """Aggregate own probes of groups that are not open.
+        """Aggregate this host's own probes of groups that are not open.
 
-        The observers of such a group may have stopped or be partitioned.
+        The entry hosts that are assigned to probe such a group may have stopped or be partitioned.
         """
         now_s = trio.current_time()
         for group in self._placement.groups:
@@ -250,21 +250,21 @@
             self._node.settings.groups.max_loading,
         )
         async with trio.open_nursery() as nursery:
-            for entry in due:
-                nursery.start_soon(self._send_order, entry)
+            for due_order in due:
+                nursery.start_soon(self._send_order, due_order)
 
-    async def _send_order(self, entry: DueOrder) -> None:
+    async def _send_order(self, due_order: DueOrder) -> None:
         """Send one order; an engine that does not check fences gets it only under the lease."""
-        if not entry.checks_fences and not self.is_holding:
+        if not due_order.checks_fences and not self.is_holding:
             return
         timeout_s = self._node.settings.lease.margin_ms / 1000
-        result = await self._endpoints.send_order(entry.address, entry.order, timeout_s)
+        result = await self._endpoints.send_order(due_order.address, due_order.order, timeout_s)
         logger.info(
             "ordered",
-            host=entry.host_id,
-            group=entry.order.group_id,
-            generation=entry.order.generation,
-            rank=entry.order.rank,
+            host=due_order.host_id,
+            group=due_order.order.group_id,
+            generation=due_order.order.generation,
+            rank=due_order.order.rank,
             reason=result.err() or "accepted",
         )
 
--- a/yewloom/drafts.py
+++ b/yewloom/drafts.py
@@ -1,4 +1,4 @@
-"""Drafts of a data centre's next placement: its single changes and its invariants."""
+"""Drafts of a data centre's next placement: the possible changes, and the invariants."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -46,9 +46,10 @@
 
 
 def check_placement(placement: Placement) -> None:
-    """Raise PlacementError if a host is in two groups, an id repeats, or a generation is too high.
+    """Raise PlacementError if an invariant is violated.
 
-    No group's generation may exceed that of the record.
+    A host is in at most one group, group ids are unique, and no group's generation exceeds that of
+    the record.
     """
     hosts = Counter(member.host_id for group in placement.groups for member in group.members)
     duplicates = [host for host, count in hosts.items() if count > 1]
@@ -62,7 +63,7 @@
 
 
 class Draft:
-    """A placement while it is being changed."""
+    """A copy of the current placement to which changes are applied, with the reasons for them."""
 
     def __init__(self, current: Placement, writer: EntryHostId, attempt: AttemptId) -> None:
         self._current = current
@@ -91,7 +92,7 @@
             and (policy is None or group.policy == policy)
         ]
 
-    def groups_to_replace(self, policy: PolicyName | None = None) -> list[Group]:
+    def placeholders(self, policy: PolicyName | None = None) -> list[Group]:
         """Return the placeholders of lost groups that await a replacement."""
         return [
             group
@@ -106,9 +107,9 @@
 
     def form(self, policy_name: PolicyName, policy: PolicyRow, hosts: Sequence[Host]) -> None:
         """Form a group; it replaces a lost group of the same policy, if there is one."""
-        waiting = self.groups_to_replace(policy_name)
-        if waiting:
-            self._next.groups.remove(waiting[0])
+        placeholders = self.placeholders(policy_name)
+        if placeholders:
+            self._next.groups.remove(placeholders[0])
         self._formed_count += 1
         generation = self._next.generation
         group_id = f"{policy_name}-{self._next.data_centre}-{generation}-{self._formed_count}"
@@ -123,7 +124,7 @@
             members=members,
         )
         self._next.groups.append(group)
-        reason = "replaces a lost group" if waiting else "free hosts"
+        reason = "replaces a lost group" if placeholders else "free hosts"
         self._record_decision(PlacementChange.FORM, group, reason)
 
     def drain(self, group: Group, reason: str, replace: bool) -> None:
@@ -131,26 +132,26 @@
         group.intent = GroupIntent.DRAINING.value
         self._record_decision(PlacementChange.DRAIN, group, reason)
         if replace:
-            self._add_replacement(group)
+            self._add_placeholder(group)
 
-    def lose(self, group: Group, reason: str) -> None:
+    def remove_lost(self, group: Group, reason: str) -> None:
         """Remove a lost group; one that was active awaits a replacement."""
         self._record_decision(PlacementChange.LOSE, group, reason)
         if group.intent == GroupIntent.ACTIVE.value:
-            self._add_replacement(group)
+            self._add_placeholder(group)
         self._next.groups.remove(group)
 
-    def dissolve(self, group: Group, reason: str) -> None:
+    def remove_drained(self, group: Group, reason: str) -> None:
         """Remove a drained group."""
         self._record_decision(PlacementChange.DISSOLVE, group, reason)
         self._next.groups.remove(group)
 
-    def forget(self, group: Group) -> None:
+    def remove_placeholder(self, group: Group) -> None:
         """Remove the placeholder of a lost group whose policy was deleted."""
         self._record_decision(PlacementChange.FORGET, group, "its policy was deleted")
         self._next.groups.remove(group)
 
-    def list_services(self, services: Iterable[ServiceEndpoint]) -> None:
+    def set_services(self, services: Iterable[ServiceEndpoint]) -> None:
         """Replace the endpoints of plain services."""
         wanted = list(services)
         if wanted == list(self._next.services):
@@ -173,7 +174,7 @@
         check_placement(self._next)
         return PlacementPlan(self._next, tuple(self._decisions))
 
-    def _add_replacement(self, group: Group) -> None:
+    def _add_placeholder(self, group: Group) -> None:
         self._next.groups.append(
             Group(
                 id=f"{group.id}-lost",
--- a/yewloom/fleet.py
+++ b/yewloom/fleet.py
@@ -1,8 +1,8 @@
 """One entry host's view of the whole fleet: placements, endpoints and groups.
 
-Merges this host's own probes with reports from peers. Times are seconds of the local monotonic
-clock. The age in a peer's report is counted from before the peer was queried, so it is never
-understated.
+Merges the results of this host's own probes with reports from peers. Times are seconds of the local
+monotonic clock. The age in a peer's report is counted from before the peer was queried, so it is
+never understated.
 """
 
 from collections.abc import Iterable, Iterator
@@ -95,8 +95,8 @@
         observation = self._groups.get(GroupId(group.id))
         if not is_open(group, observation, now_s, self._freshness_s):
             return False
-        suspected_s = self._call_failed_s.get(GroupId(group.id))
-        return suspected_s is None or self._groups[GroupId(group.id)].observed_s > suspected_s
+        call_failed_s = self._call_failed_s.get(GroupId(group.id))
+        return call_failed_s is None or self._groups[GroupId(group.id)].observed_s > call_failed_s
 
     def open_groups(self, now_s: float) -> list[tuple[DataCentreId, Group, GroupObservation]]:
         """Return the groups that accept new work, with their observations."""
--- a/yewloom/formation.py
+++ b/yewloom/formation.py
@@ -30,20 +30,24 @@
             blocked.add(name)
             continue
         draft.form(name, policy, chosen)
-        taken = {host.id for host in chosen}
-        free = [host for host in free if host.id not in taken]
+        chosen_ids = {host.id for host in chosen}
+        free = [host for host in free if host.id not in chosen_ids]
 
 
 def _next_policy(
     draft: Draft, policies: Mapping[PolicyName, PolicyRow], blocked: set[PolicyName]
 ) -> PolicyName:
-    """Return a policy below its minimum of groups, else the one with the fewest for its weight."""
+    """Return the policy to form a group for next.
 
-    def urgency(name: PolicyName) -> tuple[bool, float, str]:
+    Policies below their minimum number of groups come first, then those with the fewest groups
+    relative to their weight.
+    """
+
+    def sort_key(name: PolicyName) -> tuple[bool, float, str]:
         count = len(draft.formed_groups(GroupIntent.ACTIVE, name))
         return count >= policies[name].min_groups, count / policies[name].weight, name
 
-    return min((name for name in policies if name not in blocked), key=urgency)
+    return min((name for name in policies if name not in blocked), key=sort_key)
 
 
 def _choose_for_policy(
@@ -58,7 +62,7 @@
         return []
     cached = _hosts_with_weights(policy, hosts)
     preferred = sorted(free, key=lambda host: (HostId(host.id) not in cached, host.id))
-    needed = bool(draft.groups_to_replace(name)) or active < policy.min_groups
+    needed = bool(draft.placeholders(name)) or active < policy.min_groups
     kind = policy.WhichOneof("placement")
     placement: Message = getattr(policy, kind) if kind else StrandedPlacement()
     return choose_members(placement, preferred, policy.group_size, needed)
@@ -93,7 +97,10 @@
 
 @choose_members.register
 def _(placement: StrandedPlacement, free: Sequence[Host], size: int, needed: bool) -> list[Host]:
-    """Use the smallest domain that suffices, else hosts of several domains if allowed."""
+    """Use the smallest sufficient domain, else combine domains if that is allowed.
+
+    This leaves few hosts stranded in domains that are too small for another group.
+    """
     domains = _by_domain(free)
     large_enough = [hosts for hosts in domains if len(hosts) >= size]
     if large_enough:
--- a/yewloom/free_hosts.py
+++ b/yewloom/free_hosts.py
@@ -30,12 +30,12 @@
 
     def by_domain(self, groups: Iterable[Group], now_s: float) -> dict[str, list[Endpoint]]:
         """Return the responsive hosts that belong to no group, by fabric domain."""
-        taken = {member.host_id for group in groups for member in group.members}
+        assigned = {member.host_id for group in groups for member in group.members}
         free: defaultdict[str, list[Endpoint]] = defaultdict(list)
         for endpoint in sorted(self._directory.endpoints_of(self._service), key=lambda e: e.id):
             if endpoint.data_centre != self._data_centre or endpoint.is_leaving:
                 continue
-            if endpoint.id in taken or endpoint.id in self._state.suspects:
+            if endpoint.id in assigned or endpoint.id in self._state.suspects:
                 continue
             if not self._is_still_in_group(endpoint, now_s):
                 free[endpoint.fabric_domain].append(endpoint)
--- a/yewloom/group_exchanges.py
+++ b/yewloom/group_exchanges.py
@@ -1,4 +1,4 @@
-"""Exchange of groups of a model with surplus replicas for one group of another model."""
+"""Exchange of groups of a model that has surplus replicas for one group of another model."""
 
 from collections.abc import Mapping, Sequence
 
@@ -52,15 +52,15 @@
         wanted: ReplicaModel,
         need: ModelNeed,
     ) -> GroupExchange | None:
-        """Return the exchange that adds enough hosts to the free hosts of one domain."""
+        """Return an exchange whose hosts and the free hosts of one domain suffice for a group."""
         hosts = list(free)
         released: list[Group] = []
-        by_weights = sorted(groups, key=lambda group: self._hosts_to_load(group, wanted))
-        for group in by_weights:
+        by_load_count = sorted(groups, key=lambda group: self._count_loads(group, wanted))
+        for group in by_load_count:
             members = listed_members(group, self._directory)
-            is_here = any(member.fabric_domain == domain for member in members)
+            is_in_domain = any(member.fabric_domain == domain for member in members)
             is_active = group.intent == GroupIntent.ACTIVE.value
-            if len(hosts) >= wanted.group_size or not is_here or not is_active:
+            if len(hosts) >= wanted.group_size or not is_in_domain or not is_active:
                 continue
             if need.is_exchange_worthwhile(ModelName(group.model), wanted.name, len(released) + 1):
                 released.append(group)
@@ -70,7 +70,7 @@
         hosts.sort(key=lambda host: not host.can_join_without_load(wanted.name))
         return GroupExchange(domain, wanted, released, hosts[: wanted.group_size])
 
-    def _hosts_to_load(self, group: Group, wanted: ReplicaModel) -> int:
+    def _count_loads(self, group: Group, wanted: ReplicaModel) -> int:
         return sum(
             not member.can_join_without_load(wanted.name)
             for member in listed_members(group, self._directory)
--- a/yewloom/groups.py
+++ b/yewloom/groups.py
@@ -16,9 +16,9 @@
 NEVER_S = float("-inf")
 
 MIN_PROBED_SHARE = 0.5
-"""Share of ``missing_after_s`` that the failed probes of a member must span before it counts as
-missing. After a pause of the prober itself, all outstanding probes fail at once, but they were sent
-within the timeout of one probe."""
+"""Share of ``missing_after_s`` over which the failed probes of a member must have been sent before
+it counts as missing. A pause of the prober itself makes all outstanding probes fail at once, but
+those were sent within the time-out of a single probe."""
 
 
 @value_class
@@ -170,7 +170,7 @@
 
 
 def _is_missing(known: HostObservation, now_s: float, missing_after_s: float) -> bool:
-    """Return whether probes failed for ``missing_after_s``, sent over at least half of it."""
+    """Return whether probes failed for ``missing_after_s`` and span at least half of that time."""
     since_s = known.failing_since_s
     if since_s is None or now_s - since_s < missing_after_s:
         return False
--- a/yewloom/leases.py
+++ b/yewloom/leases.py
@@ -14,8 +14,8 @@
 from yewloom.values import value_class
 
 HOLDER_RETRY_S = 0.3
-"""Pause before the last holder retries after the store did not answer. It is short so that groups
-are repaired soon after an outage."""
+"""Pause before the last holder of the lease calls the store again after it did not answer. It is
+short so that groups are repaired soon after an outage."""
 
 
 @value_class
@@ -58,9 +58,9 @@
         self._timing = timing
         self._record: Lease | None = None
         self._version = 0
-        self._first_read_s: float | None = None
+        self._version_seen_s: float | None = None
         self._held_until_s = float("-inf")
-        self._next_step_s = float("-inf")
+        self._next_action_s = float("-inf")
         self._is_interrupted = False
 
     @property
@@ -74,10 +74,10 @@
 
     def next_action(self, now_s: float, attempt: AttemptId) -> LeaseAction | None:
         """Return the action that is due, if any; ``attempt`` identifies a write."""
-        if now_s < self._next_step_s:
+        if now_s < self._next_action_s:
             return None
-        self._next_step_s = now_s + self._timing.renew_interval_s
-        if self._first_read_s is None:
+        self._next_action_s = now_s + self._timing.renew_interval_s
+        if self._version_seen_s is None:
             return ReadLease()
         if self._may_write(now_s):
             return WriteLease(self._new_lease(attempt), self._version)
@@ -85,20 +85,20 @@
 
     def on_read(self, record: Lease | None, version: int, now_s: float) -> None:
         """Process the record as read; ``version`` is 0 if there is none."""
-        if self._first_read_s is None or version != self._version:
-            self._first_read_s = now_s
+        if self._version_seen_s is None or version != self._version:
+            self._version_seen_s = now_s
         self._record = record
         self._version = version
         if not self._is_own_record:
             self._held_until_s = float("-inf")
         elif self._is_interrupted:
-            self._next_step_s = now_s  # Renew immediately, as the lease may have expired.
+            self._next_action_s = now_s  # Renew immediately, as the lease may have expired.
 
     def on_written(self, record: Lease, version: int, sent_s: float, now_s: float) -> None:
         """Process a successful write; ``sent_s`` is the time before it was first sent."""
         self._record = record
         self._version = version
-        self._first_read_s = now_s
+        self._version_seen_s = now_s
         self._held_until_s = sent_s + record.duration_ms / 1000
         self._is_interrupted = False
 
@@ -109,8 +109,8 @@
     def on_conflict(self) -> None:
         """Process a write conflict: the lease counts as lost until it is re-read."""
         self._held_until_s = float("-inf")
-        self._first_read_s = None
-        self._next_step_s = float("-inf")
+        self._version_seen_s = None
+        self._next_action_s = float("-inf")
         self._is_interrupted = False
 
     def on_failed(self, now_s: float) -> None:
@@ -121,11 +121,11 @@
         """
         if self._is_own_record:
             self._is_interrupted = True
-            self._next_step_s = now_s + HOLDER_RETRY_S
+            self._next_action_s = now_s + HOLDER_RETRY_S
 
-    def on_unsettled(self, now_s: float) -> None:
+    def on_outcome_unknown(self, now_s: float) -> None:
         """Process a write of unknown outcome: the record is read before the next write."""
-        self._first_read_s = None
+        self._version_seen_s = None
         self.on_failed(now_s)
 
     def release(self, attempt: AttemptId, now_s: float) -> WriteLease | None:
@@ -144,9 +144,9 @@
     def _may_write(self, now_s: float) -> bool:
         if self._record is None or self._record.holder == self._holder:
             return True
-        assert self._first_read_s is not None
+        assert self._version_seen_s is not None
         expiry_s = self._record.duration_ms / 1000 + self._timing.margin_s
-        return now_s >= self._first_read_s + expiry_s
+        return now_s >= self._version_seen_s + expiry_s
 
     def _new_lease(self, attempt: AttemptId) -> Lease:
         return Lease(
--- a/yewloom/model_need.py
+++ b/yewloom/model_need.py
@@ -8,7 +8,8 @@
 
 REPLICA_TOLERANCE = 0.5
 """Difference in replicas up to which models count as equally supplied. Equally supplied models are
-ordered by group size, smallest first, as a lost host breaks less of a small group."""
+ordered by group size, smallest first, as the loss of a host takes less capacity out of service when
+groups are small."""
 
 DEMAND_TIME_CONSTANT_S = 5.0
 """Time constant of the demand average: the duration of a few requests, well below the time to load
@@ -67,7 +68,7 @@
 
 
 class DemandMeter:
-    """Averages the number of concurrent requests per model over all entry hosts.
+    """Time average of the number of requests of each model that run on all entry hosts together.
 
     The configured shares are added as a prior that weighs as much as ``PRIOR_REQUESTS``.
     """
@@ -89,6 +90,6 @@
         prior = configured_demand(profile)
         total = sum(prior.values()) or 1.0
         return {
-            model: self._average.get(model, 0.0) + PRIOR_REQUESTS * part / total
-            for model, part in prior.items()
+            model: self._average.get(model, 0.0) + PRIOR_REQUESTS * share / total
+            for model, share in prior.items()
         }
--- a/yewloom/model_reserves.py
+++ b/yewloom/model_reserves.py
@@ -18,18 +18,18 @@
 from yewloom.states import GroupIntent
 
 RESERVE_TIMEOUT_S = 3.0
-"""Longest time for which free hosts are reserved until the members of an abandoned group join
-them. The members are free once they have left that group, which takes a second or two."""
+"""Longest time for which free hosts are reserved while the members of an abandoned group leave it.
+Leaving takes a second or two."""
 
 
 class ModelReserves:
-    """Finds free hosts that should wait for others of their domain with the same weights."""
+    """Finds free hosts that should not be used until others of their domain become free."""
 
     def __init__(self, directory: EndpointDirectory, state: PlanState) -> None:
         self._directory = directory
         self._state = state
 
-    def leaving(self, groups: Iterable[Group], now_s: float) -> list[Endpoint]:
+    def leaving_members(self, groups: Iterable[Group], now_s: float) -> list[Endpoint]:
         """Return the responsive hosts of groups that were abandoned recently."""
         members: list[Endpoint] = []
         for group in groups:
--- a/yewloom/observers.py
+++ b/yewloom/observers.py
@@ -34,7 +34,7 @@
 
     async def probe_round(self) -> None:
         """Probe each assigned endpoint once, and aggregate the results by group."""
-        groups, services = self._own_groups(), self._own_services()
+        groups, services = self._assigned_groups(), self._assigned_services()
         async with trio.open_nursery() as nursery:
             for group in groups:
                 nursery.start_soon(self.probe_members, group.members)
@@ -50,11 +50,11 @@
             for member in members:
                 nursery.start_soon(self._probe_member, member)
 
-    def _own_groups(self) -> list[Group]:
+    def _assigned_groups(self) -> list[Group]:
         placement = self._node.fleet.placement(self._node.data_centre)
         return [g for g in placement.groups if g.members and self._has_duty(f"group/{g.id}")]
 
-    def _own_services(self) -> list[ServiceEndpoint]:
+    def _assigned_services(self) -> list[ServiceEndpoint]:
         placement = self._node.fleet.placement(self._node.data_centre)
         return [s for s in placement.services if self._has_duty(f"service/{s.host_id}")]
 
--- a/yewloom/order_counts.py
+++ b/yewloom/order_counts.py
@@ -67,15 +67,15 @@
         """Record an answer to an order, which named the expected count or None.
 
         ``STARTED`` means that the count was incremented. ``UNCHANGED`` means that nothing changed,
-        except for a leave: it completes immediately, so it incremented the count if the engine was
-        in the named group. Without an expected count, the engine may have been in a state other
-        than the known one.
+        except after an order to leave: leaving completes immediately, so the order incremented the
+        count if the engine was in the named group. Without an expected count, the engine may have
+        been in a state other than the known one.
         """
         known = self._counts_by_engine.pop(engine, None)
         if known is None:
             return
-        is_proof = answer is OrderAnswer.STARTED or expected_order_count is not None
-        if answer not in _ACCEPTED or not is_proof:
+        is_conclusive = answer is OrderAnswer.STARTED or expected_order_count is not None
+        if answer not in _ACCEPTED or not is_conclusive:
             return
         is_departure = isinstance(order, LeaveGroup) and known.group == order.key
         is_incremented = answer is OrderAnswer.STARTED or is_departure
--- a/yewloom/order_delivery.py
+++ b/yewloom/order_delivery.py
@@ -33,7 +33,7 @@
 _HAS_LEFT = (OrderAnswer.STARTED, OrderAnswer.UNCHANGED, OrderAnswer.WRONG_ENGINE)
 """Answers to an order to leave after which the engine no longer belongs to the group."""
 
-STALE_PAUSES_S = (0.1, 0.2, 0.4)
+STALE_REPORT_PAUSES_S = (0.1, 0.2, 0.4)
 """Pauses between queries of an engine whose report is older than its last answer to an order."""
 
 JOIN_REPORT_TIMEOUT_S = 2.0
@@ -50,7 +50,7 @@
 
 
 class OrderDelivery:
-    """Sends orders, each with the number of orders that its engine must have accepted before."""
+    """Sends orders, with the number of orders that the engine must have accepted before."""
 
     def __init__(
         self, engine_orders: EngineOrders, state: PlanState, metrics: ForwardMetrics
@@ -67,7 +67,7 @@
     def send_all(self, orders: Iterable[PlannedOrder], tasks: BackgroundTasks) -> None:
         """Send all orders concurrently without waiting for the answers.
 
-        An order to an engine that is still processing another one is left to the next plan.
+        If an order to the same engine is still in progress, the next plan sends this one again.
         """
         for order in orders:
             if not tasks.start(order.engine, partial(self._deliver_order, order)):
@@ -75,22 +75,22 @@
 
     async def _deliver_order(self, planned: PlannedOrder) -> None:
         try:
-            sequence = await self._sequence_for(planned)
+            expected_order_count = await self._expected_count_for(planned)
         except _OrderNotSentError as error:
             logger.info("order not sent", engine=planned.engine, reason=str(error))
             self._state.reschedule(planned)
             return
-        answer = await self._send(planned, sequence)
+        answer = await self._send(planned, expected_order_count)
         if answer is OrderAnswer.REFUSED and isinstance(planned.order, LeaveGroup):
             # Leaving affects no other group, so it is safe to send without a count.
             await self._send(planned, None)
 
-    async def _send(self, planned: PlannedOrder, sequence: int | None) -> OrderAnswer:
+    async def _send(self, planned: PlannedOrder, expected_order_count: int | None) -> OrderAnswer:
         """Send an order and record the outcome."""
         answer = await self._engine_orders.send(
-            planned.engine, planned.address, planned.order, sequence
+            planned.engine, planned.address, planned.order, expected_order_count
         )
-        self._counts.record_answer(planned.engine, planned.order, sequence, answer)
+        self._counts.record_answer(planned.engine, planned.order, expected_order_count, answer)
         self._record_acceptance(planned, answer)
         self._metrics.on_order(type(planned.order).__name__, answer.value)
         logger.info("order", engine=planned.engine, order=str(planned.order), answer=answer.value)
@@ -99,7 +99,7 @@
             self._state.departures.add(Departure(planned.engine, planned.order.key))
         return answer
 
-    async def _sequence_for(self, planned: PlannedOrder) -> int | None:
+    async def _expected_count_for(self, planned: PlannedOrder) -> int | None:
         """Return the number of orders that the engine must have accepted before this one, if any.
 
         Raises _OrderNotSentError if the engine does not report it, does not leave its previous
@@ -111,15 +111,15 @@
         """
         match planned.order:
             case JoinGroup(key=key):
-                return await self._sequence_to_join(planned, key)
+                return await self._expected_count_to_join(planned, key)
             case StageModel():
-                return await self._sequence_to_load(planned)
+                return await self._expected_count_to_load(planned)
             case LeaveGroup(key=key):
                 known = self._counts.get(planned.engine, planned.started_unix_ms)
                 return known.order_count if known is not None and known.group == key else None
         return None
 
-    async def _sequence_to_load(self, planned: PlannedOrder) -> int | None:
+    async def _expected_count_to_load(self, planned: PlannedOrder) -> int | None:
         """Return the count of an engine that is to load weights, or None if it does not report.
 
         The order is sent even without a count: a load that may start twice does less harm than one
@@ -138,7 +138,7 @@
             raise _OrderNotSentError("engine is executing another order")
         return self._counts.record_report(planned.engine, report).order_count
 
-    async def _sequence_to_join(self, planned: PlannedOrder, key: GroupKey) -> int:
+    async def _expected_count_to_join(self, planned: PlannedOrder, key: GroupKey) -> int:
         """Return the count of an engine, after making sure that it is in no group but ``key``.
 
         A join replaces the engine's current membership even if that group is serving. Listings and
@@ -158,7 +158,7 @@
 
     async def _fresh_count(self, planned: PlannedOrder) -> KnownCount:
         """Query an engine until its report is at least as recent as its answers to orders."""
-        for pause_s in STALE_PAUSES_S:
+        for pause_s in STALE_REPORT_PAUSES_S:
             report = await self._report(planned, JOIN_REPORT_TIMEOUT_S)
             current = self._counts.record_report(planned.engine, report)
             if current.group is None or not self._state.has_left(planned.engine, current.group):
--- a/yewloom/placement.py
+++ b/yewloom/placement.py
@@ -20,7 +20,11 @@
 
 @value_class
 class PlacementTiming:
-    """Durations of the group life cycle."""
+    """Durations of the group life cycle.
+
+    An observation is fresh for ``freshness_s``. A group that is not ready after ``load_timeout_s``
+    is lost, and a draining group is removed after it was idle for ``settle_s``.
+    """
 
     freshness_s: float
     load_timeout_s: float
@@ -45,7 +49,7 @@
 class PlacementPlanner:
     """Plans the next placement.
 
-    Its only state is when each group was first seen loading or idle, and each host free. A host
+    Its only state is the times when groups were first seen loading or idle, and hosts free. A host
     that does not check fences cannot refuse work for its previous group, so it is not used again
     until every entry host's view of that group has expired.
     """
@@ -68,7 +72,7 @@
             self._drain_superseded(draft, fleet)
             free = self._free_hosts(draft, fleet, now_s)
             form_groups(draft, fleet.policies, fleet.hosts, free)
-            _list_services(draft, fleet)
+            _set_services(draft, fleet)
         self._drop_stale_times(draft)
         return draft.finish()
 
@@ -78,10 +82,10 @@
             observation = _current_observation(group, fleet)
             lost_reason = self._loss_reason(group, observation, now_s)
             if lost_reason:
-                draft.lose(group, lost_reason)
+                draft.remove_lost(group, lost_reason)
             elif group.intent == GroupIntent.DRAINING.value:
                 if self._is_drained(group, observation, now_s):
-                    draft.dissolve(group, "drained")
+                    draft.remove_drained(group, "drained")
             elif _has_leaving_member(group, observation, fleet):
                 draft.drain(group, "a member is leaving", replace=True)
 
@@ -127,9 +131,9 @@
             active = draft.formed_groups(GroupIntent.ACTIVE, name)
             for group in active[policy.max_groups :]:
                 draft.drain(group, "its policy allows fewer groups", replace=False)
-        for group in draft.groups_to_replace():
+        for group in draft.placeholders():
             if PolicyName(group.policy) not in fleet.policies:
-                draft.forget(group)
+                draft.remove_placeholder(group)
 
     def _free_hosts(self, draft: Draft, fleet: FleetState, now_s: float) -> list[Host]:
         """Return the hosts from which groups can be formed, in order of id."""
@@ -180,9 +184,9 @@
     return (group.model, group.model_version, len(group.members)) != wanted
 
 
-def _list_services(draft: Draft, fleet: FleetState) -> None:
+def _set_services(draft: Draft, fleet: FleetState) -> None:
     hosts = [host for _, host in sorted((fleet.listed or {}).items()) if host.service]
-    draft.list_services(
+    draft.set_services(
         ServiceEndpoint(
             service=host.service,
             host_id=host.id,
@@ -195,14 +199,14 @@
 
 def _free_hosts(draft: Draft, fleet: FleetState, now_s: float, freshness_s: float) -> list[Host]:
     """Return listed, live engines that were seen recently and are in no group, in order of id."""
-    taken = draft.assigned_hosts()
+    assigned = draft.assigned_hosts()
     free = []
     for host_id, host in sorted((fleet.listed or {}).items()):
         known = fleet.hosts.get(host_id)
         if (
             host.service
             or host.is_entry_host
-            or host_id in taken
+            or host_id in assigned
             or host.state != HostState.LIVE.value
         ):
             continue
--- a/yewloom/plan_state.py
+++ b/yewloom/plan_state.py
@@ -10,7 +10,7 @@
 from yewloom.schema.records_pb2 import Group, Placement
 from yewloom.values import value_class
 
-ORDER_REPEAT_S = 1.5
+ORDER_RETRY_S = 1.5
 """Pause before an order is sent again if listings do not show its effect. Normally a listing shows
 the effect within a few hundred milliseconds."""
 
@@ -19,8 +19,8 @@
 ``ORDER_REPEAT_S``."""
 
 BUSY_PAUSE_S = 2.0
-"""Pause before an engine that is executing another coordinator's order is asked to load weights;
-loading takes longer than this."""
+"""Time for which an engine that is executing another coordinator's order is not asked to load
+weights. A load takes longer than this pause."""
 
 
 @value_class
@@ -51,7 +51,7 @@
 
 
 @value_class
-class Staging:
+class LoadInProgress:
     """A model whose weights are being loaded onto a host, and since when."""
 
     model: ModelName
@@ -117,7 +117,7 @@
     ended_groups: set[GroupKey] = field(default_factory=set)
     leader_seen_joined: set[GroupKey] = field(default_factory=set)
     unresponsive: set[HostId] = field(default_factory=set)
-    loads_in_progress: dict[HostId, Staging] = field(default_factory=dict)
+    loads_in_progress: dict[HostId, LoadInProgress] = field(default_factory=dict)
     unlisted_since_s: dict[HostId, float] = field(default_factory=dict)
     last_answer_s: dict[HostId, float] = field(default_factory=dict)
     stalled_s: dict[GroupKey, float] = field(default_factory=dict)
@@ -175,25 +175,25 @@
 
     def mark_sent_if_due(self, planned: PlannedOrder, now_s: float) -> bool:
         """Return whether an order is due, and if so record it as sent."""
-        name = order_id(planned)
-        if now_s < self.next_send_s.get(name, float("-inf")):
+        identity = order_id(planned)
+        if now_s < self.next_send_s.get(identity, float("-inf")):
             return False
-        self.next_send_s[name] = now_s + ORDER_REPEAT_S
+        self.next_send_s[identity] = now_s + ORDER_RETRY_S
         return True
 
     def reschedule(self, planned: PlannedOrder, due_s: float = float("-inf")) -> None:
-        """Record that an order had no effect; it may be sent again from ``next_send_s`` on."""
+        """Record that an order had no effect; it may be sent again from ``due_s`` on."""
         self.next_send_s[order_id(planned)] = due_s
         if isinstance(planned.order, StageModel):
-            staging = self.loads_in_progress.pop(planned.engine, None)
-            if staging is not None and staging.since_s in self.recent_load_starts_s:
-                self.recent_load_starts_s.remove(staging.since_s)
+            load = self.loads_in_progress.pop(planned.engine, None)
+            if load is not None and load.since_s in self.recent_load_starts_s:
+                self.recent_load_starts_s.remove(load.since_s)
 
     def record_refused(self, planned: PlannedOrder, now_s: float) -> None:
         """Record that an engine refused an order, which becomes due again after a pause."""
-        name = order_id(planned)
-        pause_s = min(REFUSED_PAUSE_S * 2 ** self.refusals[name], ORDER_REPEAT_S)
-        self.refusals[name] += 1
+        identity = order_id(planned)
+        pause_s = min(REFUSED_PAUSE_S * 2 ** self.refusals[identity], ORDER_RETRY_S)
+        self.refusals[identity] += 1
         self.reschedule(planned, now_s + pause_s)
         if isinstance(planned.order, StageModel):
             self.record_busy(planned.engine, now_s)
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -28,7 +28,7 @@
 from yewloom.selection import Selector
 from yewloom.stalled_groups import StalledGroups
 from yewloom.stalls import StallDetector
-from yewloom.weight_loads import supply_bounds
+from yewloom.weight_loads import compute_load_limit
 
 logger = structlog.get_logger(__name__)
 
@@ -102,7 +102,7 @@
         tasks.cancel_all()
         logger.info("coordinator role changed", holds=holds, term=self._lease.term)
         self._is_holding = holds
-        self._placement.forget()
+        self._placement.invalidate()
         self._state.clear_observations()
         self._delivery.clear_order_counts()
 
@@ -125,7 +125,7 @@
         record = self._placement.current
         assert record is not None and service.engine is not None
         self._count_data_centres(service)
-        planner = self._planner(service, service.engine)
+        planner = self._make_planner(service, service.engine)
         plan = planner.plan(record, trio.current_time())
         _log_ended(plan)
         orders = plan.orders
@@ -135,14 +135,14 @@
             orders = [*orders, *self._orders_to_form(planner, plan.record, record)]
         self._delivery.send_all(orders, tasks)
 
-    def _planner(self, service: Service, engine: EngineProfile) -> ReplicaPlanner:
+    def _make_planner(self, service: Service, engine: EngineProfile) -> ReplicaPlanner:
         return ReplicaPlanner(
             self._data_centre,
             service.name,
             engine,
             self._directory,
             self._state,
-            supply_bounds(self._is_before_traffic(), engine.loads_per_s, self._data_centres),
+            compute_load_limit(self._is_before_traffic(), engine.loads_per_s, self._data_centres),
             self._demand.demand(engine),
         )
 
--- a/yewloom/replica_lifecycle.py
+++ b/yewloom/replica_lifecycle.py
@@ -22,7 +22,8 @@
 from yewloom.states import GroupIntent
 
 FORM_MARGIN_S = 3.0
-"""Time beyond its warm-up, or its loads, after which a group that is not ready is replaced."""
+"""Time beyond the warm-up, or beyond the load if a member lacks the weights, after which a group
+that is not ready is replaced."""
 
 CLOSE_TIMEOUT_S = 10.0
 """Longest time for a closing group to finish; engines do not hold a leaving member longer."""
@@ -181,8 +182,8 @@
         states = {m.membership.state for m in in_group if m.membership is not None}
         is_complete = len(in_group) == len(members)
         if is_complete and MemberState.OPEN in states:
-            # Reset the timer, so that an outdated listing that briefly shows the group as forming
-            # does not exceed the time to form.
+            # Reset the timer. Otherwise the time to form would already have been exceeded when an
+            # outdated listing briefly shows the group as forming.
             self._state.transition_since_s.pop(key, None)
             if self._must_drain(present, key, now_s):
                 self.retire(group, key, GroupIntent.DRAINING)
@@ -246,12 +247,12 @@
         model = self._profile.models.get(ModelName(group.model))
         limit_s = (model.load_s if model is not None else 0.0) + FORM_MARGIN_S
         members = [HostId(member.host_id) for member in group.members]
-        if all(self._has_staged(member, group.model) for member in members):
+        if all(self._has_weights(member, group.model) for member in members):
             limit_s = (model.warm_up_s if model is not None else 0.0) + FORM_MARGIN_S
         if age_s > limit_s:
             self.retire(group, key, GroupIntent.REPLACING)
 
-    def _has_staged(self, member: HostId, model: str) -> bool:
+    def _has_weights(self, member: HostId, model: str) -> bool:
         listed = self._directory.by_id.get(member)
         return listed is not None and ModelName(model) in listed.staged
 
@@ -261,7 +262,7 @@
         self._state.transition_since_s.pop(key, None)
 
     def _order_once(self, engine: HostId, address: str, order: EngineOrder, now_s: float) -> None:
-        """Order any process of an engine, unless the same order was sent recently."""
+        """Schedule an order to any process of an engine, unless it was sent recently."""
         self._schedule(PlannedOrder(engine, address, order), now_s)
 
     def _schedule(self, planned: PlannedOrder, now_s: float) -> None:
--- a/yewloom/replica_orders.py
+++ b/yewloom/replica_orders.py
@@ -9,7 +9,8 @@
 from yewloom.values import value_class
 
 REPORT_TIMEOUT_S = 0.4
-"""Default time-out for an engine's report. Reporting does not take up a slot in its batch."""
+"""Default time-out for an engine's report. It can be short, as an engine reports without a slot in
+its batch of requests."""
 
 
 @value_class
--- a/yewloom/replica_plan.py
+++ b/yewloom/replica_plan.py
@@ -17,7 +17,7 @@
 from yewloom.replica_supply import ReplicaSupply
 from yewloom.schema.records_pb2 import Group, Placement
 from yewloom.states import GroupIntent
-from yewloom.weight_loads import SupplyBounds
+from yewloom.weight_loads import LoadLimit
 
 
 class ReplicaPlanner:
@@ -30,7 +30,7 @@
         profile: EngineProfile,
         directory: EndpointDirectory,
         state: PlanState,
-        bounds: SupplyBounds,
+        load_limit: LoadLimit,
         demand: Mapping[ModelName, float],
     ) -> None:
         self._data_centre = data_centre
@@ -40,7 +40,7 @@
         self._demand = demand
         self._state = state
         self._lifecycle = GroupLifecycle(profile, directory, state)
-        self._supply = ReplicaSupply(data_centre, service, profile, directory, state, bounds)
+        self._supply = ReplicaSupply(data_centre, service, profile, directory, state, load_limit)
 
     def plan(self, record: Placement, now_s: float) -> ReplicaPlan:
         """Return the plan that follows the given record; a planner is used for one plan only."""
--- a/yewloom/replica_supply.py
+++ b/yewloom/replica_supply.py
@@ -1,7 +1,7 @@
 """Hosts for new groups: which group to form next, and which weights to load in advance.
 
-Loading weights takes far longer than any other step, so a group is formed only from hosts that are
-prepared for its model. Weights are loaded in advance onto free hosts, or onto serving hosts of a
+Loading weights takes far longer than any other step, so a group is formed only from hosts that can
+join it without a load. Weights are loaded in advance onto free hosts, or onto serving hosts of a
 model with surplus replicas.
 """
 
@@ -18,13 +18,13 @@
 from yewloom.plan_state import PlannedOrder, PlanState
 from yewloom.schema.records_pb2 import Group, GroupMember
 from yewloom.states import GroupIntent
-from yewloom.weight_loads import SupplyBounds, WeightLoads
+from yewloom.weight_loads import LoadLimit, WeightLoads
 
 FIRST_FORMATION_PAUSE_S = 0.9
 """Time without a new host after which the first groups are formed. Hosts appear within 3 s of the
 start, a few hundred milliseconds apart, and loads are not limited until the first request."""
 
-_SETTLED = (MemberState.READY, MemberState.OPEN)
+_FORMED = (MemberState.READY, MemberState.OPEN)
 
 
 class ReplicaSupply:
@@ -37,16 +37,16 @@
         profile: EngineProfile,
         directory: EndpointDirectory,
         state: PlanState,
-        bounds: SupplyBounds,
+        load_limit: LoadLimit,
     ) -> None:
         self._data_centre = data_centre
         self._service = service
         self._profile = profile
         self._directory = directory
         self._state = state
-        self._bounds = bounds
+        self._load_limit = load_limit
         self._free = FreeHosts(data_centre, service, directory, state)
-        self._loads = WeightLoads(profile, directory, state, bounds)
+        self._loads = WeightLoads(profile, directory, state, load_limit)
         self._exchanges = GroupExchanges(directory)
         self._reserves = ModelReserves(directory, state)
 
@@ -64,7 +64,9 @@
         if self._is_awaiting_hosts(now_s):
             return formed
         models = self._models_by_domain(groups)
-        leaving = [] if self._bounds.is_unlimited else self._reserves.leaving(groups, now_s)
+        leaving = (
+            [] if self._load_limit.is_unlimited else self._reserves.leaving_members(groups, now_s)
+        )
         while (choice := self._next_group(free, need, models, leaving)) is not None:
             model, chosen = choice
             name = f"{self._data_centre}-{generation}-{len(formed)}"
@@ -78,7 +80,7 @@
     def load_ahead(self, groups: Sequence[Group], need: ModelNeed, now_s: float) -> list[Group]:
         """Load weights for the next groups; return the groups to drain for an exchange now."""
         self._loads.drop_finished(now_s)
-        if self._bounds.is_unlimited:
+        if self._load_limit.is_unlimited:
             self._load_spare_weights(groups, now_s)
             return []
         free = self._free.by_domain(groups, now_s)
@@ -104,7 +106,7 @@
             largest = max(models, key=lambda model: model.group_size)
             others = [g for g in here if g.model != largest.name]
             for host in listed_members(others[0], self._directory) if others else ():
-                is_open = host.membership is not None and host.membership.state in _SETTLED
+                is_open = host.membership is not None and host.membership.state in _FORMED
                 if is_open and largest.name not in host.staged:
                     self._loads.load(host, largest, now_s)
 
@@ -118,13 +120,13 @@
         return []
 
     def _is_awaiting_hosts(self, now_s: float) -> bool:
-        """Return whether to wait for more hosts before the first request, to fill domains."""
+        """Return whether to wait for more hosts to appear before the first groups are formed."""
         ids = {endpoint.id for endpoint in self._directory.endpoints_of(self._service)}
         if not ids <= self._state.known_hosts:
             self._state.known_hosts |= ids
             self._state.last_new_host_s = now_s
         return (
-            self._bounds.is_unlimited
+            self._load_limit.is_unlimited
             and now_s - self._state.last_new_host_s < FIRST_FORMATION_PAUSE_S
         )
 
@@ -164,7 +166,7 @@
         return None
 
     def _can_join(self, endpoint: Endpoint, model: ReplicaModel) -> bool:
-        return self._bounds.is_unlimited or endpoint.can_join_without_load(model.name)
+        return self._load_limit.is_unlimited or endpoint.can_join_without_load(model.name)
 
     def _load_for_domain(
         self, endpoints: Sequence[Endpoint], need: ModelNeed, now_s: float
@@ -202,22 +204,24 @@
 ) -> list[str]:
     """Return the domains with free hosts, the one with the fewest groups of this model first."""
 
-    def rank(domain: str) -> tuple[int, int, str]:
+    def sort_key(domain: str) -> tuple[int, int, str]:
         here = models.get(domain, Counter())
         return here[model.name], len(free[domain]), domain
 
-    return sorted(free, key=rank)
+    return sorted(free, key=sort_key)
 
 
 def _model_to_load(endpoints: Sequence[Endpoint], need: ModelNeed) -> ReplicaModel:
     """Return the model whose weights a domain's free hosts should have.
 
     This is the model with the greatest shortage for which there are enough hosts to form a group,
-    or for which some hosts are already prepared and wait for more.
+    or for which some hosts already have the weights and wait for more hosts.
     """
     by_need = need.models_by_need()
     for model in by_need:
-        is_begun = any(endpoint.can_join_without_load(model.name) for endpoint in endpoints)
-        if model.group_size <= len(endpoints) or is_begun:
+        has_prepared_host = any(
+            endpoint.can_join_without_load(model.name) for endpoint in endpoints
+        )
+        if model.group_size <= len(endpoints) or has_prepared_host:
             return model
     return by_need[0]
--- a/yewloom/share_balancer.py
+++ b/yewloom/share_balancer.py
@@ -1,4 +1,4 @@
-"""Writes the record of a data centre's limit shares, as part of its coordinator."""
+"""Writes the record of limit shares of a data centre's entry hosts, as part of its coordinator."""
 
 from collections.abc import Callable, Iterable
 
@@ -19,7 +19,7 @@
 
 
 class ShareBalancer:
-    """Divides the data centre's portion of each limit among its entry hosts."""
+    """Divides the data centre's share of each limit among its entry hosts."""
 
     def __init__(
         self, node: Node, platform: Platform, new_attempt: Callable[[], AttemptId]
@@ -27,14 +27,14 @@
         self._node = node
         self._platform = platform
         self._new_attempt = new_attempt
-        self._next_s = float("-inf")
+        self._next_run_s = float("-inf")
 
     async def run_if_due(self, listed: Iterable[Host]) -> None:
         """Update the record if the rebalance interval has elapsed."""
         now_s = trio.current_time()
-        if now_s < self._next_s:
+        if now_s < self._next_run_s:
             return
-        self._next_s = now_s + self._node.settings.limits.rebalance_interval_ms / 1000
+        self._next_run_s = now_s + self._node.settings.limits.rebalance_interval_ms / 1000
         match await self._platform.get(self._key):
             case Ok(stored):
                 current = parse_shares(stored) if stored is not None else Shares()
@@ -70,7 +70,7 @@
                 node.shares.apply(next_shares)
                 holders = [holder.instance for holder in next_shares.holders]
                 logger.info("shares granted", generation=next_shares.generation, holders=holders)
-                self._next_s = float("-inf")
+                self._next_run_s = float("-inf")
             case Err(error):
                 logger.warning("cannot write shares record", reason=str(error))
 
@@ -78,9 +78,9 @@
         return self._node.membership.alive_in(self._node.data_centre, trio.current_time())
 
     def _local_limits(self) -> dict[CustomerId, int]:
-        places = self._node.settings.limits.data_centres.split()
+        data_centres = self._node.settings.limits.data_centres.split()
         return {
-            name: data_centre_share(row.max_in_flight, self._node.data_centre, places)
+            name: data_centre_share(row.max_in_flight, self._node.data_centre, data_centres)
             for name, row in self._node.table.customers().items()
         }
 
--- a/yewloom/stalled_groups.py
+++ b/yewloom/stalled_groups.py
@@ -1,4 +1,4 @@
-"""Failure detection for groups that may have lost a member: which members no longer answer."""
+"""Detects members that no longer answer, in groups that are stalled or have unlisted members."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -24,10 +24,11 @@
 """Minimum pause between two probes of a suspect or of the members of a stalled group."""
 
 SUSPECT_REPORT_TIMEOUT_S = 1.8
-"""Longest wait for the report of a suspect, or of members of a group that are all unresponsive. A
-suspect is probed again only after that, and an engine that answers slowly can still serve."""
+"""Longest wait for the report of a suspect, or of a member of a group none of whose members has
+answered. It is long because an engine that answers slowly can still serve, and just shorter than
+``PROBE_INTERVAL_S``, after which the next probe may start."""
 
-PROBE_UNLISTED_S = 0.8
+UNLISTED_PROBE_INTERVAL_S = 0.8
 """Pause between two probes of a member that the store no longer lists."""
 
 
@@ -78,7 +79,7 @@
         state: PlanState,
         loop_delay_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Initialize; ``loop_delay_s`` returns non-zero if this process was just delayed."""
+        """Initialize; ``loop_delay_s`` is not zero if the event loop was blocked just before."""
         self._loop_delay_s = loop_delay_s
         self._directory = directory
         self._stalls = stalls
@@ -124,7 +125,7 @@
             host = HostId(member.host_id)
             if host in self._directory.by_id:
                 self._state.unlisted_since_s.pop(host, None)
-            elif self._is_probe_due(host, now_s, PROBE_UNLISTED_S):
+            elif self._is_probe_due(host, now_s, UNLISTED_PROBE_INTERVAL_S):
                 tasks.start(_ProbeKey(host), partial(self._probe_unlisted_member, member))
 
     async def _probe_unlisted_member(self, member: GroupMember) -> None:
@@ -155,10 +156,11 @@
         tasks.start(_ProbeKey(probe.member), partial(self._probe, probe))
 
     async def _probe(self, probe: _MemberProbe) -> None:
-        """Probe a member, and suspect it unless it is unreachable only from this host.
+        """Probe a member; suspect it if it does not answer and its group makes no progress.
 
-        A group makes progress only as a whole, so an event that any entry host received after the
-        query was sent shows that all members work. Without this check, a leader that is unreachable
+        A group makes progress only if all members work, so an event that any entry host received
+        after the query was sent shows that this host alone cannot reach the member. Without this
+        check, a leader that is unreachable
         only from its coordinator would lose its group while it serves streams of other entry hosts.
         """
         sent_s, group_probe = trio.current_time(), probe.group_probe
@@ -181,8 +183,8 @@
     async def _query_report(self, probe: _MemberProbe) -> EngineReport | None:
         """Query a member's report, a second time if needed; return None if there is no answer.
 
-        If no member of a group answers, none of them could be reused soon. All may just be slow, so
-        the second query has a longer time-out.
+        If no member of a group answers, abandoning the group would free no usable host soon, and
+        all members may just be slow. The second query therefore has a longer time-out.
         """
         report = await self._engine_orders.read_report(probe.address, probe.timeout_s)
         group_probe = probe.group_probe
@@ -193,6 +195,6 @@
         if group_probe is not None and group_probe.is_unanswered:
             return await self._engine_orders.read_report(probe.address, SUSPECT_REPORT_TIMEOUT_S)
         if self._loop_delay_s():
-            # The answer may have arrived while this process was delayed.
+            # The answer may have arrived while the event loop was blocked.
             return await self._engine_orders.read_report(probe.address, probe.timeout_s)
         return None
--- a/yewloom/tests/engine_rules.py
+++ b/yewloom/tests/engine_rules.py
@@ -18,7 +18,7 @@
     name: HostId
     is_alive: bool = True
     is_listed: bool = True
-    sequence: int = 0
+    order_count: int = 0
     staged: ModelName | None = None
     key: GroupKey | None = None
     members: tuple[HostId, ...] = ()
--- a/yewloom/tests/engine_world.py
+++ b/yewloom/tests/engine_world.py
@@ -1,4 +1,4 @@
-"""Simulation of a coordinator with model engines on a mock clock, whose view may be wrong.
+"""Simulation of a coordinator, whose view may be wrong, with model engines on a mock clock.
 
 An engine may be reachable only from entry hosts other than the coordinator, may be alive but
 unlisted, may execute an order whose answer is lost, and may be listed with an outdated state. The
@@ -71,7 +71,7 @@
 """Settings of the entry host that runs the coordinator."""
 
 
-REFUSED = PlatformError(PlatformFailure.NOT_APPLIED, "refused")
+UNAVAILABLE = PlatformError(PlatformFailure.NOT_APPLIED, "refused")
 
 
 @dataclass
@@ -182,26 +182,26 @@
             return None
         if trio.current_time() < engine.reports_old_until_s and engine.old_report is not None:
             return engine.old_report
-        return EngineReport(engine.sequence, group=engine.key)
+        return EngineReport(engine.order_count, group=engine.key)
 
     def _answer(
         self, engine: SimulatedListedEngine, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
-        if expected_order_count is not None and expected_order_count != engine.sequence:
+        if expected_order_count is not None and expected_order_count != engine.order_count:
             self.refused.append(f"{engine.name}: {order}")
             return OrderAnswer.REFUSED
         self._freeze_report(engine)
         key = engine.key
         answer = self._execute(engine, order)
         if answer is OrderAnswer.STARTED or engine.key != key:
-            engine.sequence += 1
+            engine.order_count += 1
         return answer
 
     def _freeze_report(self, engine: SimulatedListedEngine) -> None:
         """Make reports show the current state for the next ``REPORT_LAG_S``."""
         now_s = trio.current_time()
         if now_s >= engine.reports_old_until_s:
-            engine.old_report = EngineReport(engine.sequence, group=engine.key)
+            engine.old_report = EngineReport(engine.order_count, group=engine.key)
             engine.reports_old_until_s = now_s + REPORT_LAG_S
 
     def _execute(self, engine: SimulatedListedEngine, order: EngineOrder) -> OrderAnswer:
@@ -242,11 +242,11 @@
 
 
 class RecordStore:
-    """An in-memory store that answers immediately and refuses calls while ``is_refusing``."""
+    """An in-memory store that answers immediately and refuses calls while ``is_unavailable``."""
 
     def __init__(self) -> None:
         self.is_down = False
-        self.is_refusing = False
+        self.is_unavailable = False
         self._objects: dict[str, StoredObject] = {}
 
     def put(self, key: str, value: str) -> None:
@@ -255,16 +255,16 @@
 
     async def get(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Read an object."""
-        if self.is_refusing:
-            return Err(REFUSED)
+        if self.is_unavailable:
+            return Err(UNAVAILABLE)
         return Ok(self._objects.get(key))
 
     async def update(
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
         """Write an object; there is only one writer."""
-        if self.is_refusing:
-            return Err(REFUSED)
+        if self.is_unavailable:
+            return Err(UNAVAILABLE)
         self._objects[key] = StoredObject(key, expected_version + 1, value)
         return Ok(expected_version + 1)
 
@@ -327,11 +327,11 @@
     """Run a coordinator against simulated engines for the duration of a test."""
 
     async def main() -> None:
-        played = CoordinatorSimulation(world)
+        simulation = CoordinatorSimulation(world)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(played.publish_listings)
-            nursery.start_soon(played.coordinator.run)
-            await test(played)
+            nursery.start_soon(simulation.publish_listings)
+            nursery.start_soon(simulation.coordinator.run)
+            await test(simulation)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/yewloom/tests/test_coordinators.py
+++ b/yewloom/tests/test_coordinators.py
@@ -47,8 +47,8 @@
 
     def coordinator_and_node(self, name: str) -> tuple[Coordinator, Node]:
         node = _node(name)
-        observer = EndpointProber(node, self.engines)
-        coordinator = Coordinator(node, self.platform, self.engines, observer, self.new_attempt)
+        prober = EndpointProber(node, self.engines)
+        coordinator = Coordinator(node, self.platform, self.engines, prober, self.new_attempt)
         return coordinator, node
 
     def execute_orders(self) -> None:
--- a/yewloom/tests/test_engine_restart.py
+++ b/yewloom/tests/test_engine_restart.py
@@ -10,7 +10,7 @@
 CLOCK_STEPS_MS = (5000, -9000)
 """Offsets of an engine's clock after a restart; a clock may be set back."""
 
-SETTLE_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Pause between two checks whether the group has been formed again."""
 
 
@@ -34,12 +34,11 @@
         chosen = next(e for e in world.fleet.engines if self._rank(e) == rank)
         for leader in world.fleet.engines:
             if leader.engine.name in chosen.engine.members[:1] and leader is not chosen:
-                leader.engine.progress_enabled = (
-                    trio.Event()
-                )  # The leader stalls without its member.
+                # The leader stalls without its member.
+                leader.engine.progress_enabled = trio.Event()
         chosen.engine.restart(clock_step_ms)
         while not self._is_in_open_group(world, chosen):  # noqa: ASYNC110 - other processes
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(POLL_INTERVAL_S)
         await world.wait_until_served(entry)
 
     def _rank(self, engine: SoakEngine) -> int | None:
--- a/yewloom/tests/test_host_in_one_group.py
+++ b/yewloom/tests/test_host_in_one_group.py
@@ -40,7 +40,7 @@
         self.world.add_free_engines("a", "b")
         self.world.engines[A].loses_answers = self.world.engines[B].loses_answers = (OpenGroup,)
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(12.0)
             self.world.add_free_engines("c")
             await trio.sleep(12.0)
@@ -53,10 +53,10 @@
         self.world.add_serving_group("old", ["a", "b"])
         self.world.add_free_engines("c")
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
             self.world.engines[A].is_reachable = False
-            played.stalls.report_stalled(A, trio.current_time())
+            simulation.stalls.report_stalled(A, trio.current_time())
             await trio.sleep(4.0)
             await self._hide_leader(10.0)
             self.assertEqual(self.world.open_groups(), [{B, C}])
@@ -67,7 +67,7 @@
         self.world.add_serving_group("old", ["a", "b"])
         before = [replace(self.world.engines[name].endpoint(), membership=None) for name in (A, B)]
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
             for endpoint in before:
                 self.world.engines[endpoint.id].listed_as = endpoint
@@ -83,7 +83,7 @@
         self.world.add_free_engines("c")
         self.world.engines[A].is_listed = self.world.engines[A].is_reachable = False
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await self._check_settled()
             self.assertEqual(self.world.open_groups(), [{B, C}])
 
@@ -98,7 +98,7 @@
             engine.listed_as = replace(engine.endpoint(), membership=None)
             engine.answers_reports = False
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(SETTLE_S)
             self.assertEqual(self.world.unsafe_joins, [])
             self.assertIn({A, B}, self.world.open_groups())
@@ -130,7 +130,7 @@
         """The time limit for forming a group is counted from when it was last seen serving."""
         before = [replace(self.world.engines[name].endpoint(), membership=None) for name in (A, B)]
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S + 20.0)
             for endpoint in before:
                 self.world.engines[endpoint.id].listed_as = endpoint
@@ -145,13 +145,13 @@
     def test_listed_leader_that_serves_other_hosts_keeps_its_group(self) -> None:
         """The coordinator cannot reach it, but a peer reports progress of its streams."""
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
             self.world.engines[A].is_reachable = False
             for _ in range(20):
-                played.stalls.report_unreachable(A, trio.current_time())
+                simulation.stalls.report_unreachable(A, trio.current_time())
                 await trio.sleep(0.2)
-                played.stalls.on_peer_progress(A, 0.05, trio.current_time())
+                simulation.stalls.on_peer_progress(A, 0.05, trio.current_time())
             self._check_still_serves()
 
         run_simulation(self.world, test)
@@ -159,16 +159,16 @@
     def test_suspects_are_discarded_with_the_lease(self) -> None:
         """The store refuses all calls while the coordinator suspects the leader."""
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(LEASE_S)
-            played.store.is_refusing = True
+            simulation.store.is_unavailable = True
             self.world.engines[A].is_reachable = False
-            played.stalls.report_stalled(A, trio.current_time())
-            while played.coordinator.is_holding:  # noqa: ASYNC110 - the lease ends by its time
+            simulation.stalls.report_stalled(A, trio.current_time())
+            while simulation.coordinator.is_holding:  # noqa: ASYNC110 - the lease ends by its time
                 await trio.sleep(1.0)
             self.world.engines[A].is_reachable = True
-            played.store.is_refusing = False
-            while not played.coordinator.is_holding:  # noqa: ASYNC110 - as above
+            simulation.store.is_unavailable = False
+            while not simulation.coordinator.is_holding:  # noqa: ASYNC110 - as above
                 await trio.sleep(1.0)
             await trio.sleep(SETTLE_S)
             self._check_still_serves()
--- a/yewloom/tests/test_leases.py
+++ b/yewloom/tests/test_leases.py
@@ -86,7 +86,7 @@
         write = data.draw(st.sampled_from(self.in_flight))
         keeper = self.keepers[write.holder]
         if is_unsettled:
-            keeper.on_unsettled(self.now_s)
+            keeper.on_outcome_unknown(self.now_s)
         else:
             self.in_flight.remove(write)
             keeper.on_failed(self.now_s)
@@ -143,7 +143,7 @@
         self.lease = action.lease
 
     def test_lease_is_held_until_it_expires_during_a_store_outage(self) -> None:
-        for fail in (self.keeper.on_failed, self.keeper.on_unsettled):
+        for fail in (self.keeper.on_failed, self.keeper.on_outcome_unknown):
             self.setUp()
             self._acquire()
             self.assertIsInstance(self.keeper.next_action(4.0, AttemptId("c")), WriteLease)
@@ -157,7 +157,7 @@
         now_s = 4.0
         while now_s < 12.0:
             if self.keeper.next_action(now_s, AttemptId("c")) is not None:
-                self.keeper.on_unsettled(now_s)
+                self.keeper.on_outcome_unknown(now_s)
             now_s += 0.2
         calls = 0
         while not self.keeper.holds(now_s) and now_s < 20.0:
--- a/yewloom/tests/test_model_need.py
+++ b/yewloom/tests/test_model_need.py
@@ -30,7 +30,7 @@
         self.assertEqual(_need(4, 4).models_by_need()[0].name, SMALL)
 
     @given(COUNTS, COUNTS, DEMANDS, DEMANDS, st.integers(1, 3))
-    def test_an_exchange_never_makes_the_giver_the_needier(
+    def test_exchange_leaves_the_source_model_at_least_as_well_supplied(
         self, large: int, small: int, demand_large: float, demand_small: float, source_count: int
     ) -> None:
         need = _need(large, small, demand_large, demand_small)
--- a/yewloom/tests/test_order_counts.py
+++ b/yewloom/tests/test_order_counts.py
@@ -29,8 +29,8 @@
     def setUp(self) -> None:
         self.counts = OrderCounts()
 
-    def _report(self, sequence: int, group: GroupKey | None) -> KnownCount:
-        return self.counts.record_report(ENGINE, EngineReport(sequence, START_MS, group))
+    def _report(self, order_count: int, group: GroupKey | None) -> KnownCount:
+        return self.counts.record_report(ENGINE, EngineReport(order_count, START_MS, group))
 
     def _after(
         self, order: EngineOrder, expected: int | None, answer: OrderAnswer
--- a/yewloom/tests/test_placement.py
+++ b/yewloom/tests/test_placement.py
@@ -20,7 +20,7 @@
 from yewloom.tests.support import make_host, make_policy
 
 FRESHNESS_S = 2.0
-GIVE_UP_S = 4.0
+MISSING_AFTER_S = 4.0
 TIMING = PlacementTiming(FRESHNESS_S, load_timeout_s=30.0, settle_s=3.0)
 DATA_CENTRE = DataCentreId("hall-a")
 HOSTS = [f"h{i}" for i in range(7)]
@@ -64,7 +64,7 @@
     """One entry host: its view, its planner, and a planned placement that it may write later."""
 
     name: str
-    fleet: Fleet = field(default_factory=lambda: Fleet(FRESHNESS_S, GIVE_UP_S))
+    fleet: Fleet = field(default_factory=lambda: Fleet(FRESHNESS_S, MISSING_AFTER_S))
     planner: PlacementPlanner = field(init=False)
     pending: tuple[PlacementPlan, int] | None = None
 
@@ -230,7 +230,7 @@
 
 
 class TestCheckPlacement(unittest.TestCase):
-    """Invalid placement records are refused."""
+    """Invalid placement records are rejected."""
 
     def test_host_in_two_groups_is_refused(self) -> None:
         member = GroupMember(host_id="h1")
@@ -249,7 +249,7 @@
     def __init__(self, policy: PolicyRow, hosts: list[Host]) -> None:
         self.policy: PolicyRow | None = policy
         self.engines = {HostId(host.id): _Engine(host) for host in hosts}
-        self.fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
+        self.fleet = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         self.planner = PlacementPlanner(EntryHostId("e"), TIMING)
         self.record = Placement(data_centre=DATA_CENTRE)
         self.now_s = 0.0
@@ -443,7 +443,7 @@
         intent=GroupIntent.ACTIVE.value,
         members=[GroupMember(host_id="h0")],
     )
-    fleets = Fleet(FRESHNESS_S, GIVE_UP_S), Fleet(FRESHNESS_S, GIVE_UP_S)
+    fleets = Fleet(FRESHNESS_S, MISSING_AFTER_S), Fleet(FRESHNESS_S, MISSING_AFTER_S)
     for fleet in fleets:
         fleet.apply_placement(Placement(data_centre=DATA_CENTRE, generation=1, groups=[group]))
     return *fleets, group
@@ -464,7 +464,7 @@
     """Merging of reports about one group from several observers."""
 
     def test_delayed_peer_report_does_not_make_a_group_look_fresher(self) -> None:
-        fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
+        fleet = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         group = Group(
             id="g",
             generation=1,
@@ -472,7 +472,7 @@
             members=[GroupMember(host_id="h0")],
         )
         fleet.apply_placement(Placement(data_centre=DATA_CENTRE, generation=1, groups=[group]))
-        peer = Fleet(FRESHNESS_S, GIVE_UP_S)
+        peer = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         peer.apply_placement(fleet.placement(DATA_CENTRE))
         report = HostReport(host_id="h0", state=EngineState.READY.value, group_id="g", generation=1)
         peer.on_host_answered(HostId("h0"), report, 0.0)
@@ -530,9 +530,9 @@
         fleet, _, group = _two_observing_fleets()
         _fail_probe(fleet, group, 0.0)
         _fail_probe(fleet, group, 100.0)
-        _fail_probe(fleet, group, 100.0 + GIVE_UP_S / 2)
+        _fail_probe(fleet, group, 100.0 + MISSING_AFTER_S / 2)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
-        _fail_probe(fleet, group, 100.0 + GIVE_UP_S)
+        _fail_probe(fleet, group, 100.0 + MISSING_AFTER_S)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
 
     def test_pause_of_the_prober_does_not_make_a_member_missing(self) -> None:
@@ -541,11 +541,11 @@
         # Sent before the pause; the answers remain unread until the time-outs have passed.
         for asked_s in (0.1, 0.5):
             fleet.on_host_failed(HostId("h0"), asked_s)
-        fleet.aggregate_probes(group, 0.5 + GIVE_UP_S)
+        fleet.aggregate_probes(group, 0.5 + MISSING_AFTER_S)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
 
     def test_failed_call_closes_a_group_until_it_is_seen_again(self) -> None:
-        fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
+        fleet = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         harness = _Harness(make_policy(size=2), [make_host("h0"), make_host("h1")])
         harness.round()
         fleet = harness.fleet
@@ -556,7 +556,7 @@
         self.assertTrue(fleet.is_open(group, harness.now_s))
 
     def test_older_placement_that_arrives_late_is_ignored(self) -> None:
-        fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
+        fleet = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         newer = Placement(data_centre=DATA_CENTRE, generation=5)
         older = Placement(data_centre=DATA_CENTRE, generation=4)
         self.assertTrue(fleet.apply_placement(newer))
@@ -564,7 +564,7 @@
         self.assertEqual(fleet.placement(DATA_CENTRE).generation, 5)
 
     def test_older_answer_does_not_replace_a_newer_one(self) -> None:
-        fleet = Fleet(FRESHNESS_S, GIVE_UP_S)
+        fleet = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         fleet.on_host_answered(HostId("h"), HostReport(running=2), 5.0)
         fleet.on_host_answered(HostId("h"), HostReport(running=1), 4.0)
         self.assertEqual(fleet.hosts[HostId("h")].asked_s, 5.0)
--- a/yewloom/tests/test_refused_orders.py
+++ b/yewloom/tests/test_refused_orders.py
@@ -15,7 +15,7 @@
 from yewloom.forward_metrics import ForwardMetrics
 from yewloom.ids import HostId
 from yewloom.order_delivery import OrderDelivery
-from yewloom.plan_state import ORDER_REPEAT_S, PlannedOrder, PlanState, Staging
+from yewloom.plan_state import ORDER_RETRY_S, LoadInProgress, PlannedOrder, PlanState
 from yewloom.replica_orders import (
     REPORT_TIMEOUT_S,
     EngineOrder,
@@ -26,7 +26,7 @@
 from yewloom.tests.engine_world import CoordinatorSimulation, SimulatedEngines, run_simulation
 from yewloom.tests.entry_support import SMALL
 
-REPLACED_S = 6.0
+REPLACEMENT_TIMEOUT_S = 6.0
 """Generous time limit for detecting a lost member and forming its group again."""
 
 LOAD = PlannedOrder(HostId("a"), "a", StageModel(SMALL))
@@ -40,11 +40,11 @@
         world = SimulatedEngines()
         world.add_serving_group("old", ["a", "b", "c"])
 
-        async def test(played: CoordinatorSimulation) -> None:
+        async def test(simulation: CoordinatorSimulation) -> None:
             await trio.sleep(1.0)
             lost = world.engines[HostId("c")]
             lost.is_alive = lost.is_listed = False
-            await trio.sleep(REPLACED_S)
+            await trio.sleep(REPLACEMENT_TIMEOUT_S)
 
         run_simulation(world, test)
         self.assertEqual(world.open_groups(), [{"a", "b"}])
@@ -58,16 +58,16 @@
         self._reports_load = reports_load
         self.is_loading = True
         self.refused_s: list[float] = []
-        self.begun_count = 0
+        self.started_count = 0
 
     async def send(
-        self, engine: HostId, address: str, order: EngineOrder, expected_sequence: int | None
+        self, engine: HostId, address: str, order: EngineOrder, expected_order_count: int | None
     ) -> OrderAnswer:
         """Refuse a load while another one is in progress."""
         if self.is_loading:
             self.refused_s.append(trio.current_time())
             return OrderAnswer.REFUSED
-        self.begun_count += 1
+        self.started_count += 1
         return OrderAnswer.STARTED
 
     async def read_report(
@@ -105,7 +105,7 @@
                 LOAD.engine, now_s
             ):
                 self.state.recent_load_starts_s.append(now_s)
-                self.state.loads_in_progress[LOAD.engine] = Staging(SMALL, now_s)
+                self.state.loads_in_progress[LOAD.engine] = LoadInProgress(SMALL, now_s)
                 delivery.send_all([LOAD], tasks)
             await trio.sleep(0.2)
 
@@ -118,7 +118,7 @@
             await self._plan(delivery, tasks, 5.0)
 
         self._run(engine, test)
-        self.assertEqual((engine.refused_s, engine.begun_count), ([], 1))
+        self.assertEqual((engine.refused_s, engine.started_count), ([], 1))
 
     def test_refused_load_is_delayed_and_frees_its_rate_limit_slot(self) -> None:
         engine = _LoadingEngine(reports_load=False)
@@ -128,7 +128,7 @@
 
         self._run(engine, test)
         pauses_s = [b - a for a, b in zip(engine.refused_s, engine.refused_s[1:], strict=False)]
-        self.assertGreaterEqual(min(pauses_s), ORDER_REPEAT_S)
+        self.assertGreaterEqual(min(pauses_s), ORDER_RETRY_S)
         self.assertEqual(self.state.recent_load_starts_s, [])
 
 
@@ -143,7 +143,7 @@
             pauses_s.append(state.next_send_s[next(iter(state.next_send_s))] - now_s)
         self.assertEqual(pauses_s, sorted(pauses_s))
         self.assertLess(pauses_s[0], pauses_s[-1])
-        self.assertLessEqual(pauses_s[-1], ORDER_REPEAT_S)
+        self.assertLessEqual(pauses_s[-1], ORDER_RETRY_S)
         state.record_accepted(LOAD)
         state.record_refused(LOAD, now_s)
         self.assertEqual(state.next_send_s[next(iter(state.next_send_s))] - now_s, pauses_s[0])
--- a/yewloom/tests/test_replica_coordinator.py
+++ b/yewloom/tests/test_replica_coordinator.py
@@ -24,7 +24,7 @@
     """An empty store that answers writes only after ``may_answer`` is set."""
 
     def __init__(self) -> None:
-        self.is_asked, self.may_answer = trio.Event(), trio.Event()
+        self.update_called, self.may_answer = trio.Event(), trio.Event()
         self.is_down = False
         self._version = 0
 
@@ -36,13 +36,13 @@
         self, key: str, value: str, expected_version: int
     ) -> Result[int, PlatformError]:
         """Accept a write once ``may_answer`` is set."""
-        self.is_asked.set()
+        self.update_called.set()
         await self.may_answer.wait()
         self._version += 1
         return Ok(self._version)
 
 
-class Parts:
+class StoreOnlyParts:
     """Platform parts that consist of the store only, without engines."""
 
     def __init__(self, store: SlowStore) -> None:
@@ -53,7 +53,7 @@
 def _coordinator(store: SlowStore, settings: EntrySettings) -> ReplicaCoordinator:
     return ReplicaCoordinator(
         settings,
-        cast(PlatformParts, Parts(store)),
+        cast(PlatformParts, StoreOnlyParts(store)),
         ConfigurationState(),
         EndpointDirectory(),
         StallDetector(),
@@ -73,7 +73,7 @@
             coordinator = _coordinator(store, parse_entry_settings(SETTINGS, "test").unwrap())
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(coordinator.run)
-                await store.is_asked.wait()
+                await store.update_called.wait()
                 coordinator.is_leaving = True
                 store.may_answer.set()
                 await trio.testing.wait_all_tasks_blocked()
--- a/yewloom/tests/test_replica_machine.py
+++ b/yewloom/tests/test_replica_machine.py
@@ -50,9 +50,9 @@
     make_engine,
     make_profile,
 )
-from yewloom.weight_loads import SupplyBounds
+from yewloom.weight_loads import LoadLimit
 
-LIMITED = SupplyBounds(is_unlimited=False, max_loads=6)
+LIMITED = LoadLimit(is_unlimited=False, max_loads=6)
 PROFILE = make_profile()
 
 RECOVERY_ROUNDS = 40
@@ -66,7 +66,7 @@
 
 @dataclass
 class _Engine(SimulatedEngine):
-    """The actual state of an engine that behaves as the platform documents.
+    """The actual state of an engine, which behaves as documented by the platform.
 
     Coordinators in ``out_of_reach_of`` cannot reach it. With ``loses_answers``, it executes orders
     without an answer; with ``is_late``, it executes them later or never.
@@ -82,11 +82,11 @@
 
 @dataclass(frozen=True)
 class _Order:
-    """An order in flight; ``sequence`` is the number of orders expected before it."""
+    """An order in flight, with the number of orders that its engine must have accepted before."""
 
     engine: HostId
     order: EngineOrder
-    sequence: int | None
+    expected_order_count: int | None
 
 
 class _EngineLink:
@@ -117,7 +117,7 @@
         engine = self._machine.engines[HostId(address.partition(":")[0])]
         if not self._reaches(engine):
             return None
-        return EngineReport(engine.sequence, engine.started_unix_ms, engine.key)
+        return EngineReport(engine.order_count, engine.started_unix_ms, engine.key)
 
     def _reaches(self, engine: _Engine) -> bool:
         return engine.is_alive and self._index not in engine.out_of_reach_of
@@ -255,7 +255,7 @@
 
     @rule(data=st.data())
     def execute_late(self, data: st.DataObject) -> None:
-        """Execute an unanswered order after newer ones, possibly repeatedly."""
+        """Execute an unanswered order, perhaps after newer ones and not for the first time."""
         if self.late:
             self.execute(data.draw(st.sampled_from(self.late)))
 
@@ -265,11 +265,11 @@
         engine = self.engines[HostId(name)]
         engine.loses_answers, engine.is_late = loses_answers, is_late
 
-    @rule(name=ENGINE, index=INDEX, is_reached=st.booleans())
-    def set_reachable(self, name: str, index: int, is_reached: bool) -> None:
+    @rule(name=ENGINE, index=INDEX, is_reachable=st.booleans())
+    def set_reachable(self, name: str, index: int, is_reachable: bool) -> None:
         """Interrupt or restore the connection of one coordinator to an engine."""
         blocked = self.engines[HostId(name)].out_of_reach_of
-        blocked.discard(index) if is_reached else blocked.add(index)
+        blocked.discard(index) if is_reachable else blocked.add(index)
 
     @rule(name=ENGINE, index=INDEX)
     def suspect_unreachable(self, name: str, index: int) -> None:
@@ -283,8 +283,8 @@
         engine = self.engines[HostId(name)]
         if engine.is_alive:
             engine.is_alive = False
-            fresh = HostId(f"{name}-{len(self.engines)}")
-            self.engines[fresh] = _Engine(fresh, staged=engine.staged)
+            new_name = HostId(f"{name}-{len(self.engines)}")
+            self.engines[new_name] = _Engine(new_name, staged=engine.staged)
 
     @rule(name=ENGINE, clock_step_ms=st.sampled_from([-5000, -1, 1, 5000]))
     def restart(self, name: str, clock_step_ms: int) -> None:
@@ -300,7 +300,7 @@
         engine.earlier_starts.add(engine.started_unix_ms)
         while engine.started_unix_ms in engine.earlier_starts:  # No two start in the same ms.
             engine.started_unix_ms += clock_step_ms
-        engine.sequence = 0
+        engine.order_count = 0
         engine.key, engine.members, engine.model = None, (), None
         engine.state = MemberState.JOINING
         self.late = [order for order in self.late if order.engine != engine.name]
@@ -362,11 +362,14 @@
         engine = self.engines[in_flight.engine]
         if not engine.is_alive:
             return OrderAnswer.UNREACHABLE
-        if in_flight.sequence is not None and in_flight.sequence != engine.sequence:
+        if (
+            in_flight.expected_order_count is not None
+            and in_flight.expected_order_count != engine.order_count
+        ):
             return OrderAnswer.REFUSED
         answer = self._apply(engine, in_flight.order)
         if answer is OrderAnswer.STARTED:
-            engine.sequence += 1
+            engine.order_count += 1
         return answer
 
     def _apply(self, engine: _Engine, order: EngineOrder) -> OrderAnswer:
--- a/yewloom/tests/test_replica_plan.py
+++ b/yewloom/tests/test_replica_plan.py
@@ -10,9 +10,9 @@
     Departure,
     EndedGroup,
     EndEvidence,
+    LoadInProgress,
     PlannedOrder,
     PlanState,
-    Staging,
     group_key,
 )
 from yewloom.replica_lifecycle import LEAVING_SERVICE_S, UNLISTED_GRACE_S
@@ -36,18 +36,18 @@
     make_profile,
     put_group,
 )
-from yewloom.weight_loads import LOAD_TIMEOUT_FACTOR, SupplyBounds, WeightLoads
+from yewloom.weight_loads import LOAD_TIMEOUT_FACTOR, LoadLimit, WeightLoads
 
-UNLIMITED = SupplyBounds(is_unlimited=True, max_loads=6)
-LIMITED = SupplyBounds(is_unlimited=False, max_loads=6)
+UNLIMITED = LoadLimit(is_unlimited=True, max_loads=6)
+LIMITED = LoadLimit(is_unlimited=False, max_loads=6)
 PROFILE = make_profile()
 
 
 def _planner(
-    directory: EndpointDirectory, state: PlanState, bounds: SupplyBounds = UNLIMITED
+    directory: EndpointDirectory, state: PlanState, load_limit: LoadLimit = UNLIMITED
 ) -> ReplicaPlanner:
     demand = configured_demand(PROFILE)
-    return ReplicaPlanner(DATA_CENTRE, ENGINES, PROFILE, directory, state, bounds, demand)
+    return ReplicaPlanner(DATA_CENTRE, ENGINES, PROFILE, directory, state, load_limit, demand)
 
 
 def _orders_of_type(plan_orders: list[PlannedOrder], kind: type) -> list[PlannedOrder]:
@@ -273,7 +273,7 @@
         _planner(directory, state, LIMITED).plan(Placement(), 0.0)
         state.suspects.add(host)
         state.unresponsive.add(host)
-        state.loads_in_progress[host] = Staging(LARGE, 0.0)
+        state.loads_in_progress[host] = LoadInProgress(LARGE, 0.0)
         state.last_answer_s[host] = 0.0
         _planner(directory, state, LIMITED).plan(Placement(), 0.2)
         self.assertEqual(state.suspects, {host})
@@ -311,7 +311,7 @@
         limit_s = LOAD_TIMEOUT_FACTOR * PROFILE.models[LARGE].load_s
         for name in ("done", "late", "loading", "lost"):
             load_began_s = -0.1 if name == "late" else 0.0
-            state.loads_in_progress[HostId(name)] = Staging(LARGE, load_began_s)
+            state.loads_in_progress[HostId(name)] = LoadInProgress(LARGE, load_began_s)
         loads.drop_finished(limit_s)
         self.assertEqual(list(state.loads_in_progress), ["loading"])
 
--- a/yewloom/tests/test_small_model_shortage.py
+++ b/yewloom/tests/test_small_model_shortage.py
@@ -1,8 +1,8 @@
 """Tests of the replicas of a small model while hosts are lost one after the other.
 
 The scenario is a rack that fails slowly: every three seconds a host is lost, in each data centre in
-turn. Groups of two hosts break as often as groups of four, their hosts hold the weights of the
-large model as a reserve, and a load takes 12 s, in which four more hosts are lost.
+turn. Groups of two hosts break as often as groups of four. Their hosts hold the weights of the
+large model as a reserve. A load takes 12 s, in which four more hosts are lost.
 """
 
 import unittest
@@ -23,10 +23,10 @@
     make_engine,
     make_profile,
 )
-from yewloom.weight_loads import SupplyBounds
+from yewloom.weight_loads import LoadLimit
 
-LIMITED = SupplyBounds(is_unlimited=False, max_loads=6)
-OTHER_HALL = DataCentreId("hall-b")
+LIMITED = LoadLimit(is_unlimited=False, max_loads=6)
+OTHER_DATA_CENTRE = DataCentreId("hall-b")
 PROFILE = make_profile()
 SMALL_IS_SHORT = {SMALL: 60.0, LARGE: 30.0}
 LARGE_IS_SHORT = {SMALL: 30.0, LARGE: 60.0}
@@ -38,7 +38,7 @@
     for number, model in enumerate([SMALL, SMALL, LARGE, LARGE]):
         key = GroupKey(GroupId(f"other-{number}"), 1)
         leader = GroupMembership(key, 0, MemberState.OPEN)
-        directory.put(make_engine(f"o{number}", "o1", None, leader, model, OTHER_HALL))
+        directory.put(make_engine(f"o{number}", "o1", None, leader, model, OTHER_DATA_CENTRE))
     return directory
 
 
--- a/yewloom/weight_loads.py
+++ b/yewloom/weight_loads.py
@@ -2,12 +2,12 @@
 
 from yewloom.configuration import EngineProfile, ReplicaModel
 from yewloom.directory import Endpoint, EndpointDirectory
-from yewloom.plan_state import PlannedOrder, PlanState, Staging
+from yewloom.plan_state import LoadInProgress, PlannedOrder, PlanState
 from yewloom.replica_orders import StageModel
 from yewloom.values import value_class
 
 LOADS_WINDOW_S = 5.0
-"""Window over which loads from the weight store are counted; the platform uses the same."""
+"""Window over which loads from the weight store are counted, as the platform counts them."""
 
 LOADS_SHARE = 0.9
 """Share of the weight store's rate limit that all data centres use together."""
@@ -17,8 +17,8 @@
 
 
 @value_class
-class SupplyBounds:
-    """Limit on weight loads: at most ``max_loads`` per window, unless ``is_unlimited``.
+class LoadLimit:
+    """Limit on weight loads: at most ``max_loads`` per ``window_s``, unless ``is_unlimited``.
 
     Loads are unlimited before the first request.
     """
@@ -28,15 +28,15 @@
     window_s: float = LOADS_WINDOW_S
 
 
-def supply_bounds(is_unlimited: bool, loads_per_s: float, data_centres: int) -> SupplyBounds:
+def compute_load_limit(is_unlimited: bool, loads_per_s: float, data_centres: int) -> LoadLimit:
     """Return one data centre's share of the weight store's rate limit.
 
     A share of less than one load per window becomes one load in a longer window.
     """
     share = loads_per_s * LOADS_WINDOW_S * LOADS_SHARE / data_centres
     if share >= 1:
-        return SupplyBounds(is_unlimited, int(share))
-    return SupplyBounds(is_unlimited, 1, LOADS_WINDOW_S / share)
+        return LoadLimit(is_unlimited, int(share))
+    return LoadLimit(is_unlimited, 1, LOADS_WINDOW_S / share)
 
 
 class WeightLoads:
@@ -47,12 +47,12 @@
         profile: EngineProfile,
         directory: EndpointDirectory,
         state: PlanState,
-        bounds: SupplyBounds,
+        load_limit: LoadLimit,
     ) -> None:
         self._profile = profile
         self._directory = directory
         self._state = state
-        self._bounds = bounds
+        self._load_limit = load_limit
         self.orders: list[PlannedOrder] = []
 
     def is_loading(self, endpoint: Endpoint, now_s: float) -> bool:
@@ -65,16 +65,16 @@
         """Load weights onto a host, unless it is loading or the rate limit is reached."""
         if self.is_loading(endpoint, now_s):
             return
-        bounds = self._bounds
+        load_limit = self._load_limit
         recent = [
             time_s
             for time_s in self._state.recent_load_starts_s
-            if now_s - time_s < bounds.window_s
+            if now_s - time_s < load_limit.window_s
         ]
-        if len(recent) >= bounds.max_loads and not bounds.is_unlimited:
+        if len(recent) >= load_limit.max_loads and not load_limit.is_unlimited:
             return
         self._state.recent_load_starts_s = [*recent, now_s]
-        self._state.loads_in_progress[endpoint.id] = Staging(model.name, now_s)
+        self._state.loads_in_progress[endpoint.id] = LoadInProgress(model.name, now_s)
         order = StageModel(model.name)
         self.orders.append(
             PlannedOrder(endpoint.id, endpoint.address, order, endpoint.started_unix_ms)
@@ -82,10 +82,10 @@
 
     def drop_finished(self, now_s: float) -> None:
         """Drop loads that have finished or timed out, or whose host is no longer listed."""
-        for host, staging in list(self._state.loads_in_progress.items()):
-            model = self._profile.models.get(staging.model)
+        for host, load in list(self._state.loads_in_progress.items()):
+            model = self._profile.models.get(load.model)
             limit_s = LOAD_TIMEOUT_FACTOR * model.load_s if model is not None else 0.0
             endpoint = self._directory.by_id.get(host)
-            is_finished = endpoint is None or staging.model in endpoint.staged
-            if is_finished or now_s - staging.since_s > limit_s:
+            is_finished = endpoint is None or load.model in endpoint.staged
+            if is_finished or now_s - load.since_s > limit_s:
                 del self._state.loads_in_progress[host]
