--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -155,7 +155,7 @@
     Mutation(
         "answers: nothing is sent after an answer that was cut off",
         "caller_connection",
-        "if self._is_disconnected or not reply.is_complete:",
+        "if self._is_disconnected or not response.is_complete:",
         "if self._is_disconnected:",
         "test_caller_connection",
     ),
--- a/yewloom/caller_activity.py
+++ b/yewloom/caller_activity.py
@@ -23,9 +23,9 @@
 
     def __init__(self) -> None:
         self._phase = Phase.SERVING
-        self._leaving_since_s = 0.0
+        self._stopping_since_s = 0.0
         self._reading_scopes: set[trio.CancelScope] = set()
-        self._closing = 0
+        self._closing_connections = 0
         self._has_changed = trio.Event()
         self.open_requests = 0
 
@@ -43,7 +43,7 @@
         """Begin a planned stop."""
         if self._phase is Phase.SERVING:
             self._phase = Phase.LEAVING
-            self._leaving_since_s = trio.current_time()
+            self._stopping_since_s = trio.current_time()
 
     def stop_accepting(self) -> None:
         """Accept no more requests, and don't wait for requests that have not arrived."""
@@ -56,7 +56,7 @@
         """Return the milliseconds since the planned stop began, or None if there is none."""
         if not self.is_stopping:
             return None
-        return round((trio.current_time() - self._leaving_since_s) * 1000)
+        return round((trio.current_time() - self._stopping_since_s) * 1000)
 
     @contextmanager
     def reading_request(self, limit_s: float = math.inf) -> Iterator[trio.CancelScope]:
@@ -84,15 +84,15 @@
     @contextmanager
     def closing(self) -> Iterator[None]:
         """Count a connection that is being closed after its last response."""
-        self._closing += 1
+        self._closing_connections += 1
         try:
             yield
         finally:
-            self._closing -= 1
+            self._closing_connections -= 1
             self._has_changed.set()
 
     async def wait_until_idle(self) -> None:
         """Wait until no request is open or being read, and no connection is being closed."""
-        while self.open_requests or self._reading_scopes or self._closing:
+        while self.open_requests or self._reading_scopes or self._closing_connections:
             self._has_changed = trio.Event()
             await self._has_changed.wait()
--- a/yewloom/caller_connection.py
+++ b/yewloom/caller_connection.py
@@ -52,7 +52,7 @@
         self._ages = ages
         self._arrived_s: float | None = None  # When the next request's first bytes arrived.
         self._send_timer = SendTimer()
-        self._send_time_before_s = 0.0  # Total send time at that moment.
+        self._send_time_at_arrival_s = 0.0  # Total send time at that arrival.
         self._connection = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.max_header_bytes
         )
@@ -110,7 +110,7 @@
             read_s,
             self._requests,
             self._activity.stopping_ms(),
-            0.0 if arrived_s is None else self._send_timer.total_s() - self._send_time_before_s,
+            0.0 if arrived_s is None else self._send_timer.total_s() - self._send_time_at_arrival_s,
         )
 
     def _check_header_size(self, head: h11.Request) -> None:
@@ -149,7 +149,7 @@
         """Pass received bytes to h11; the first bytes of a request set its arrival time."""
         if self._arrived_s is None and data:
             self._arrived_s = trio.current_time() - self._ages.of(self._stream)
-            self._send_time_before_s = self._send_timer.total_s()
+            self._send_time_at_arrival_s = self._send_timer.total_s()
         self._connection.receive_data(bytes(data))
 
     async def _read_body(self) -> bytes | None:
@@ -185,7 +185,7 @@
 
     async def _respond(self, request: CallerRequest) -> bool:
         """Send the response to a request; return whether the connection may carry another one."""
-        reply = ResponseWriter(
+        response = ResponseWriter(
             self._stream, self._connection, lambda: self._activity.is_stopping, self._send_timer
         )
         handler = (
@@ -194,9 +194,9 @@
         with self._activity.request():
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._watch_for_disconnect, nursery.cancel_scope)
-                await self._handle(handler, request, reply)
+                await self._handle(handler, request, response)
                 nursery.cancel_scope.cancel()
-        if self._is_disconnected or not reply.is_complete:
+        if self._is_disconnected or not response.is_complete:
             return False
         if self._connection.our_state is h11.MUST_CLOSE:
             await self._linger_and_close()
@@ -204,10 +204,10 @@
         return self._connection.our_state is h11.DONE
 
     async def _handle(
-        self, handler: Handler, request: CallerRequest, reply: ResponseWriter
+        self, handler: Handler, request: CallerRequest, response: ResponseWriter
     ) -> None:
         try:
-            await handler(request, reply)
+            await handler(request, response)
         except CallerDisconnectedError:
             self._is_disconnected = True
 
@@ -245,8 +245,10 @@
             "request rejected by the connection", status=status, reason=reason, **self._log_fields()
         )
         if self._connection.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            reply = ResponseWriter(self._stream, self._connection, lambda: True, self._send_timer)
-            await reply.send_complete(status, [], b"")
+            response = ResponseWriter(
+                self._stream, self._connection, lambda: True, self._send_timer
+            )
+            await response.send_complete(status, [], b"")
         await self._linger_and_close()
 
     async def _linger_and_close(self) -> None:
--- a/yewloom/caller_messages.py
+++ b/yewloom/caller_messages.py
@@ -11,8 +11,8 @@
 
 SEND_TIMEOUT_S = 10.0
 """Maximum time to send a complete response; after it the caller is treated as disconnected. It is
-longer than usual deadlines, so that a slow caller can use all of its time. The parts of a stream
-are bounded by the deadline of its request instead."""
+longer than usual deadlines, so that a slow caller can use all of its time. A streamed response is
+limited by the deadline of its request instead."""
 
 
 @value_class
@@ -50,23 +50,25 @@
     """Measures the total time spent sending on a connection, in seconds."""
 
     def __init__(self) -> None:
-        self._ended_s = 0.0
-        self._began_s: float | None = None
+        self._completed_s = 0.0
+        self._current_began_s: float | None = None
 
     def total_s(self) -> float:
         """Return the total time so far, including a send in progress."""
-        open_s = 0.0 if self._began_s is None else trio.current_time() - self._began_s
-        return self._ended_s + open_s
+        current_s = (
+            0.0 if self._current_began_s is None else trio.current_time() - self._current_began_s
+        )
+        return self._completed_s + current_s
 
     @contextmanager
     def sending(self) -> Iterator[None]:
         """Count the time until the block ends."""
-        self._began_s = trio.current_time()
+        self._current_began_s = trio.current_time()
         try:
             yield
         finally:
-            self._ended_s = self.total_s()
-            self._began_s = None
+            self._completed_s = self.total_s()
+            self._current_began_s = None
 
 
 class ResponseWriter:
@@ -151,9 +153,9 @@
 """Handles one request; a response that it does not finish is cut off."""
 
 
-async def respond_unavailable(request: CallerRequest, reply: ResponseWriter) -> None:
+async def respond_unavailable(request: CallerRequest, response: ResponseWriter) -> None:
     """Respond with 503: the request was not run."""
-    await reply.send_complete(503, [], b"")
+    await response.send_complete(503, [], b"")
 
 
 @value_class
--- a/yewloom/tests/caller_support.py
+++ b/yewloom/tests/caller_support.py
@@ -48,7 +48,7 @@
     """
     connection = h11.Connection(h11.CLIENT)
     connection.receive_data(data)
-    found: list[tuple[int, bytes]] = []
+    responses: list[tuple[int, bytes]] = []
     while connection.trailing_data[0]:
         connection.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
         connection.send(h11.EndOfMessage())
@@ -59,11 +59,11 @@
         if event is h11.NEED_DATA and allow_truncated:
             break
         assert isinstance(event, h11.EndOfMessage), "a response was truncated"
-        found.append((head.status_code, body))
+        responses.append((head.status_code, body))
         if connection.their_state is not h11.DONE:
             break
         connection.start_next_cycle()
-    return found
+    return responses
 
 
 class Server:
@@ -96,15 +96,15 @@
         self._running.discard(scope)
         await trio.aclose_forcefully(stream)
 
-    async def _handle(self, request: CallerRequest, reply: ResponseWriter) -> None:
+    async def _handle(self, request: CallerRequest, response: ResponseWriter) -> None:
         self.accepted_paths.append(request.path)
         if not request.path.startswith(STREAM):
-            await reply.send_complete(200, [], b"plain")
+            await response.send_complete(200, [], b"plain")
             return
-        await reply.start(200, [], b"a")
+        await response.start(200, [], b"a")
         await self.may_end.wait()
-        await reply.send(b"b")
-        await reply.finish()
+        await response.send(b"b")
+        await response.finish()
 
     async def begin_stop(self) -> None:
         """Begin a planned stop, and wait until the deregistration delay is over."""
--- a/yewloom/tests/test_caller_connection.py
+++ b/yewloom/tests/test_caller_connection.py
@@ -59,24 +59,24 @@
     """After an interrupted response, the connection sends no further one."""
 
     def test_no_response_follows_an_interrupted_response(self) -> None:
-        async def whole(reply: ResponseWriter) -> None:
-            await reply.send_complete(200, [], b"whole")
+        async def complete(response: ResponseWriter) -> None:
+            await response.send_complete(200, [], b"whole")
 
-        async def streamed(reply: ResponseWriter) -> None:
-            await reply.start(200, [], b"a")
-            await reply.finish()
+        async def streamed(response: ResponseWriter) -> None:
+            await response.start(200, [], b"a")
+            await response.finish()
 
-        for answer in (whole, streamed):
-            with self.subTest(answer.__name__):
-                run_once(self._check_interrupted_response, answer)
+        for respond in (complete, streamed):
+            with self.subTest(respond.__name__):
+                run_once(self._check_interrupted_response, respond)
 
     def test_a_response_cancelled_before_its_start_can_be_replaced(self) -> None:
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
-            for begin in (reply.start, reply.send_complete):
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
+            for begin in (response.start, response.send_complete):
                 with trio.CancelScope() as scope:
                     scope.cancel()
                     await begin(200, [], b"late")
-            await reply.send_complete(504, [], b"")
+            await response.send_complete(504, [], b"")
 
         async def test() -> None:
             ours, theirs = trio.testing.memory_stream_pair()
@@ -94,9 +94,9 @@
     def test_a_caller_that_does_not_read_its_response_counts_as_disconnected(self) -> None:
         disconnected_at_s: list[float] = []
 
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             try:
-                await reply.send_complete(200, [], b"whole")
+                await response.send_complete(200, [], b"whole")
             except CallerDisconnectedError:
                 disconnected_at_s.append(trio.current_time())
                 raise
@@ -118,10 +118,10 @@
     def test_a_request_arrives_when_its_first_bytes_may_have_arrived(self) -> None:
         arrival_and_read_times_s: list[tuple[float, float]] = []
 
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             arrival_and_read_times_s.append((request.arrived_s, request.read_s))
             await trio.sleep(1.0)
-            await reply.send_complete(200, [], b"")
+            await response.send_complete(200, [], b"")
 
         async def test() -> None:
             began_s = trio.current_time()
@@ -148,15 +148,15 @@
         run_once(test)
 
     async def _check_interrupted_response(
-        self, answer: Callable[[ResponseWriter], Awaitable[None]]
+        self, respond: Callable[[ResponseWriter], Awaitable[None]]
     ) -> None:
         """Send a response to a caller that stops reading, until the response is interrupted."""
         handled: list[str] = []
 
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             handled.append(request.path)
             with trio.move_on_after(1.0):
-                await answer(reply)
+                await respond(response)
 
         ours, theirs = trio.testing.lockstep_stream_pair()
         connection = CallerConnection(
@@ -164,7 +164,7 @@
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ours.send_all, request_bytes("/1") + request_bytes("/2"))
-            if answer.__name__ == "streamed":
+            if respond.__name__ == "streamed":
                 nursery.start_soon(ours.receive_some, 1000)  # Headers and first part of the body.
             await connection.run()
         self.assertEqual(handled, ["/1"])
@@ -264,11 +264,11 @@
     def test_a_connection_accepted_just_before_the_stop_accepts_no_request(self) -> None:
         async def test(server: Server) -> None:
             await server.begin_stop()
-            silent, asking = server.open(), server.open()
-            await asking.send(PLAIN)
+            silent, requesting = server.open(), server.open()
+            await requesting.send(PLAIN)
             server.stop_accepting()
             self.assertEqual(await silent.responses(), [])
-            self.assertEqual(await asking.responses(), [(503, b"")])
+            self.assertEqual(await requesting.responses(), [(503, b"")])
             self.assertEqual(server.accepted_paths, [])
 
         run(test)
@@ -282,8 +282,8 @@
                 await server.begin_stop()
                 server.stop_accepting()
                 with trio.fail_after(2 * FINAL_READ_S):
-                    answer = await caller.stream.receive_some(65536)
-                self.assertEqual(answer.split(b" ")[1], b"503")
+                    received = await caller.stream.receive_some(65536)
+                self.assertEqual(received.split(b" ")[1], b"503")
                 self.assertEqual(server.accepted_paths, [])
 
             with self.subTest(head):
--- a/yewloom/tests/test_caller_server.py
+++ b/yewloom/tests/test_caller_server.py
@@ -22,7 +22,7 @@
 IDLE_CONNECTIONS = 8
 """Number of idle connections when the server stops."""
 
-ANSWER_LIMIT_S = 5.0
+RESPONSE_LIMIT_S = 5.0
 """Maximum time until a caller has a response."""
 
 ARRIVAL_S = 0.05
@@ -33,12 +33,12 @@
 
 async def _status_of(caller: socket.socket) -> bytes:
     """Return the status that a caller receives, or else the error or ``closed``."""
-    caller.settimeout(ANSWER_LIMIT_S)
+    caller.settimeout(RESPONSE_LIMIT_S)
     try:
-        answer = await trio.to_thread.run_sync(caller.recv, 1000)
+        received = await trio.to_thread.run_sync(caller.recv, 1000)
     except OSError as error:
         return repr(error).encode()
-    return answer.split(b" ")[1] if answer else b"closed"
+    return received.split(b" ")[1] if received else b"closed"
 
 
 class TestPlannedStop(unittest.TestCase):
@@ -48,12 +48,12 @@
         trio.run(self._stop_with_an_open_request)
 
     async def _stop_with_an_open_request(self) -> None:
-        handler_started, may_answer = trio.Event(), trio.Event()
+        handler_started, may_respond = trio.Event(), trio.Event()
 
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             handler_started.set()
-            await may_answer.wait()
-            await reply.send_complete(200, [], b"done")
+            await may_respond.wait()
+            await response.send_complete(200, [], b"done")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         async with trio.open_nursery() as nursery:
@@ -67,7 +67,7 @@
                     async with open_exchange(address, 1.0):
                         pass
                 self.assertIs(refused.exception.failure, ExchangeFailure.REFUSED)
-                may_answer.set()
+                may_respond.set()
                 head = await exchange.read_head()
                 self.assertEqual((head.status, await exchange.read_body()), (200, b"done"))
             nursery.cancel_scope.cancel()
@@ -77,7 +77,7 @@
         trio.run(self._connect_after_the_last_check)
 
     async def _connect_after_the_last_check(self) -> None:
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             self.fail("a request was started")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
@@ -99,7 +99,7 @@
         trio.run(self._send_while_connections_are_closed)
 
     async def _send_while_connections_are_closed(self) -> None:
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             self.fail("a request was started")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
@@ -134,8 +134,8 @@
         trio.run(self._serve_accepted_connections)
 
     async def _serve_accepted_connections(self) -> None:
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
-            await reply.send_complete(200, [], b"done")
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
+            await response.send_complete(200, [], b"done")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
         listener = listen(address)
@@ -153,7 +153,7 @@
         trio.run(self._stop_before_anything_is_accepted)
 
     async def _stop_before_anything_is_accepted(self) -> None:
-        async def handle(request: CallerRequest, reply: ResponseWriter) -> None:
+        async def handle(request: CallerRequest, response: ResponseWriter) -> None:
             self.fail("a request was started")
 
         server, address = CallerServer(Handlers(handle), CallerLimits), allocate_address()
