--- a/yewloom/endpoints.py
+++ b/yewloom/endpoints.py
@@ -22,7 +22,7 @@
 from yewloom.writes import to_json
 
 REFUSAL_STATUSES = {409, 429, 503}
-"""Statuses by which an endpoint reports that it did not run a call."""
+"""Statuses with which an endpoint reports that it did not run a call."""
 
 _READ_END_TIMEOUT_S = 0.1
 _EVENT_END = b"\n\n"
@@ -103,19 +103,19 @@
 class HttpEndpoints:
     """Endpoints over HTTP."""
 
-    def __init__(self, caller: HttpClient, probe_timeout_s: float) -> None:
-        self._caller = caller
+    def __init__(self, client: HttpClient, probe_timeout_s: float) -> None:
+        self._client = client
         self._probe_timeout_s = probe_timeout_s
 
     async def probe(self, address: str) -> Result[HostReport, EndpointError]:
         """Request an endpoint's report."""
         try:
-            answer = await self._caller.call(
+            response = await self._client.call(
                 "GET", f"http://{address}/report", self._probe_timeout_s
             )
-            if answer.status != 200:
-                return Err(EndpointError(CallFailure.ENDPOINT_ERROR, f"status {answer.status}"))
-            return Ok(json_format.Parse(answer.body, HostReport(), ignore_unknown_fields=True))
+            if response.status != 200:
+                return Err(EndpointError(CallFailure.ENDPOINT_ERROR, f"status {response.status}"))
+            return Ok(json_format.Parse(response.body, HostReport(), ignore_unknown_fields=True))
         except HttpCallError as error:
             return Err(_endpoint_error(error))
         except json_format.ParseError as error:
@@ -125,11 +125,11 @@
         """Send an order to a model engine."""
         url = f"http://{address}/order"
         try:
-            answer = await self._caller.call("POST", url, timeout_s, to_json(order).encode())
+            response = await self._client.call("POST", url, timeout_s, to_json(order).encode())
         except HttpCallError as error:
             return Err(str(error))
-        if answer.status != 200:
-            return Err(f"status {answer.status}: {answer.body[:200].decode(errors='replace')}")
+        if response.status != 200:
+            return Err(f"status {response.status}: {response.body[:200].decode(errors='replace')}")
         return Ok(None)
 
     @asynccontextmanager
@@ -140,7 +140,7 @@
         body = json.dumps(_generate_fields(call)).encode()
         try:
             url = f"http://{address}/generate"
-            async with self._caller.stream("POST", url, body, stall_timeout_s) as stream:
+            async with self._client.stream("POST", url, body, stall_timeout_s) as stream:
                 if stream.status != 200:
                     raise _status_error(stream.status)
                 yield _parse_chunks(stream)
@@ -153,7 +153,7 @@
         body = json.dumps({"request_id": request_id}).encode()
         try:
             url = f"http://{address}/cancel"
-            await self._caller.call("POST", url, self._probe_timeout_s, body)
+            await self._client.call("POST", url, self._probe_timeout_s, body)
         except HttpCallError:
             return
 
@@ -163,14 +163,17 @@
         """Call a plain service; raises EndpointError."""
         url = f"http://{address}{call.path}"
         try:
-            answer = await self._caller.call(
+            response = await self._client.call(
                 call.method, url, timeout_s, call.body, call.headers, new_connection=is_unsafe
             )
         except HttpCallError as error:
             raise _endpoint_error(error) from error
-        if answer.status in REFUSAL_STATUSES and answer.headers.get(_OUTCOME_HEADER) == _NOT_RUN:
-            raise _status_error(answer.status)
-        return answer
+        if (
+            response.status in REFUSAL_STATUSES
+            and response.headers.get(_OUTCOME_HEADER) == _NOT_RUN
+        ):
+            raise _status_error(response.status)
+        return response
 
 
 async def _read_end(stream: HttpStream) -> None:
@@ -183,8 +186,8 @@
 async def _parse_chunks(stream: HttpStream) -> AsyncIterator[StreamChunk]:
     """Split the body into events of one ``data`` line each, and decode them."""
     partial_event = b""
-    async for chunk in stream.chunks:
-        *events, partial_event = (partial_event + chunk).split(_EVENT_END)
+    async for data in stream.chunks:
+        *events, partial_event = (partial_event + data).split(_EVENT_END)
         for event in events:
             if event.startswith(_EVENT_DATA):
                 yield _parse_chunk(event.removeprefix(_EVENT_DATA))
@@ -226,9 +229,9 @@
 
 
 def _endpoint_error(error: HttpCallError) -> EndpointError:
-    kinds = {
+    failures = {
         HttpFailure.NOT_SENT: CallFailure.CONNECT,
         HttpFailure.MAYBE_SENT: CallFailure.BROKEN,
         HttpFailure.TIMED_OUT: CallFailure.STALLED,
     }
-    return EndpointError(kinds[error.failure], str(error))
+    return EndpointError(failures[error.failure], str(error))
--- a/yewloom/http_calls.py
+++ b/yewloom/http_calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls over ``httpcore``; errors are classified by how far the call may have got."""
+"""HTTP calls over ``httpcore``; errors are classified by whether the request may have been sent."""
 
 import json
 import ssl
@@ -34,7 +34,7 @@
 
 
 class HttpFailure(Enum):
-    """How far a failed call may have got."""
+    """Whether the request of a failed call was sent, or its response was late."""
 
     NOT_SENT = "not_sent"
     MAYBE_SENT = "maybe_sent"
@@ -71,9 +71,9 @@
 
 
 class _ConnectionKind:
-    """Whether a call used a kept connection, for error messages.
+    """Whether a call reused a connection, for error messages.
 
-    A silent connection can't be told from a silent server.
+    A connection that stopped responding can't be distinguished from a server that did.
     """
 
     def __init__(self, is_reused: bool) -> None:
@@ -92,8 +92,8 @@
     """Makes calls over connections that are kept open.
 
     Calls with ``new_connection`` never reuse a connection: if a request on an old connection is
-    lost, nothing shows whether it was read. After a call that timed out, connections that were open
-    then are not reused either.
+    lost, the client can't know whether the server read it. After a call that timed out, connections
+    that were open at that time are not reused either.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         connection_kind = _ConnectionKind(is_reused=not new_connection)
         with trio.move_on_after(timeout_s):
             if new_connection:
-                return await self._call_fresh(method, url, body, headers)
+                return await self._call_on_new_connection(method, url, body, headers)
             async with self._pools.pool_for(url) as pool:
                 with _converted_errors():
                     response = await pool.request(
@@ -131,7 +131,7 @@
                         content=body,
                         extensions=self._extensions() | {"trace": connection_kind.on_trace},
                     )
-                    return _to_answer(response)
+                    return _to_response(response)
         await self._pools.retire(url)
         detail = f"{method} {url} after {timeout_s:g} s over a {connection_kind} connection"
         raise HttpCallError(HttpFailure.TIMED_OUT, detail)
@@ -165,7 +165,7 @@
         """Close all connections."""
         await self._pools.close()
 
-    async def _call_fresh(
+    async def _call_on_new_connection(
         self, method: str, url: str, body: bytes, headers: Mapping[str, str] | None
     ) -> HttpResponse:
         all_headers = [*_header_list(headers), (b"connection", b"close")]
@@ -176,7 +176,7 @@
                 response = await pool.request(
                     method, url, headers=all_headers, content=body, extensions=self._extensions()
                 )
-                return _to_answer(response)
+                return _to_response(response)
 
     def _extensions(self, read_timeout_s: float | None = None) -> dict[str, Any]:
         timeouts = {
@@ -210,6 +210,6 @@
     return [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
 
 
-def _to_answer(response: httpcore.Response) -> HttpResponse:
+def _to_response(response: httpcore.Response) -> HttpResponse:
     headers = {name.decode().lower(): value.decode("latin-1") for name, value in response.headers}
     return HttpResponse(response.status, headers, response.content)
--- a/yewloom/http_pools.py
+++ b/yewloom/http_pools.py
@@ -1,4 +1,4 @@
-"""Connection pools for further calls, one per host.
+"""Connection pools for HTTP calls, one per host.
 
 An open connection may stop delivering data permanently without a reset, usually together with
 others. So when a call gets no response, all connections that were open at the same time are
@@ -69,14 +69,14 @@
                 await _close_if_unused(pool)
 
     async def retire(self, url: str) -> None:
-        """Stop using the connections that are now open to a URL's host for further calls.
-
-        Calls in progress keep theirs. Otherwise each silent connection would cost a time-out of its
-        own: with three idle silent connections, a follower of the store received a change after 7.1
-        s; now it takes less than 2 s. With nine host processes whose connections to the store all
-        fell silent, changes took effect after 1.27 s (median) and 2.26 s (maximum); now after 0.76
-        s and 1.24 s, together with the other measures against silent connections (15 rounds of
-        ``tools/measure_silence.py --hosts 9 --places 3``).
+        """Make later calls to a URL's host use new connections.
+
+        Calls in progress keep their connections. Without this, each silent connection would cost a
+        time-out of its own: with three idle silent connections, a follower of the store received a
+        change after 7.1 s; now it takes less than 2 s. With nine host processes whose connections
+        to the store all stopped responding, changes took effect after 1.27 s (median) and 2.26 s
+        (maximum); now after 0.76 s and 1.24 s, together with the other measures against silent
+        connections (15 rounds of ``tools/measure_silence.py --hosts 9 --places 3``).
         """
         pool = self._pools.pop(_origin(url), None)
         if pool is not None:
--- a/yewloom/loop_lateness.py
+++ b/yewloom/loop_lateness.py
@@ -1,8 +1,8 @@
 """Measures event loop delay, because a process that was blocked reads old data afterwards.
 
 Signals, the system's scheduler and long computations block a loop, and data that arrives meanwhile
-is read later as if it were new. All times are in seconds of system time: trio passes the timeout of
-an event wait in that unit whatever clock a run uses.
+is read later as if it were new. All times are in real seconds, because that is the unit of the
+timeout that trio passes for an event wait, even if the run uses another clock.
 """
 
 from collections import deque
@@ -20,7 +20,7 @@
 """Shortest delay that counts as blocked: a pass of a busy host takes some milliseconds."""
 
 CATCH_UP_S = 0.25
-"""Maximum time for which a loop reads queued data after it was blocked."""
+"""How long after it was blocked a loop is assumed to read queued data at most."""
 
 MIN_IDLE_WAIT_S = 0.001
 """An event wait of at least this length shows that the loop has caught up: nothing was left to
--- a/yewloom/tests/silent_network.py
+++ b/yewloom/tests/silent_network.py
@@ -13,10 +13,10 @@
 
 
 class MemoryStore:
-    """Answers list and watch requests for one object, ``config/main``, each after ``answer_s``."""
+    """Responds to list and watch requests for ``config/main``, each after ``response_delay_s``."""
 
     def __init__(self) -> None:
-        self.answer_s = 0.0
+        self.response_delay_s = 0.0
         self.revision = 0
         self._spec: dict[str, Any] = {}
         self._changed = trio.Event()
@@ -29,9 +29,9 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    async def answer(self, target: str) -> bytes:
+    async def respond(self, target: str) -> bytes:
         """Return the response to a request for a target."""
-        await trio.sleep(self.answer_s)
+        await trio.sleep(self.response_delay_s)
         query = parse_qs(urlsplit(target).query)
         metadata = {"name": "main", "revision": self.revision}
         if "watch" not in query:
@@ -93,7 +93,7 @@
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
         self._received = b""
-        self._answer = b""
+        self._unread_response = b""
         self.is_silent = False
         self.is_closed = False
         self.requests: list[str] = []
@@ -109,11 +109,14 @@
             target = self._received.split(b" ", 2)[1].decode()
             self._received = b""
             self.requests.append(target)
-            self._answer = await self._store.answer(target)
+            self._unread_response = await self._store.respond(target)
         await trio.lowlevel.checkpoint()
         if self.is_silent:
             await _time_out(timeout)
-        part, self._answer = self._answer[:max_bytes], self._answer[max_bytes:]
+        part, self._unread_response = (
+            self._unread_response[:max_bytes],
+            self._unread_response[max_bytes:],
+        )
         return part
 
     async def aclose(self) -> None:
--- a/yewloom/tests/test_silent_connections.py
+++ b/yewloom/tests/test_silent_connections.py
@@ -10,8 +10,8 @@
 and then does the same. The missing response was attributed to a single call instead of to all
 connections that were open, so that each cost a separate wait.
 
-Evidence: a soak test with real processes (seed 6 of ``test_route_soak``); in its logs the host is
-told of five versions while its listing gets no response.
+Evidence: a soak test with real processes (seed 6 of ``test_route_soak``); in its logs, peers
+report five versions to the host while its listing gets no response.
 """
 
 import random
@@ -59,9 +59,9 @@
 
     def __post_init__(self) -> None:
         self.network = SilentNetwork(self.store)
-        self.caller = HttpClient(0.5, network=self.network)
+        self.client = HttpClient(0.5, network=self.network)
         self.platform = StoreClient(
-            self.caller, "store:1", TIMEOUT_S, random.Random(1), watch_s=WATCH_S
+            self.client, "store:1", TIMEOUT_S, random.Random(1), watch_s=WATCH_S
         )
         policy = FollowPolicy(lambda: self.has_duty, lambda: 0.0, lambda failures: RETRY_PAUSE_S)
         intake = ConfigurationIntake(StoreRecordDecoder(), self.configuration_state)
@@ -76,8 +76,8 @@
                 nursery.start_soon(self.platform.watch, "config", self.store.revision)
             await trio.sleep(WATCH_S)
 
-    async def time_to(self, version: int) -> float:
-        """Return the time until a version is in force."""
+    async def wait_for_version(self, version: int) -> float:
+        """Wait until a version is in force; return how long that took."""
         began_s = trio.current_time()
         with trio.fail_after(LIMIT_S):
             while (  # noqa: ASYNC110
@@ -95,7 +95,7 @@
         host = Host(has_duty)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(host.follower.run)
-            await host.time_to(1)
+            await host.wait_for_version(1)
             await test(host)
             nursery.cancel_scope.cancel()
 
@@ -111,8 +111,8 @@
             host.network.silence_open()
             host.store.write(2)
             host.follower.relist()  # A peer has reported the version.
-            took_s = await host.time_to(2)
-            # The follower checks only every 0.2 s whether it must ask.
+            took_s = await host.wait_for_version(2)
+            # The follower checks only every 0.2 s whether it must query the store.
             self.assertLess(took_s, 0.2 + RESPONSE_S)
 
         _with_host(False, test)
@@ -123,23 +123,23 @@
             for version in (2, 3, 4):
                 host.network.silence_open()
                 host.store.write(version)
-                self.assertLess(await host.time_to(version), IN_FORCE_S)
+                self.assertLess(await host.wait_for_version(version), IN_FORCE_S)
 
         _with_host(True, test)
 
     def test_a_slow_store_is_not_repeatedly_mistaken_for_a_silent_connection(self) -> None:
         async def test(host: Host) -> None:
-            host.store.answer_s = 0.6
+            host.store.response_delay_s = 0.6
             host.network.opened.clear()
             await trio.sleep(LIMIT_S)
-            asked = [target for opened in host.network.opened for target in opened.requests]
-            listings = [target for target in asked if "watch" not in target]
+            targets = [target for opened in host.network.opened for target in opened.requests]
+            listings = [target for target in targets if "watch" not in target]
             self.assertLessEqual(len(listings), 1)
-            host.store.answer_s = 0.0
+            host.store.response_delay_s = 0.0
             await trio.sleep(LIMIT_S)
             host.network.silence_open()
             host.store.write(2)
-            self.assertLess(await host.time_to(2), IN_FORCE_S + 0.5)
+            self.assertLess(await host.wait_for_version(2), IN_FORCE_S + 0.5)
 
         _with_host(True, test)
 
