--- a/yewloom/boot_time.py
+++ b/yewloom/boot_time.py
@@ -1,8 +1,8 @@
 """Time that includes system suspension.
 
-The monotonic clock stops while the system is suspended. A host that used it would treat its
-configuration, its lease, its callers' deadlines and its peers' reports as fresh after a suspension
-of several seconds, although all of them have aged. The time since boot includes suspension.
+The monotonic clock stops while the system is suspended. A host that measured ages with it would
+treat its configuration, its lease, its callers' deadlines and its peers' reports as fresh after a
+suspension of several seconds. The time since boot includes suspension.
 """
 
 import time
@@ -34,7 +34,7 @@
     ) -> None:
         self._monotonic_clock_s = monotonic_clock_s
         self._boot_clock_s = boot_clock_s
-        self._clock_offset_s: float | None = None  # Until both clocks were read uninterrupted.
+        self._clock_offset_s: float | None = None  # None until both were read undisturbed.
         self._suspensions: deque[tuple[float, float]] = deque()  # Time of detection and duration.
         self._detect_suspension()
 
@@ -45,9 +45,9 @@
         milliseconds, is considered older than it is.
         """
         self._detect_suspension()
-        received_s = self._monotonic_clock_s() - monotonic_age_s
+        arrived_s = self._monotonic_clock_s() - monotonic_age_s
         return sum(
-            duration_s for detected_s, duration_s in self._suspensions if detected_s >= received_s
+            duration_s for detected_s, duration_s in self._suspensions if detected_s >= arrived_s
         )
 
     def _detect_suspension(self) -> None:
--- a/yewloom/early_listener.py
+++ b/yewloom/early_listener.py
@@ -4,10 +4,10 @@
 all of it for imports. A caller whose connection is refused meanwhile has used up one of its few
 attempts; a connection that waits in the accept queue is served once the host is ready.
 
-A busy or slow system needs many times as long, and a caller that waited for it would spend its
-whole deadline here. So a system timer interrupts the start repeatedly, and a request that has
-waited for a certain share of its timeout is rejected with 503 and Retry-After, so that its caller
-can try another host.
+On a busy or slow system the start takes many times as long, and a caller that waited for it would
+use up its whole timeout here. Therefore a system timer interrupts the start repeatedly, and a
+request that has waited for a certain share of its timeout is rejected with 503 and Retry-After, so
+that its caller can try another host.
 """
 
 import configparser
@@ -48,10 +48,10 @@
 ).encode()
 
 _HEAD_END = b"\r\n\r\n"
-_DEADLINE_PATTERN = rb"\r\n%s:[ \t]*(\d{1,9})[ \t]*\r\n"
+_TIMEOUT_PATTERN = rb"\r\n%s:[ \t]*(\d{1,9})[ \t]*\r\n"
 """Pattern of a header line with a number of milliseconds."""
 
-_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n", re.IGNORECASE)
+_CONTENT_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n", re.IGNORECASE)
 _UNKNOWN_LENGTH = re.compile(rb"\r\n(transfer-encoding|expect):", re.IGNORECASE)
 
 
@@ -71,7 +71,9 @@
     ) -> None:
         self._listener = listener
         self._listener.setblocking(False)
-        self._deadline = re.compile(_DEADLINE_PATTERN % re.escape(deadline_header), re.IGNORECASE)
+        self._timeout_pattern = re.compile(
+            _TIMEOUT_PATTERN % re.escape(deadline_header), re.IGNORECASE
+        )
         self._waited_s = waited_s
         self._accepted_s: dict[socket.socket, float] = {}  # When each connection was accepted.
         self._has_timer = False
@@ -92,14 +94,14 @@
     def hand_over(self) -> tuple[socket.socket, list[socket.socket]]:
         """Return the socket, and the connections that were accepted but not answered."""
         self._stop_timer()
-        self._is_handed_over = True  # A signal that arrived before may be handled only now.
+        self._is_handed_over = True  # The handler may still run for an earlier signal.
         return self._listener, list(self._accepted_s)
 
     def reject_overdue(self) -> None:
         """Reject the requests that have arrived completely and waited too long."""
         self._accept_waiting()
         for connection in list(self._accepted_s):
-            if self._reject_if_due(connection):
+            if self._reject_if_overdue(connection):
                 del self._accepted_s[connection]
 
     def _stop_timer(self) -> None:
@@ -134,11 +136,11 @@
             connection.setblocking(False)
             self._accepted_s[connection] = boot_s()
 
-    def _reject_if_due(self, connection: socket.socket) -> bool:
-        """Reject a request if it is due; return whether the connection is finished."""
+    def _reject_if_overdue(self, connection: socket.socket) -> bool:
+        """Reject a request if it is overdue; return whether the connection is finished."""
         try:
             data = connection.recv(PEEK_BYTES, socket.MSG_PEEK)
-            if data and not self._is_due(connection, data):
+            if data and not self._is_overdue(connection, data):
                 return False
             if data:
                 # Closing with unread bytes would reset the connection before the response is read.
@@ -152,11 +154,11 @@
         connection.close()
         return True
 
-    def _is_due(self, connection: socket.socket, data: bytes) -> bool:
+    def _is_overdue(self, connection: socket.socket, data: bytes) -> bool:
         """Return whether a complete request has waited for its share of its timeout."""
         if not _is_complete(data):
             return False
-        timeout_match = self._deadline.search(data)
+        timeout_match = self._timeout_pattern.search(data)
         limit_s = (
             int(timeout_match[1]) / 1000 * MAX_WAIT_SHARE
             if timeout_match is not None
@@ -198,7 +200,7 @@
     head, end, body = data.partition(_HEAD_END)
     if not end or _UNKNOWN_LENGTH.search(head):
         return False
-    length = _LENGTH.search(head + _HEAD_END[:2])
+    length = _CONTENT_LENGTH.search(head + _HEAD_END[:2])
     return len(body) >= (int(length[1]) if length is not None else 0)
 
 
--- a/yewloom/entry_host.py
+++ b/yewloom/entry_host.py
@@ -53,7 +53,7 @@
 logger = structlog.get_logger(__name__)
 
 BEFORE_TRAFFIC_PAUSE_S = 2.0
-"""Batching time of endpoint changes before the system's first request, if the host relays none."""
+"""Batching time of endpoint changes before the first request, on a host without follow duty."""
 
 TASK_RESTART_PAUSE_S = 0.5
 """Pause before a failed task is restarted."""
@@ -192,7 +192,7 @@
             parts.records.configuration_kind,
             self._configuration_intake.apply_update,
             FollowedPosition(),
-            self._build_follow_pace(lambda: 0.0, self._configuration_age_s),
+            self._build_follow_policy(lambda: 0.0, self._configuration_age_s),
         )
 
     def _configuration_age_s(self, now_s: float) -> float:
@@ -210,10 +210,10 @@
             parts.records.endpoint_kind,
             self._endpoint_intake.apply_update,
             self._followed_endpoints,
-            self._build_follow_pace(self._endpoint_pause_s, self._followed_endpoints.age_s),
+            self._build_follow_policy(self._endpoint_pause_s, self._followed_endpoints.age_s),
         )
 
-    def _build_follow_pace(
+    def _build_follow_policy(
         self, pause_s: Callable[[], float], age_s: Callable[[float], float]
     ) -> FollowPolicy:
         return FollowPolicy(
@@ -312,14 +312,14 @@
             nursery.start_soon(_run_with_restarts, task)
 
     def _forget_endpoint(self, endpoint_id: HostId) -> None:
-        """Drop what was learned about an earlier process of an endpoint."""
+        """Discard the state recorded for an earlier process of an endpoint."""
         self._stalls.forget(endpoint_id)
         self._reachability.forget(endpoint_id)
         self._limits.forget(endpoint_id)
         self._crashes.checks.on_restarted(endpoint_id)
 
     def _schedule_exchange(self) -> None:
-        """Send urgent news to the peers without waiting for the next regular exchange."""
+        """Send urgent updates to the peers without waiting for the next regular exchange."""
         self._exchange.send_soon()
 
     def _has_full_state(self) -> bool:
@@ -331,7 +331,7 @@
         return self._has_full_state() and not self._stop_plan.has_begun
 
     def _endpoint_pause_s(self) -> float:
-        """Return how long endpoint changes are batched; a coordinator waits for each batch.
+        """Return how long endpoint changes are batched; a coordinator's work waits for each batch.
 
         Before the first request all endpoints appear one by one, and a host that does not follow
         the store for other hosts has no use for them yet.
@@ -364,9 +364,9 @@
         has_traffic = self._has_received_requests or bool(self._peer_states.loads())
         return self._settings.host.is_first_start and not has_traffic
 
-    async def _handle(self, request: CallerRequest, reply: ResponseWriter) -> None:
+    async def _handle(self, request: CallerRequest, response: ResponseWriter) -> None:
         self._has_received_requests = True
-        await self._forwarder.handle(request, reply)
+        await self._forwarder.handle(request, response)
 
 
 async def _run_with_restarts(task: Callable[[], Awaitable[None]]) -> None:
--- a/yewloom/entry_servers.py
+++ b/yewloom/entry_servers.py
@@ -42,7 +42,7 @@
         self,
         settings: HostSettings,
         callers: CallerServer,
-        answer_peers: Handler,
+        peer_handler: Handler,
         metrics: ForwardMetrics,
         host_readiness: HostReadiness,
         quarantine_page: QuarantinePage,
@@ -54,12 +54,12 @@
         self._host_readiness = host_readiness
         self._readiness_server = CallerServer(Handlers(self._respond_readiness), CallerLimits)
         self._metrics_server = CallerServer(Handlers(self._respond_to_operator), CallerLimits)
-        self._peer_server = CallerServer(Handlers(answer_peers), CallerLimits)
+        self._peer_server = CallerServer(Handlers(peer_handler), CallerLimits)
 
-    async def start(self, nursery: trio.Nursery, early: EarlyListener | None) -> None:
-        """Start serving; ``early`` is the callers' listening socket, if it is already open."""
+    async def start(self, nursery: trio.Nursery, early_listener: EarlyListener | None) -> None:
+        """Start serving; ``early_listener`` holds the callers' socket if it is already open."""
         settings = self._settings
-        listener, accepted = self._open_caller_listener(early)
+        listener, accepted = self._open_caller_listener(early_listener)
         await nursery.start(self._callers.serve, listener, self._wait_for_configuration, accepted)
         await nursery.start(self._readiness_server.serve, listen(settings.readiness_address))
         await nursery.start(self._peer_server.serve, listen(settings.peer_address))
@@ -68,16 +68,16 @@
             await nursery.start(self._metrics_server.serve, listen(f"{ip}:{settings.metrics_port}"))
 
     def _open_caller_listener(
-        self, early: EarlyListener | None
+        self, early_listener: EarlyListener | None
     ) -> tuple[socket.socket, list[socket.socket]]:
         """Return the callers' listening socket and the connections that it has already accepted."""
-        if early is None:
+        if early_listener is None:
             return listen(self._settings.caller_address), []
-        listener_and_connections = early.hand_over()
-        if early.rejected_count or early.errors:
-            errors = [repr(error) for error in early.errors]
+        listener_and_connections = early_listener.hand_over()
+        if early_listener.rejected_count or early_listener.errors:
+            errors = [repr(error) for error in early_listener.errors]
             logger.warning(
-                "requests rejected during start", count=early.rejected_count, errors=errors
+                "requests rejected during start", count=early_listener.rejected_count, errors=errors
             )
         return listener_and_connections
 
@@ -88,12 +88,12 @@
                 await trio.sleep(FIRST_CONFIGURATION_CHECK_S)
         logger.info("accepting callers", knows_all=self._host_readiness.has_full_state())
 
-    async def _respond_readiness(self, request: CallerRequest, reply: ResponseWriter) -> None:
-        await reply.send_complete(200 if self._host_readiness.is_ready() else 503, [], b"")
+    async def _respond_readiness(self, request: CallerRequest, response: ResponseWriter) -> None:
+        await response.send_complete(200 if self._host_readiness.is_ready() else 503, [], b"")
 
-    async def _respond_to_operator(self, request: CallerRequest, reply: ResponseWriter) -> None:
+    async def _respond_to_operator(self, request: CallerRequest, response: ResponseWriter) -> None:
         if self._quarantine_page.handles(request):
-            await self._quarantine_page.answer(request, reply)
+            await self._quarantine_page.answer(request, response)
             return
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
-        await reply.send_complete(200, headers, generate_latest(self._metrics.registry))
+        await response.send_complete(200, headers, generate_latest(self._metrics.registry))
--- a/yewloom/exit_timer.py
+++ b/yewloom/exit_timer.py
@@ -4,8 +4,9 @@
 than the time that is left of a planned stop. A system timer interrupts it in the middle of the
 pass.
 
-Such a host may also receive the timer's signal late, and so end late. So the timer fires several
-times before the end and reports each delay, so that the end can be set correspondingly earlier.
+Such a host may also receive the timer's signal late, and so end late. Therefore the timer
+fires several times before the end and reports each delay, so that the end can be set
+correspondingly earlier.
 """
 
 import signal
--- a/yewloom/planned_stop.py
+++ b/yewloom/planned_stop.py
@@ -24,8 +24,8 @@
 """The other part, in which open requests get their final responses."""
 
 EXIT_DELAY_FACTOR = 2.0
-"""Time reserved for the exit as a multiple of the scheduling delay, so that the process gets to run
-that often in it."""
+"""Time reserved for the exit as a multiple of the scheduling delay, so that the process is
+scheduled that many times within it."""
 
 MAX_EXIT_MARGIN_S = 1.0
 """Maximum time reserved for the exit, however late the process is scheduled."""
@@ -95,5 +95,5 @@
         return min(self.finish_by_s, max(cut_off_s, work_ends_s))
 
     def has_time_for(self, duration_s: float, now_s: float) -> bool:
-        """Return whether work that takes ``duration_s`` would finish before the stop does."""
+        """Return whether work that takes ``duration_s`` would finish in time if it began now."""
         return now_s + duration_s <= self.finish_by_s
--- a/yewloom/process_signals.py
+++ b/yewloom/process_signals.py
@@ -11,7 +11,7 @@
 
 
 class ProcessSignals:
-    """Records signals as they arrive, for an event loop that may start later or run late.
+    """Records signals as they arrive, for an event loop that may start later or be blocked.
 
     trio's own receiver records no times, and when it closes, it delivers unreceived signals again
     with the default action, which would end the process in the middle of its planned stop.
--- a/yewloom/tests/entry_support.py
+++ b/yewloom/tests/entry_support.py
@@ -118,8 +118,8 @@
     """Register engines as the members of a group; the first one leads."""
     key = GroupKey(GroupId(group), generation)
     for rank, name in enumerate(names):
-        shown = state if rank == 0 or state is not MemberState.OPEN else MemberState.READY
-        member = GroupMembership(key, rank, shown)
+        member_state = state if rank == 0 or state is not MemberState.OPEN else MemberState.READY
+        member = GroupMembership(key, rank, member_state)
         directory.put(make_engine(name, domain, staged or model, member, model, data_centre))
     return key
 
--- a/yewloom/tests/test_boot_clock.py
+++ b/yewloom/tests/test_boot_clock.py
@@ -63,7 +63,7 @@
 
 
 class TestSuspendedMachine(unittest.TestCase):
-    """Knowledge and deadlines from before a suspension have expired."""
+    """Data and deadlines from before a suspension have expired."""
 
     def test_keys_of_an_older_configuration_are_not_accepted(self) -> None:
         """Guards against accepting API keys that were revoked while the machine was suspended."""
@@ -156,10 +156,10 @@
 
 
 class TestPrograms(unittest.TestCase):
-    """Both programs use this clock."""
+    """Both programs use the boot clock."""
 
     def test_the_platform_entry_host_uses_the_boot_clock(self) -> None:
-        """Guards against treating knowledge from before a suspension as fresh."""
+        """Guards against treating data from before a suspension as fresh."""
         with (
             mock.patch.object(Path, "read_text", return_value=BASE_SETTINGS),
             mock.patch.object(program, "ProcessSignals"),
--- a/yewloom/tests/test_early_listener.py
+++ b/yewloom/tests/test_early_listener.py
@@ -15,7 +15,7 @@
 HEAD = b"POST /x HTTP/1.1\r\nhost: x.example\r\nContent-Length: 4\r\n"
 COMPLETE = HEAD + b"\r\nbody"
 READ_BYTES = 1000
-ANSWER_LIMIT_S = 5.0
+RESPONSE_LIMIT_S = 5.0
 """Maximum wait for a response; reaching it fails a test."""
 
 
@@ -36,22 +36,22 @@
 
     @contextmanager
     def _caller(self, data: bytes) -> Iterator[socket.socket]:
-        with socket.create_connection(self.address, timeout=ANSWER_LIMIT_S) as caller:
+        with socket.create_connection(self.address, timeout=RESPONSE_LIMIT_S) as caller:
             caller.sendall(data)
             yield caller
 
     def _read_all(self, caller: socket.socket) -> bytes:
-        answer = b""
+        response = b""
         while data := caller.recv(READ_BYTES):
-            answer += data
-        return answer
+            response += data
+        return response
 
     def test_a_complete_request_gets_503(self) -> None:
         with self._caller(COMPLETE) as caller:
             self.early.reject_overdue()
-            answer = self._read_all(caller)
-        self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
-        self.assertIn(b"\r\nretry-after: 0.5\r\n", answer)
+            response = self._read_all(caller)
+        self.assertTrue(response.startswith(b"HTTP/1.1 503 "), response)
+        self.assertIn(b"\r\nretry-after: 0.5\r\n", response)
         self.assertEqual((self.early.rejected_count, self.early.errors), (1, []))
 
     def test_an_incomplete_request_is_left_unread_for_the_program(self) -> None:
@@ -67,7 +67,7 @@
         self.assertEqual(self.early.rejected_count, 0)
 
     def test_a_nested_alarm_changes_nothing(self) -> None:
-        """Guards against a start that its own timer ends, with all waiting callers."""
+        """Guards against a timer signal that ends a starting process while callers wait."""
 
         def alarm_again(connection: socket.socket) -> float:
             if not alarms:
@@ -77,8 +77,8 @@
 
         alarms: list[socket.socket] = []
         self.early = EarlyListener(self.early.hand_over()[0], b"x-time-ms", alarm_again)
-        before = signal.getsignal(signal.SIGALRM)
-        self.addCleanup(signal.signal, signal.SIGALRM, before)
+        previous_handler = signal.getsignal(signal.SIGALRM)
+        self.addCleanup(signal.signal, signal.SIGALRM, previous_handler)
         with mock.patch("signal.setitimer"):
             self.early.start()
         with self._caller(COMPLETE) as caller:
@@ -88,8 +88,8 @@
 
     def test_an_alarm_after_the_handover_accepts_no_connection(self) -> None:
         """Guards against accepting a connection that the program never gets."""
-        before = signal.getsignal(signal.SIGALRM)
-        self.addCleanup(signal.signal, signal.SIGALRM, before)
+        previous_handler = signal.getsignal(signal.SIGALRM)
+        self.addCleanup(signal.signal, signal.SIGALRM, previous_handler)
         with mock.patch("signal.setitimer"):
             self.early.start()
             listener, _ = self.early.hand_over()
@@ -104,8 +104,8 @@
             raise RuntimeError("unforeseen")
 
         self.early = EarlyListener(self.early.hand_over()[0], b"x-time-ms", fail)
-        before = signal.getsignal(signal.SIGALRM)
-        self.addCleanup(signal.signal, signal.SIGALRM, before)
+        previous_handler = signal.getsignal(signal.SIGALRM)
+        self.addCleanup(signal.signal, signal.SIGALRM, previous_handler)
         with mock.patch("signal.setitimer"):
             self.early.start()
         with self._caller(COMPLETE):
@@ -140,8 +140,8 @@
 
     def test_no_request_waits_long_for_a_slow_start(self) -> None:
         """Guards against callers waiting for a host that can't read their requests yet."""
-        before = signal.getsignal(signal.SIGALRM)
-        self.addCleanup(signal.signal, signal.SIGALRM, before)
+        previous_handler = signal.getsignal(signal.SIGALRM)
+        self.addCleanup(signal.signal, signal.SIGALRM, previous_handler)
         with self._caller(COMPLETE) as caller:
             self.early.start()
             time.sleep(0.3)  # Stands for the program's imports.
@@ -150,8 +150,8 @@
             self.assertTrue(self._read_all(caller).startswith(b"HTTP/1.1 503 "))
 
     def test_without_a_timer_callers_wait_and_the_program_starts(self) -> None:
-        before = signal.getsignal(signal.SIGALRM)
-        self.addCleanup(signal.signal, signal.SIGALRM, before)
+        previous_handler = signal.getsignal(signal.SIGALRM)
+        self.addCleanup(signal.signal, signal.SIGALRM, previous_handler)
         error = OSError("no timer")
         with mock.patch("yewloom.early_listener.signal.setitimer", side_effect=error):
             self.early.start()
--- a/yewloom/tests/test_entry_host.py
+++ b/yewloom/tests/test_entry_host.py
@@ -68,7 +68,7 @@
     }
 
 
-class World:
+class Deployment:
     """A store, engines and entry hosts on the loopback interface."""
 
     def __init__(self) -> None:
@@ -97,7 +97,7 @@
 
     async def _serves(self, host: int) -> bool:
         try:
-            return (await self.ask(host))[0] == 200
+            return (await self.send_request(host))[0] == 200
         except ExchangeError:
             return False
 
@@ -109,7 +109,7 @@
         engine.publish()
         return engine
 
-    async def ask(self, host: int = 0, key: str = "k1") -> tuple[int, bytes]:
+    async def send_request(self, host: int = 0, key: str = "k1") -> tuple[int, bytes]:
         """Send a request to an entry host; return status and body."""
         headers = [
             (b"host", b"x.example"),
@@ -124,7 +124,9 @@
             head = await exchange.read_head()
             return head.status, await exchange.read_body()
 
-    async def ask_operator(self, method: bytes, path: bytes, host: int = 0) -> tuple[int, Any]:
+    async def send_operator_request(
+        self, method: bytes, path: bytes, host: int = 0
+    ) -> tuple[int, Any]:
         """Send a request to a host's metrics port; return status and decoded body."""
         settings = self.hosts[host].host
         ip, _ = split_address(settings.caller_address)
@@ -163,16 +165,16 @@
         return parse_entry_settings(text, "test").unwrap()
 
     async def _run_host(self, settings: EntrySettings) -> None:
-        rng, caller = random.Random(1), HttpClient(1.0)
+        rng, client = random.Random(1), HttpClient(1.0)
         address = settings.store.address
         parts = PlatformParts(
-            configuration=StoreClient(caller, address, 1.0, rng, 0.3),
-            endpoints=StoreClient(caller, address, 1.0, rng, 0.5),
-            records_store=StoreClient(caller, address, 1.0, rng),
-            stale_store=StoreClient(caller, address, 1.0, rng, allows_stale=True),
+            configuration=StoreClient(client, address, 1.0, rng, 0.3),
+            endpoints=StoreClient(client, address, 1.0, rng, 0.5),
+            records_store=StoreClient(client, address, 1.0, rng),
+            stale_store=StoreClient(client, address, 1.0, rng, allows_stale=True),
             records=StoreRecordDecoder(),
             codec=HttpHeaderCodec(),
-            orders=HttpEngineClient(caller),
+            orders=HttpEngineClient(client),
         )
         host = EntryHost(settings, parts, ForwardMetrics(), rng)
         await host.run(ProcessSignals(), lambda: None, lambda: None)
@@ -192,20 +194,20 @@
 
 
 def run(
-    test: Callable[[World], Awaitable[None]],
+    test: Callable[[Deployment], Awaitable[None]],
     engines: int = 4,
     hosts: int = 2,
-    prepare: Callable[[World], None] = lambda world: None,
+    prepare: Callable[[Deployment], None] = lambda deployment: None,
 ) -> None:
-    """Run a test in a world that serves requests; ``prepare`` is called before any host starts."""
+    """Run a test once requests are served; ``prepare`` is called before any host starts."""
 
     async def main() -> None:
-        world = World()
-        prepare(world)
+        deployment = Deployment()
+        prepare(deployment)
         async with trio.open_nursery() as nursery:
             with trio.fail_after(60):
-                await world.start(nursery, engines, hosts)
-                await test(world)
+                await deployment.start(nursery, engines, hosts)
+                await test(deployment)
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -215,154 +217,166 @@
     """From an empty store to responses, and through failures."""
 
     def test_engines_form_groups_and_serve(self) -> None:
-        async def test(world: World) -> None:
-            status, body = await world.ask()
+        async def test(deployment: Deployment) -> None:
+            status, body = await deployment.send_request()
             self.assertEqual((status, body.count(b"id: ")), (200, DEFAULT_EVENT_COUNT))
-            self.assertEqual((await world.ask(key="no"))[0], 401)
-            self.assertEqual(world.store.names("yewloom-placements"), ["hall-a"])
-            for engine in world.engines:
+            self.assertEqual((await deployment.send_request(key="no"))[0], 401)
+            self.assertEqual(deployment.store.names("yewloom-placements"), ["hall-a"])
+            for engine in deployment.engines:
                 opened = [o for o in engine.orders if o["op"] == "open"]
                 self.assertTrue(not opened or engine.members[0] == engine.name)
 
         run(test)
 
     def test_a_revoked_key_is_rejected_at_every_host(self) -> None:
-        async def test(world: World) -> None:
-            world.store.put("config", "main", _configuration(4, ["k2"]))
+        async def test(deployment: Deployment) -> None:
+            deployment.store.put("config", "main", _configuration(4, ["k2"]))
 
-            async def is_refused() -> bool:
-                return all([(await world.ask(host))[0] == 401 for host in (0, 1)])
+            async def is_rejected() -> bool:
+                return all([(await deployment.send_request(host))[0] == 401 for host in (0, 1)])
 
-            await world.wait_for(is_refused)
-            self.assertEqual((await world.ask(key="k2"))[0], 200)
+            await deployment.wait_for(is_rejected)
+            self.assertEqual((await deployment.send_request(key="k2"))[0], 200)
 
         run(test)
 
     def test_hosts_that_do_not_follow_the_store_learn_changes_from_peers(self) -> None:
-        async def test(world: World) -> None:
-            world.store.put("config", "main", _configuration(4, ["k2"]))
-            all_hosts = range(len(world.hosts))
+        async def test(deployment: Deployment) -> None:
+            deployment.store.put("config", "main", _configuration(4, ["k2"]))
+            all_hosts = range(len(deployment.hosts))
 
             async def all_changed() -> bool:
-                return all([(await world.ask(host, "k2"))[0] == 200 for host in all_hosts])
+                return all(
+                    [(await deployment.send_request(host, "k2"))[0] == 200 for host in all_hosts]
+                )
 
-            await world.wait_for(all_changed)
-            self.assertEqual([(await world.ask(host))[0] for host in all_hosts], [401] * 5)
+            await deployment.wait_for(all_changed)
+            self.assertEqual(
+                [(await deployment.send_request(host))[0] for host in all_hosts], [401] * 5
+            )
 
         run(test, hosts=5)
 
     def test_an_older_configuration_is_never_applied(self) -> None:
-        async def test(world: World) -> None:
-            world.store.put("config", "main", _configuration(2, ["k2"]))
+        async def test(deployment: Deployment) -> None:
+            deployment.store.put("config", "main", _configuration(2, ["k2"]))
             await trio.sleep(0.6)
-            self.assertEqual((await world.ask())[0], 200)
-            self.assertEqual((await world.ask(key="k2"))[0], 401)
+            self.assertEqual((await deployment.send_request())[0], 200)
+            self.assertEqual((await deployment.send_request(key="k2"))[0], 401)
 
         run(test)
 
     def test_hosts_serve_without_the_store_until_keys_are_too_old(self) -> None:
-        async def test(world: World) -> None:
-            world.store.faults.status = 503
-            self.assertEqual((await world.ask())[0], 200)
+        async def test(deployment: Deployment) -> None:
+            deployment.store.faults.status = 503
+            self.assertEqual((await deployment.send_request())[0], 200)
 
-            async def is_refused() -> bool:
-                return (await world.ask())[0] == 503
+            async def is_rejected() -> bool:
+                return (await deployment.send_request())[0] == 503
 
-            await world.wait_for(is_refused)
-            world.store.faults.status = 0
+            await deployment.wait_for(is_rejected)
+            deployment.store.faults.status = 0
 
             async def is_served() -> bool:
-                return (await world.ask())[0] == 200
+                return (await deployment.send_request())[0] == 200
 
-            await world.wait_for(is_served)
+            await deployment.wait_for(is_served)
 
         run(test)
 
     def test_a_listing_after_lost_history_recovers_missed_changes(self) -> None:
-        async def test(world: World) -> None:
-            world.store.put("config", "main", _configuration(4, ["k1", "k2"]))
-            world.store.drop_history()
+        async def test(deployment: Deployment) -> None:
+            deployment.store.put("config", "main", _configuration(4, ["k1", "k2"]))
+            deployment.store.drop_history()
 
             async def is_served() -> bool:
-                return (await world.ask(key="k2"))[0] == 200
+                return (await deployment.send_request(key="k2"))[0] == 200
 
-            await world.wait_for(is_served)
+            await deployment.wait_for(is_served)
 
         run(test)
 
     def test_a_stream_moves_away_from_a_stalled_group(self) -> None:
-        async def test(world: World) -> None:
-            await world.wait_for(self._has_two_groups(world))
-            world.group_leaders()[0].progress_enabled = trio.Event()
+        async def test(deployment: Deployment) -> None:
+            await deployment.wait_for(self._has_two_groups(deployment))
+            deployment.group_leaders()[0].progress_enabled = trio.Event()
             for _ in range(4):
-                status, body = await world.ask()
+                status, body = await deployment.send_request()
                 self.assertEqual((status, body.count(b"id: ")), (200, DEFAULT_EVENT_COUNT))
 
         run(test)
 
     def test_a_group_that_lost_a_member_is_replaced(self) -> None:
-        async def test(world: World) -> None:
-            await world.wait_for(self._has_two_groups(world))
-            spare = await world.add_engine("spare")
+        async def test(deployment: Deployment) -> None:
+            await deployment.wait_for(self._has_two_groups(deployment))
+            spare = await deployment.add_engine("spare")
             spare.staged = [MODEL]
             spare.publish()
-            head = world.group_leaders()[0]
-            lost = next(e for e in world.engines if e.name == head.members[1])
-            old_group = head.group
+            leader = deployment.group_leaders()[0]
+            lost = next(e for e in deployment.engines if e.name == leader.members[1])
+            old_group = leader.group
             lost.is_silent = True
-            world.store.remove("servers", lost.name)
-            world.engines.remove(lost)
+            deployment.store.remove("servers", lost.name)
+            deployment.engines.remove(lost)
 
             async def is_replaced() -> bool:
-                groups = [e.group for e in world.group_leaders()]
+                groups = [e.group for e in deployment.group_leaders()]
                 return len(groups) == 2 and old_group not in groups
 
-            await world.wait_for(is_replaced)
-            self.assertIn(spare.name, [name for e in world.group_leaders() for name in e.members])
+            await deployment.wait_for(is_replaced)
+            self.assertIn(
+                spare.name, [name for e in deployment.group_leaders() for name in e.members]
+            )
 
         run(test)
 
     def test_a_group_keeps_serving_when_a_member_only_lost_the_store(self) -> None:
-        async def test(world: World) -> None:
-            await world.wait_for(self._has_two_groups(world))
-            head = world.group_leaders()[0]
-            hidden = next(e for e in world.engines if e.name == head.members[1])
-            world.store.remove("servers", hidden.name)
+        async def test(deployment: Deployment) -> None:
+            await deployment.wait_for(self._has_two_groups(deployment))
+            leader = deployment.group_leaders()[0]
+            hidden = next(e for e in deployment.engines if e.name == leader.members[1])
+            deployment.store.remove("servers", hidden.name)
             await trio.sleep(UNLISTED_GRACE_S + 1.0)
-            self.assertEqual(len(world.group_leaders()), 2)
-            self.assertEqual((await world.ask())[0], 200)
+            self.assertEqual(len(deployment.group_leaders()), 2)
+            self.assertEqual((await deployment.send_request())[0], 200)
 
         run(test)
 
     def test_operators_see_and_lift_quarantines_from_before_the_start(self) -> None:
-        def prepare(world: World) -> None:
-            held = {"fingerprint": "171", "count": 1, "since_unix_ms": str(int(time.time() * 1000))}
+        def prepare(deployment: Deployment) -> None:
+            quarantined = {
+                "fingerprint": "171",
+                "count": 1,
+                "since_unix_ms": str(int(time.time() * 1000)),
+            }
             kind, _, name = STORE_KEY.partition("/")
-            world.store.put(kind, name, {"requests": [held]})
+            deployment.store.put(kind, name, {"requests": [quarantined]})
 
-        async def test(world: World) -> None:
+        async def test(deployment: Deployment) -> None:
             async def is_quarantined() -> bool:
-                return all([await self._quarantined(world, host) for host in (0, 1)])
+                return all([await self._quarantined(deployment, host) for host in (0, 1)])
 
             async def is_lifted() -> bool:
-                return not any([await self._quarantined(world, host) for host in (0, 1)])
+                return not any([await self._quarantined(deployment, host) for host in (0, 1)])
 
-            await world.wait_for(is_quarantined)
+            await deployment.wait_for(is_quarantined)
             path = f"/quarantine/{format_fingerprint(Fingerprint(171))}/lift".encode()
-            self.assertEqual(await world.ask_operator(b"POST", path, host=1), (200, None))
-            await world.wait_for(is_lifted)
+            self.assertEqual(
+                await deployment.send_operator_request(b"POST", path, host=1), (200, None)
+            )
+            await deployment.wait_for(is_lifted)
 
         run(test, prepare=prepare)
 
-    async def _quarantined(self, world: World, host: int) -> list[str]:
+    async def _quarantined(self, deployment: Deployment, host: int) -> list[str]:
         """Return the fingerprints that a host reports as quarantined."""
-        status, held = await world.ask_operator(b"GET", b"/quarantine", host)
+        status, quarantined = await deployment.send_operator_request(b"GET", b"/quarantine", host)
         self.assertEqual(status, 200)
-        return [request["fingerprint"] for request in held]
+        return [request["fingerprint"] for request in quarantined]
 
     @staticmethod
-    def _has_two_groups(world: World) -> Callable[[], Awaitable[bool]]:
+    def _has_two_groups(deployment: Deployment) -> Callable[[], Awaitable[bool]]:
         async def check() -> bool:
-            return len(world.group_leaders()) == 2
+            return len(deployment.group_leaders()) == 2
 
         return check
--- a/yewloom/tests/test_entry_process.py
+++ b/yewloom/tests/test_entry_process.py
@@ -55,7 +55,7 @@
 SLOTS = 1000
 """Number of streams that engines accept at once: more than a test opens."""
 
-DUTY_PERIOD_S = 0.1
+RUN_PERIOD_S = 0.1
 """Period in which a slowed process runs once, as under the users' CPU quota."""
 
 SLOW_SHARE = 0.2
@@ -67,8 +67,8 @@
 SHORT_DEADLINE_S = 1.0
 """Deadline of a request, shorter than the suspension of the process."""
 
-LONG_PATIENCE_S = 5.0
-"""How much longer than that a caller waits, to see the outcome of its request."""
+EXTRA_WAIT_S = 5.0
+"""Time that a caller waits after that deadline, to see the outcome of its request."""
 
 SLOW_START_SHARE = 0.03
 """Share of the time for which a process runs so that it starts more slowly than callers wait."""
@@ -85,13 +85,13 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self._balancer = Balancer(fleet.entries)  # It checks no host, so all are used.
-        self._asked = 0
+        self._sent_count = 0
         self._events = SHORT.events
 
     async def ask(self, entry: EntryProcess, kind: Kind = Kind.STREAM) -> Sent:
         """Send one request on its own connection."""
-        self._asked += 1
-        caller = Caller(entry, self.fleet, self._balancer, self.fleet.ledger, self._asked)
+        self._sent_count += 1
+        caller = Caller(entry, self.fleet, self._balancer, self.fleet.ledger, self._sent_count)
         async with caller.open_pool() as pool:
             return await caller.send(pool, kind, self._events)
 
@@ -123,17 +123,17 @@
         A stream that ends without an event is started again, because a busy fleet rejects some.
         """
         before = set(self.fleet.ledger.sent)
-        begun = 0
+        started_count = 0
         while True:
             sent = self.fleet.ledger.sent
             new = [s for i, s in sent.items() if i not in before and s.host_life == entry.life]
-            flowing = [s for s in new if s.answer and s.ended_s is None]
-            if len(flowing) == count:
-                return flowing
-            over = sum(s.ended_s is not None for s in new)
-            while begun - over < count:
+            streaming = [s for s in new if s.answer and s.ended_s is None]
+            if len(streaming) == count:
+                return streaming
+            ended_count = sum(s.ended_s is not None for s in new)
+            while started_count - ended_count < count:
                 nursery.start_soon(self.ask, entry)
-                begun += 1
+                started_count += 1
             assert entry.is_running, _describe_end(entry)
             await trio.sleep(POLL_INTERVAL_S)
 
@@ -157,7 +157,7 @@
 
     with (
         mock.patch("yewloom.tests.soak.callers.STREAM_DEADLINE_S", TIMEOUT_S),
-        mock.patch("yewloom.tests.soak.fleet.configuration", _patient_configuration),
+        mock.patch("yewloom.tests.soak.fleet.configuration", _long_timeout_configuration),
     ):
         trio.run(main)
 
@@ -167,7 +167,7 @@
     return sent.status == 200 and sent.is_whole
 
 
-def _patient_configuration(version: int) -> dict[str, Any]:
+def _long_timeout_configuration(version: int) -> dict[str, Any]:
     """Return a configuration whose routes allow long responses."""
     changed = configuration(version)
     for route in changed["routes"]:
@@ -228,9 +228,9 @@
     """Let a process run for a share of the time only, until cancelled."""
     while True:
         entry.signal(signal.SIGSTOP)
-        await trio.sleep(DUTY_PERIOD_S * (1 - share))
+        await trio.sleep(RUN_PERIOD_S * (1 - share))
         entry.signal(signal.SIGCONT)
-        await trio.sleep(DUTY_PERIOD_S * share)
+        await trio.sleep(RUN_PERIOD_S * share)
 
 
 class TestEntryProcess(unittest.TestCase):
@@ -283,13 +283,13 @@
 
         with (
             mock.patch("yewloom.tests.soak.callers.DEADLINE_S", SHORT_DEADLINE_S),
-            mock.patch("yewloom.tests.soak.callers.PATIENCES_S", (LONG_PATIENCE_S,)),
+            mock.patch("yewloom.tests.soak.callers.PATIENCES_S", (EXTRA_WAIT_S,)),
             mock.patch("yewloom.tests.test_entry_process.TIMEOUT_S", SHORT_DEADLINE_S),
         ):
             run(test)
 
     def test_a_suspended_host_accepts_no_request_later_after_sigterm(self) -> None:
-        """Guards against a deregistration delay that starts over when a signal was noticed late."""
+        """Guards against counting the deregistration delay from when a late signal was noticed."""
 
         async def test(world: ProcessFleet) -> None:
             entry = world.fleet.entries[0]
--- a/yewloom/tests/test_planned_stop.py
+++ b/yewloom/tests/test_planned_stop.py
@@ -76,9 +76,9 @@
         ):
             stop = PlannedStop(grace_s)
             stop.begin(100.0)
-            usual_s = stop.finish_by_s
+            initial_s = stop.finish_by_s
             stop.add_delay(late_s)
-            min_s = min(100.0 + grace_s * 5 / 6, usual_s)
+            min_s = min(100.0 + grace_s * 5 / 6, initial_s)
             self.assertGreaterEqual(stop.cut_off_s(open_requests), min_s - 1e-9)
             self.assertLessEqual(stop.cut_off_s(open_requests), stop.finish_by_s)
         stop = PlannedStop(grace_s=8.0)
@@ -89,12 +89,12 @@
         stop = PlannedStop(grace_s=8.0)
         stop.add_delay(0.5)
         stop.begin(0.0)
-        usual_s = (stop.finish_by_s, stop.exit_s)
+        initial_s = (stop.finish_by_s, stop.exit_s)
         stop.add_delay(0.01)
-        self.assertEqual((stop.finish_by_s, stop.exit_s), usual_s)
+        self.assertEqual((stop.finish_by_s, stop.exit_s), initial_s)
         stop.add_delay(0.5)
         self.assertLessEqual(stop.exit_s, 8.0 - 2 * 0.5)
-        self.assertEqual(stop.exit_s - stop.finish_by_s, usual_s[1] - usual_s[0])
+        self.assertEqual(stop.exit_s - stop.finish_by_s, initial_s[1] - initial_s[0])
         stop.add_delay(60.0)
         self.assertEqual(stop.exit_s, 8.0 - MAX_EXIT_MARGIN_S)
         stop.add_delay(0.0)
@@ -109,7 +109,7 @@
 
 
 class TestRouteDurations(unittest.TestCase):
-    """How long a route's requests usually take."""
+    """The median duration of a route's requests."""
 
     def test_too_few_samples_give_no_estimate(self) -> None:
         durations = RouteDurations()
@@ -253,11 +253,11 @@
         self, server: Server, simulation: Simulation, simulated: SimulatedCaller
     ) -> None:
         """Check that a caller that stayed has a response to each accepted request."""
-        answers = await simulated.caller.responses(allow_truncated=simulation.is_over)
+        responses = await simulated.caller.responses(allow_truncated=simulation.is_over)
         own = {simulated.path(PLAIN), simulated.path(STREAM)}
         accepted_paths = [path for path in server.accepted_paths if path in own]
-        served = [body for status, body in answers if status == 200]
-        self.assertEqual({status for status, _ in answers} - {200, 503}, set())
+        served = [body for status, body in responses if status == 200]
+        self.assertEqual({status for status, _ in responses} - {200, 503}, set())
         if simulation.is_over:
             self.assertLessEqual(len(served), len(accepted_paths))
         else:
--- a/yewloom/tests/test_shutdown.py
+++ b/yewloom/tests/test_shutdown.py
@@ -37,7 +37,7 @@
             request.close()
 
     def stop_accepting(self) -> None:
-        """Close the server."""
+        """Accept no more requests."""
         self.activity.stop_accepting()
 
     def end_oldest(self, max_requests: int) -> bool:
@@ -51,14 +51,14 @@
 
 
 class Alarm:
-    """An alarm that records its delay, and reports a configured delay."""
+    """An alarm that records the time left when it starts, and reports a configured signal delay."""
 
-    delay_s = 0.0
+    left_s = 0.0
     late_s = 0.0
 
     def start(self, left_s: Callable[[], float], on_late: Callable[[float], None]) -> None:
-        """Record the delay."""
-        self.delay_s = left_s()
+        """Record the time left, and report the signal delay."""
+        self.left_s = left_s()
         on_late(self.late_s)
 
 
@@ -109,7 +109,7 @@
 
     def test_the_alarm_is_set_for_the_exit_time(self) -> None:
         self._stop(0, 0.0)
-        self.assertAlmostEqual(self.alarm.delay_s, GRACE_S - EXIT_MARGIN_S)
+        self.assertAlmostEqual(self.alarm.left_s, GRACE_S - EXIT_MARGIN_S)
 
     def test_a_fast_host_cuts_off_all_requests_oldest_first(self) -> None:
         requests, left, took_s = self._stop(100, 0.001)
@@ -125,7 +125,7 @@
         self.assertLess(took_s, GRACE_S)
 
     def test_a_host_that_is_scheduled_late_ends_earlier(self) -> None:
-        """Its requests are cut off before that, so that they still get their final responses."""
+        """It cuts requests off before its earlier end, so that they get their final responses."""
         self.alarm.late_s = 0.5
         requests, left, took_s = self._stop(100, 0.001)
         self.assertEqual((left, requests.ended), (0, list(range(100))))
