--- a/yewloom/callers.py
+++ b/yewloom/callers.py
@@ -101,11 +101,11 @@
         if last_event is not None:
             return await self._resume_stream(completion, model_request, last_event)
         if completion.is_stream:
-            answer = self._start_stream(completion, model_request, key)
+            response = self._start_stream(completion, model_request, key)
         else:
-            answer = self._complete_response(completion, model_request, key)
-        # An unsafe request continues after a disconnect, so that its response is kept for a retry.
-        return await (answer if key is not None else while_connected(request, answer))
+            response = self._complete_response(completion, model_request, key)
+        # A request with a key continues after a disconnect, so that its answer is kept for a retry.
+        return await (response if key is not None else while_connected(request, response))
 
     async def _complete_response(
         self, completion: CompletionRequest, request: ModelRequest, key: IdempotencyKey | None
@@ -114,9 +114,9 @@
             tokens: list[str] = []
             finish_reason = ""
             async with aclosing(self._models_dispatcher.generate(request)) as stream:
-                async for part in stream:
-                    tokens += part.tokens
-                    finish_reason = part.finish_reason
+                async for batch in stream:
+                    tokens += batch.tokens
+                    finish_reason = batch.finish_reason
             body = complete_response_body(completion, request.request_id, tokens, finish_reason)
             return StoredAnswer(200, "application/json", body)
 
@@ -128,8 +128,8 @@
         claim = None
         if key is not None:
             claim = ClaimRequest(key, self._new_attempt(), self._node.id)
-            earlier = await self._runner.claim(claim)
-            if earlier is not None:
+            earlier_answer = await self._runner.claim(claim)
+            if earlier_answer is not None:
                 raise Problem(
                     409,
                     "Conflict",
@@ -180,8 +180,8 @@
         try:
             async with aclosing(stream) as rest:
                 yield _event(writer, first)
-                async for part in rest:
-                    yield _event(writer, part)
+                async for batch in rest:
+                    yield _event(writer, batch)
             yield END_EVENT
         except Problem as problem:
             self._count_problem(request.customer, problem)
@@ -219,9 +219,9 @@
         )
 
         async def run() -> StoredAnswer:
-            answer = await self._services_dispatcher.call_service(service_request)
-            content_type = answer.headers.get("content-type", "application/octet-stream")
-            return StoredAnswer(answer.status, content_type, answer.body)
+            response = await self._services_dispatcher.call_service(service_request)
+            content_type = response.headers.get("content-type", "application/octet-stream")
+            return StoredAnswer(response.status, content_type, response.body)
 
         return await self._run_and_count(customer, key, run)
 
@@ -326,5 +326,5 @@
         self._node.metrics.requests.labels(customer, outcome.value).inc()
 
 
-def _event(writer: ChunkWriter, part: TokenBatch) -> bytes:
-    return writer.event(str(part.position), "".join(part.tokens), part.finish_reason)
+def _event(writer: ChunkWriter, batch: TokenBatch) -> bytes:
+    return writer.event(str(batch.position), "".join(batch.tokens), batch.finish_reason)
--- a/yewloom/completions.py
+++ b/yewloom/completions.py
@@ -59,16 +59,20 @@
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
     if request.kind is CompletionKind.CHAT:
         choice["message"] = {"role": "assistant", "content": text}
-        name = "chat.completion"
+        object_type = "chat.completion"
     else:
         choice["text"] = text
-        name = "text_completion"
+        object_type = "text_completion"
     usage = {
         "prompt_tokens": len(request.prompt) // 4,
         "completion_tokens": len(tokens),
         "total_tokens": len(request.prompt) // 4 + len(tokens),
     }
-    fields = {**_common_fields(name, request, request_id), "choices": [choice], "usage": usage}
+    fields = {
+        **_common_fields(object_type, request, request_id),
+        "choices": [choice],
+        "usage": usage,
+    }
     return json.dumps(fields).encode()
 
 
@@ -77,8 +81,8 @@
 
     def __init__(self, request: CompletionRequest, request_id: RequestId) -> None:
         is_chat = request.kind is CompletionKind.CHAT
-        name = "chat.completion.chunk" if is_chat else "text_completion"
-        common_json = json.dumps(_common_fields(name, request, request_id))[:-1]
+        object_type = "chat.completion.chunk" if is_chat else "text_completion"
+        common_json = json.dumps(_common_fields(object_type, request, request_id))[:-1]
         key = '"delta": {"content": ' if is_chat else '"text": '
         self._prefix = f'{common_json}, "choices": [{{"index": 0, {key}'
         self._suffix = "}" if is_chat else ""
@@ -100,10 +104,12 @@
     return f'event: error\ndata: {{"error": {problem_json}}}\n\n'.encode()
 
 
-def _common_fields(name: str, request: CompletionRequest, request_id: RequestId) -> dict[str, Any]:
+def _common_fields(
+    object_type: str, request: CompletionRequest, request_id: RequestId
+) -> dict[str, Any]:
     return {
         "id": request_id,
-        "object": name,
+        "object": object_type,
         "created": int(time.time()),
         "model": request.model,
     }
--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -50,7 +50,7 @@
 """Time in s for the load balancer to notice that this entry host is no longer ready."""
 
 FINAL_RESPONSES_S = 0.5
-"""Maximum time in s, once the stop's time is over, for each of: responding to queued requests,
+"""Maximum time in s, after the drain timeout of a stop, for each of: responding to queued requests,
 responding to requests that are cut off, and closing connections."""
 
 
@@ -126,7 +126,7 @@
         return RequestTrackingMiddleware(interface.application(), self._node.work)
 
     def _share_of(self, customer: CustomerId, row: CustomerRow) -> int:
-        """Return this entry host's part of a customer's limit."""
+        """Return this entry host's share of a customer's limit."""
         return self._node.shares.capacity(customer, trio.current_time())
 
     def _update_after_probes(self, platform: HttpPlatform) -> None:
@@ -136,10 +136,14 @@
         node.membership.set_platform_unreachable(platform.is_down)
         open_groups = node.fleet.open_groups(now_s)
         local_capacities = [
-            seen.capacity for data_centre, _, seen in open_groups if data_centre == node.data_centre
+            observation.capacity
+            for data_centre, _, observation in open_groups
+            if data_centre == node.data_centre
         ]
         remote_capacities = [
-            seen.capacity for data_centre, _, seen in open_groups if data_centre != node.data_centre
+            observation.capacity
+            for data_centre, _, observation in open_groups
+            if data_centre != node.data_centre
         ]
         local_hosts = max(len(node.membership.alive_in(node.data_centre, now_s)), 1)
         all_hosts = max(len(node.membership.alive(now_s)), 1)
--- a/yewloom/headers.py
+++ b/yewloom/headers.py
@@ -15,16 +15,18 @@
 _TRUE_WORDS = {"1", "true", "yes"}
 
 
-def deadline_s(request: Request, longest_ms: int, late_s: float) -> float:
+def deadline_s(request: Request, max_timeout_ms: int, max_age_s: float) -> float:
     """Return the deadline of a request, on the runtime's clock.
 
-    ``late_s`` is how long ago it may have arrived. Raises Problem if the deadline has already
-    passed.
+    ``max_age_s`` is how long ago the request may have arrived. Raises Problem if the deadline has
+    already passed.
     """
     text = request.headers.get("x-timeout-ms", "")
-    if text and not (text.isdecimal() and 0 < int(text) <= longest_ms):
-        raise bad_request_problem(f"X-Timeout-Ms must be a whole number from 1 to {longest_ms}.")
-    left_s = (int(text) if text else longest_ms) / 1000 - late_s
+    if text and not (text.isdecimal() and 0 < int(text) <= max_timeout_ms):
+        raise bad_request_problem(
+            f"X-Timeout-Ms must be a whole number from 1 to {max_timeout_ms}."
+        )
+    left_s = (int(text) if text else max_timeout_ms) / 1000 - max_age_s
     if left_s <= 0:
         raise unavailable_problem("The request was read after its deadline.", Outcome.NOT_RUN)
     return trio.current_time() + left_s
--- a/yewloom/responses.py
+++ b/yewloom/responses.py
@@ -24,13 +24,13 @@
             await super().stream_response(send)
 
 
-async def while_connected(request: Request, answer: Awaitable[Response]) -> Response:
+async def while_connected(request: Request, pending_response: Awaitable[Response]) -> Response:
     """Return a response, or stop working on it when the caller disconnects."""
     response = Response(status_code=_CLIENT_CLOSED_REQUEST)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_on_disconnect, request, nursery.cancel_scope)
         try:
-            response = await answer
+            response = await pending_response
         except Problem as problem:
             # A nursery would raise it inside an exception group.
             response = problem.to_response()
--- a/yewloom/status.py
+++ b/yewloom/status.py
@@ -34,22 +34,22 @@
 
 def _describe_groups(node: Node, now_s: float) -> list[dict[str, Any]]:
     freshness_s = node.settings.groups.freshness_ms / 1000
-    described = []
+    descriptions = []
     for data_centre, group in node.fleet.groups():
-        seen = node.fleet.group_observations.get(GroupId(group.id))
-        described.append(
+        observation = node.fleet.group_observations.get(GroupId(group.id))
+        descriptions.append(
             {
                 "id": group.id,
                 "data_centre": data_centre,
                 "policy": group.policy,
                 "model": group.model,
                 "generation": group.generation,
-                "state": group_state(group, seen, now_s, freshness_s).value,
+                "state": group_state(group, observation, now_s, freshness_s).value,
                 "is_open": node.fleet.is_open(group, now_s),
                 "members": [member.host_id for member in group.members],
-                "running": seen.running if seen is not None else 0,
-                "waiting": seen.waiting if seen is not None else 0,
-                "capacity": seen.capacity if seen is not None else 0,
+                "running": observation.running if observation is not None else 0,
+                "waiting": observation.waiting if observation is not None else 0,
+                "capacity": observation.capacity if observation is not None else 0,
             }
         )
-    return described
+    return descriptions
--- a/yewloom/streams.py
+++ b/yewloom/streams.py
@@ -8,7 +8,7 @@
 from yewloom.ids import GroupId, RequestId
 from yewloom.values import value_class
 
-MAX_PENDING_PIECES = 1024
+MAX_PENDING_CHUNKS = 1024
 """Maximum number of out-of-order chunks before the stream is considered broken."""
 
 
@@ -71,10 +71,10 @@
         return self._release()
 
     def _add_pending(self, chunk: StreamChunk) -> None:
-        pending = self._pending.get(chunk.offset)
-        if pending is None or len(pending.tokens) < len(chunk.tokens):
+        existing = self._pending.get(chunk.offset)
+        if existing is None or len(existing.tokens) < len(chunk.tokens):
             self._pending[chunk.offset] = chunk
-        if len(self._pending) > MAX_PENDING_PIECES:
+        if len(self._pending) > MAX_PENDING_CHUNKS:
             raise StreamOverflowError(
                 f"{len(self._pending)} chunks wait for offset {self._next_offset}"
             )
--- a/yewloom/tests/processes.py
+++ b/yewloom/tests/processes.py
@@ -136,7 +136,7 @@
         if value:
             return value
         time.sleep(0.1)
-    raise AssertionError(f"{what} did not come")
+    raise AssertionError(f"{what}: not observed in time")
 
 
 @dataclass
@@ -163,8 +163,8 @@
 
     def start(self) -> None:
         """Start everything and wait until a group serves in each data centre."""
-        places = sorted({*self.entries.values(), "a", "b"})
-        self.platform_ports = {place: allocate_port() for place in places}
+        data_centres = sorted({*self.entries.values(), "a", "b"})
+        self.platform_ports = {data_centre: allocate_port() for data_centre in data_centres}
         self._start_engines()
         self._start_platform()
         seeds = {name: allocate_port() for name in self.entries}
@@ -201,22 +201,22 @@
         for name in names:
             port = allocate_port()
             address = f"127.0.0.1:{port}"
-            place, rack = name[0], f"rack-{name[0]}"
+            data_centre, rack = name[0], f"rack-{name[0]}"
             hosts.append(
-                f"[{name}]\naddress={address}\ndata_centre={place}\nfabric_domain={rack}\n"
+                f"[{name}]\naddress={address}\ndata_centre={data_centre}\nfabric_domain={rack}\n"
             )
             self._run(
                 name, port, "yewloom.standins.engine", "--address", address, "--host-id", name
             )
-        for place in "ab":
-            name, port = f"s{place}", allocate_port()
+        for data_centre in "ab":
+            name, port = f"s{data_centre}", allocate_port()
             address = f"127.0.0.1:{port}"
-            hosts.append(f"[{name}]\naddress={address}\ndata_centre={place}\nservice=s\n")
+            hosts.append(f"[{name}]\naddress={address}\ndata_centre={data_centre}\nservice=s\n")
             self._run(
                 name, port, "yewloom.standins.service", "--address", address, "--host-id", name
             )
-        for name, place in self.entries.items():
-            hosts.append(f"[{name}]\naddress=-\ndata_centre={place}\nis_entry_host=true\n")
+        for name, data_centre in self.entries.items():
+            hosts.append(f"[{name}]\naddress=-\ndata_centre={data_centre}\nis_entry_host=true\n")
         (self.folder / "hosts.ini").write_text("".join(hosts))
 
     def _start_platform(self) -> None:
@@ -261,8 +261,8 @@
 
     def control(self, name: str, **switches: Any) -> None:
         """Set switches of a simulated service."""
-        answer = call("POST", f"{self.url(name)}/control", switches)
-        assert answer.status == 200, answer.body
+        response = call("POST", f"{self.url(name)}/control", switches)
+        assert response.status == 200, response.body
 
     def status(self, entry: str) -> Any:
         return call("GET", f"{self.url(entry)}/status").json()
--- a/yewloom/tests/test_callers.py
+++ b/yewloom/tests/test_callers.py
@@ -46,14 +46,14 @@
 
 
 def _post(
-    path: str, body: Any, share: int = 5, late_s: float | None = None, **headers: str
+    path: str, body: Any, share: int = 5, delay_s: float | None = None, **headers: str
 ) -> _SentResponse:
     """Send one request to an entry host without open groups, with a loop delay if given."""
 
     async def scenario() -> _SentResponse:
         sent = _SentResponse()
         async with trio.open_nursery() as nursery:
-            application = _interface(nursery, share, late_s).application()
+            application = _interface(nursery, share, delay_s).application()
             await application(_scope(path, headers), _receiver(body), sent.send)
             nursery.cancel_scope.cancel()
         return sent
@@ -64,19 +64,19 @@
 class _FixedLoopDelay(LoopDelayMonitor):
     """Reports a fixed loop delay."""
 
-    def __init__(self, late_s: float) -> None:
+    def __init__(self, delay_s: float) -> None:
         super().__init__()
-        self._delay_s = late_s
+        self._delay_s = delay_s
 
     def delay_s(self) -> float:
         """Return that delay."""
         return self._delay_s
 
 
-def _interface(nursery: trio.Nursery, share: int, late_s: float | None) -> CallerInterface:
+def _interface(nursery: trio.Nursery, share: int, delay_s: float | None) -> CallerInterface:
     node = build_node(parse_settings(SETTINGS, "test").unwrap(), random.Random(1), 1)
-    if late_s is not None:
-        node.loop_delay = _FixedLoopDelay(late_s)
+    if delay_s is not None:
+        node.loop_delay = _FixedLoopDelay(delay_s)
     customer = CustomerRow(key_digest=hashlib.sha256(KEY.encode()).hexdigest(), weight=1)
     rows = {
         "policy/p": Row(policy=make_policy()),
@@ -158,10 +158,10 @@
     def test_a_request_read_after_its_deadline_is_rejected(self) -> None:
         """Guards against work that no caller waits for, after the event loop was blocked."""
         for path, body in (("/v1/chat/completions", CHAT), ("/services/s/u", {})):
-            sent = _post(path, body, late_s=1.5, x_timeout_ms="1500")
+            sent = _post(path, body, delay_s=1.5, x_timeout_ms="1500")
             self._check(sent, 503)
             self.assertIn(b"after its deadline", sent.body)
-            sent = _post(path, body, late_s=1.5, x_timeout_ms="2000")
+            sent = _post(path, body, delay_s=1.5, x_timeout_ms="2000")
             self.assertNotIn(b"after its deadline", sent.body)
 
     def test_a_customer_without_a_share_gets_retry_after(self) -> None:
--- a/yewloom/tests/test_daemon.py
+++ b/yewloom/tests/test_daemon.py
@@ -23,8 +23,8 @@
 )
 
 CLOSED_AFTER_S = 0.9
-"""Time after SIGTERM at which a host certainly rejects requests: about 0.4 s after its own limit.
-"""
+"""Time after SIGTERM at which a host certainly rejects requests: 0.4 s after the end of its
+deregistration delay."""
 
 SHORT_DRAIN_MS = 1000
 """Drain time in ms of a host that cannot finish long requests."""
@@ -49,7 +49,7 @@
     def send_body(self, body: bytes) -> None:
         self._socket.sendall(body)
 
-    def answer(self) -> HttpResponse:
+    def read_response(self) -> HttpResponse:
         response = HTTPResponse(self._socket)
         response.begin()
         headers = {name.lower(): value for name, value in response.getheaders()}
@@ -57,7 +57,7 @@
 
     def get(self, path: str) -> HttpResponse:
         self.send_head("GET", path)
-        return self.answer()
+        return self.read_response()
 
     def is_closed(self) -> bool:
         """Return whether the host closed the connection; waits for a byte or the end."""
@@ -130,10 +130,10 @@
         wait_for(lambda: sum(self.fleet.runs(*leaders).values()) > before, "the run")
         return started
 
-    def _check_refused(self, answer: HttpResponse) -> None:
-        self.assertEqual(answer.status, 503, answer.body)
-        self.assertEqual(answer.json()["outcome"], "not_run")
-        self.assertEqual(answer.headers.get("connection"), "close")
+    def _check_rejected(self, response: HttpResponse) -> None:
+        self.assertEqual(response.status, 503, response.body)
+        self.assertEqual(response.json()["outcome"], "not_run")
+        self.assertEqual(response.headers.get("connection"), "close")
 
     def test_a_request_whose_body_arrives_late_is_answered(self) -> None:
         caller, body = self._open_caller("body"), _chat_body("late", 4)
@@ -142,11 +142,11 @@
         self._stop("body")
         time.sleep(CLOSED_AFTER_S)
         caller.send_body(body)
-        answer = caller.answer()
+        response = caller.read_response()
         # If the coordinator has already withdrawn the stopping host's share, nothing runs.
-        has_no_share = answer.status == 429 and "no capacity is left" in answer.json()["detail"]
+        has_no_share = response.status == 429 and "no capacity is left" in response.json()["detail"]
         wanted = (429, "not_run") if has_no_share else (200, "answered")
-        self.assertEqual((answer.status, answer.headers["x-outcome"]), wanted, answer.body)
+        self.assertEqual((response.status, response.headers["x-outcome"]), wanted, response.body)
         self.assertEqual(self._exit_code("body"), 0)
 
     def test_a_request_waiting_for_its_claim_is_answered(self) -> None:
@@ -165,7 +165,7 @@
         for name in ("sa", "sb"):
             fleet.control(name, delay_ms=1000)
             self.addCleanup(fleet.control, name, delay_ms=0)
-        send, repeat_on_watch = ("keep", "POST", "update/2"), ("watch", "POST", "update/2")
+        send, retry_on_watch = ("keep", "POST", "update/2"), ("watch", "POST", "update/2")
         thread, results = self._in_background(lambda: fleet.service(*send, idempotency_key="k2"))
         wait_for(lambda: fleet.runs("sa", "sb").get("k2"), "the call at the endpoint")
         fleet.control("platform", outage=True)
@@ -175,10 +175,10 @@
         fleet.control("platform", outage=False)
         self.assertEqual(self._exit_code("keep"), 0)
         wait_for(
-            lambda: fleet.service(*repeat_on_watch, idempotency_key="up").status == 200, "claims"
+            lambda: fleet.service(*retry_on_watch, idempotency_key="up").status == 200, "claims"
         )
-        again = fleet.service(*repeat_on_watch, idempotency_key="k2")
-        self.assertEqual((again.status, again.body), (200, results[0].body))
+        retried = fleet.service(*retry_on_watch, idempotency_key="k2")
+        self.assertEqual((retried.status, retried.body), (200, results[0].body))
         self.assertEqual(fleet.runs("sa", "sb")["k2"], 1)
 
     def test_a_stopping_host_closes_connections_after_responses_and_rejects_requests(self) -> None:
@@ -189,12 +189,12 @@
         thread, results = self._start_slow_request(entry, 200)
         self._stop(entry)
         wait_for(lambda: call("GET", f"{fleet.url(entry)}/readyz").status == 503, "unreadiness")
-        answer = kept[0].get("/v1/models")
-        self.assertEqual((answer.status, answer.headers.get("connection")), (200, "close"))
+        response = kept[0].get("/v1/models")
+        self.assertEqual((response.status, response.headers.get("connection")), (200, "close"))
         self.assertTrue(kept[0].is_closed())
-        wait_for(lambda: self._open_caller(entry).get("/v1/models").status == 503, "the refusals")
+        wait_for(lambda: self._open_caller(entry).get("/v1/models").status == 503, "the rejections")
         for caller in (kept[1], self._open_caller(entry)):
-            self._check_refused(caller.get("/v1/models"))
+            self._check_rejected(caller.get("/v1/models"))
             self.assertTrue(caller.is_closed())
         leaving = {"id": entry, "data_centre": "a", "is_leaving": True}
         wait_for(lambda: leaving in fleet.status("watch")["members"], "the state at the peers")
@@ -227,7 +227,7 @@
         body = _chat_body("long", LONG_TOKENS)
         caller.send_head("POST", CHAT, len(body))
         caller.send_body(body)
-        self._check_refused(caller.answer())
+        self._check_rejected(caller.read_response())
         self.assertEqual(self._exit_code(entry), 0)
 
     def test_a_cut_off_request_gets_its_known_outcome(self) -> None:
@@ -237,7 +237,7 @@
         half.send_head("POST", CHAT, 100)
         thread, results = self._start_slow_request(entry, 200)
         self._stop(entry)
-        self._check_refused(half.answer())
+        self._check_rejected(half.read_response())
         thread.join()
         self.assertEqual(results[0].status, 503)
         self.assertEqual(results[0].json()["outcome"], "unknown")
@@ -249,4 +249,4 @@
         fleet.settings = settings.replace("[host]\n", drain)
         self.addCleanup(setattr, fleet, "settings", settings)
         fleet.start_entry(entry, "a")
-        wait_for(lambda: fleet.chat(entry, "warm", 1).status == 200, "an answer")
+        wait_for(lambda: fleet.chat(entry, "warm", 1).status == 200, "a response")
--- a/yewloom/tests/test_processes.py
+++ b/yewloom/tests/test_processes.py
@@ -13,8 +13,8 @@
 from yewloom.tests.free_ports import allocate_port
 from yewloom.tests.processes import CUSTOMER_KEY, MODEL, Fleet, call, wait_for
 
-IN_PROGRESS_PIECES = 10
-"""Number of pieces after which a stream counts as in progress; these tests' streams have eight
+IN_PROGRESS_CHUNKS = 10
+"""Number of chunks after which a stream counts as in progress; these tests' streams have eight
 times as many."""
 
 
@@ -29,10 +29,10 @@
 
 
 def _stream_text(
-    client: openai.OpenAI, prompt: str, count: int, pieces: list[str] | None = None
+    client: openai.OpenAI, prompt: str, count: int, chunks: list[str] | None = None
 ) -> str:
-    """Return the text of a stream; its pieces are appended to ``pieces`` as they arrive."""
-    pieces = [] if pieces is None else pieces
+    """Return the text of a stream; its chunks are appended to ``chunks`` as they arrive."""
+    chunks = [] if chunks is None else chunks
     stream = client.chat.completions.create(
         model=MODEL,
         messages=[{"role": "user", "content": prompt}],
@@ -40,8 +40,8 @@
         stream=True,
     )
     for chunk in stream:
-        pieces.append(chunk.choices[0].delta.content or "")
-    return "".join(pieces)
+        chunks.append(chunk.choices[0].delta.content or "")
+    return "".join(chunks)
 
 
 class _FleetCase(unittest.TestCase):
@@ -70,19 +70,19 @@
         self, prompt: str, count: int, number: int, leader: str
     ) -> list[tuple[threading.Thread, list[Any]]]:
         """Start streams and wait until all are in progress, at least one of them at this leader."""
-        pieces: list[list[str]] = [[] for _ in range(number)]
+        chunks: list[list[str]] = [[] for _ in range(number)]
         client = _client(self.fleet, "e1")
-        streams = [self.in_background(_stream_text, client, prompt, count, one) for one in pieces]
+        streams = [self.in_background(_stream_text, client, prompt, count, one) for one in chunks]
         wait_for(
-            lambda: all(len(one) >= IN_PROGRESS_PIECES for one in pieces),
+            lambda: all(len(one) >= IN_PROGRESS_CHUNKS for one in chunks),
             "the start of the streams",
         )
         self.assertTrue(self.fleet.runs(leader))
         return streams
 
-    def group_in(self, place: str) -> Any:
+    def group_in(self, data_centre: str) -> Any:
         groups = self.fleet.open_groups("e1")
-        return next(group for group in groups if group["data_centre"] == place)
+        return next(group for group in groups if group["data_centre"] == data_centre)
 
 
 class TestRequests(_FleetCase):
@@ -91,10 +91,10 @@
     def test_responses_are_complete_and_invalid_requests_run_nothing(self) -> None:
         fleet, client = self.fleet, _client(self.fleet, "e1")
         self.assertEqual(_stream_text(client, "hello", 12), _expected("hello", 12))
-        whole = client.chat.completions.create(
+        completion = client.chat.completions.create(
             model=MODEL, messages=[{"role": "user", "content": "hi"}], max_tokens=5
         )
-        self.assertEqual(whole.choices[0].message.content, _expected("hi", 5))
+        self.assertEqual(completion.choices[0].message.content, _expected("hi", 5))
         text = client.completions.create(model=MODEL, prompt="plain", max_tokens=4)
         self.assertEqual(text.choices[0].text, "".join(expected_tokens("plain", 4)))
         self.assertEqual([model.id for model in client.models.list()], [MODEL])
@@ -119,12 +119,12 @@
             (good, {**key, "last-event-id": "nonsense"}, 400),
         ]
         for body, headers, status in cases:
-            answer = call("POST", url, body, headers)
+            response = call("POST", url, body, headers)
             with self.subTest(status=status, headers=headers):
-                self.assertEqual(answer.status, status)
-                self.assertEqual(answer.headers["content-type"], "application/problem+json")
-                self.assertEqual(answer.json()["outcome"], "not_run")
-                self.assertTrue(answer.json()["detail"])
+                self.assertEqual(response.status, status)
+                self.assertEqual(response.headers["content-type"], "application/problem+json")
+                self.assertEqual(response.json()["outcome"], "not_run")
+                self.assertTrue(response.json()["detail"])
 
     def test_a_killed_member_ends_its_group_and_no_response_is_truncated(self) -> None:
         fleet, group = self.fleet, self.group_in("a")
@@ -230,20 +230,20 @@
         wait_for(lambda: fleet.runs("sa", "sb").get("k1"), "the call at the endpoint")
         fleet.kill("e1")
         thread.join()
-        again = fleet.service("e2", "POST", "update/1", idempotency_key="k1")
-        self.assertEqual(again.json()["outcome"], "unknown")
-        self.assertIn("retry-after", again.headers)
+        retried = fleet.service("e2", "POST", "update/1", idempotency_key="k1")
+        self.assertEqual(retried.json()["outcome"], "unknown")
+        self.assertIn("retry-after", retried.headers)
         self.assertEqual(fleet.runs("sa", "sb")["k1"], 1)
 
     def test_a_lost_response_of_an_unsafe_call_is_unknown_and_not_retried(self) -> None:
         fleet = self.fleet
         for name in ("sa", "sb"):
             fleet.control(name, drop_answers=5)
-        answer = fleet.service("e1", "POST", "update/2", idempotency_key="k2")
-        self.assertEqual(answer.json()["outcome"], "unknown")
+        response = fleet.service("e1", "POST", "update/2", idempotency_key="k2")
+        self.assertEqual(response.json()["outcome"], "unknown")
         self.assertEqual(fleet.runs("sa", "sb")["k2"], 1)
-        again = fleet.service("e3", "POST", "update/2", idempotency_key="k2")
-        self.assertEqual(again.json()["outcome"], "unknown")
+        retried = fleet.service("e3", "POST", "update/2", idempotency_key="k2")
+        self.assertEqual(retried.json()["outcome"], "unknown")
         self.assertEqual(fleet.runs("sa", "sb")["k2"], 1)
 
     def test_a_planned_stop_cuts_off_no_request(self) -> None:
@@ -308,8 +308,8 @@
         self.assertEqual(fleet.chat("e1", "frozen").status, 200)
         for number in range(3):
             key = f"frozen-{number}"
-            answer = fleet.service("e1", "POST", "update/4", idempotency_key=key)
-            self.assertEqual(answer.json()["outcome"], "not_run")
+            response = fleet.service("e1", "POST", "update/4", idempotency_key=key)
+            self.assertEqual(response.json()["outcome"], "not_run")
             self.assertEqual(fleet.runs("sa", "sb").get(key, 0), 0)
         fleet.signal("platform", signal.SIGCONT)
         wait_for(
@@ -317,8 +317,8 @@
         )
 
     def _is_unsafe_call_run(self, key: str) -> bool:
-        answer = self.fleet.service("e1", "POST", "update/5", idempotency_key=key)
-        return answer.status == 200
+        response = self.fleet.service("e1", "POST", "update/5", idempotency_key=key)
+        return response.status == 200
 
     def test_a_dead_hosts_share_is_reassigned_only_once_it_is_unlisted(self) -> None:
         fleet, total_share = self.fleet, 50
@@ -327,7 +327,7 @@
         wait_for(lambda: self._members("e1") == {"e1", "e3"}, "membership")
         self.assertEqual(self._share("e1"), total_share // 2)
         fleet.list_entry("e2", "gone")
-        wait_for(lambda: self._share("e1") == total_share, "the whole share")
+        wait_for(lambda: self._share("e1") == total_share, "the complete share")
 
     def _share(self, entry: str) -> int:
         return int(self.fleet.status(entry)["shares"]["c"])
@@ -384,8 +384,8 @@
             self._wait_for_version(entry, "experiment/x", 1)
         for number in range(24):
             entry = f"e{number % 3 + 1}"
-            answer = fleet.chat(entry, "compared", 3, x_session_id=f"session-{number // 2}")
-            self.assertEqual(answer.status, 200)
+            response = fleet.chat(entry, "compared", 3, x_session_id=f"session-{number // 2}")
+            self.assertEqual(response.status, 200)
         hosts = [part for entry in ("e1", "e2", "e3") for part in ("--host", fleet.url(entry))]
         text = self._cli("compare", "x", *hosts)
         self.assertIn("12 sessions", self._sum_of_sessions(text))
--- a/yewloom/tests/test_streams.py
+++ b/yewloom/tests/test_streams.py
@@ -13,18 +13,18 @@
 ANSWER = tuple(f"t{i}" for i in range(12))
 
 
-def _piece(start: int, end: int) -> StreamChunk:
+def _chunk(start: int, end: int) -> StreamChunk:
     return StreamChunk(REQUEST, GENERATION, start, ANSWER[start:end], is_last=end == len(ANSWER))
 
 
 @st.composite
 def _deliveries(draw: st.DrawFn) -> list[StreamChunk]:
-    """Pieces that cover the response, duplicated, overlapping, foreign and in any order."""
+    """Return chunks that cover the response, with duplicates and chunks of others, in any order."""
     cuts = sorted(draw(st.sets(st.integers(1, len(ANSWER) - 1), max_size=6)))
     edges = [0, *cuts, len(ANSWER)]
-    chunks = [_piece(a, b) for a, b in zip(edges, edges[1:], strict=False)]
+    chunks = [_chunk(a, b) for a, b in zip(edges, edges[1:], strict=False)]
     starts = draw(st.lists(st.integers(0, len(ANSWER) - 2), max_size=4))
-    chunks += [_piece(start, draw(st.integers(start + 1, len(ANSWER)))) for start in starts]
+    chunks += [_chunk(start, draw(st.integers(start + 1, len(ANSWER)))) for start in starts]
     chunks += [
         StreamChunk(RequestId("other"), GENERATION, 0, ("wrong",), is_last=True),
         StreamChunk(REQUEST, GENERATION - 1, 0, ("stale",), is_last=True),
@@ -56,13 +56,13 @@
 
     def test_a_resumed_stream_continues_at_its_offset(self) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION, offset=4)
-        self.assertEqual(assembler.accept(_piece(2, 6)), ["t4", "t5"])
+        self.assertEqual(assembler.accept(_chunk(2, 6)), ["t4", "t5"])
 
     def test_another_replica_completes_the_stream(self) -> None:
         assembler = StreamAssembler(REQUEST, GENERATION)
-        assembler.accept(_piece(0, 5))
+        assembler.accept(_chunk(0, 5))
         assembler.switch_replica(GENERATION + 1)
-        self.assertEqual(assembler.accept(_piece(5, 12)), [])
+        self.assertEqual(assembler.accept(_chunk(5, 12)), [])
         rest = StreamChunk(REQUEST, GENERATION + 1, 5, ANSWER[5:], is_last=True)
         self.assertEqual(tuple(assembler.accept(rest)), ANSWER[5:])
         self.assertTrue(assembler.is_complete)
--- a/yewloom/tests/test_work.py
+++ b/yewloom/tests/test_work.py
@@ -25,7 +25,7 @@
 """Cost of a request that takes 5 s at the rate that admission initially assumes."""
 
 
-async def _answer(scope: Any, receive: Any, send: Any) -> None:
+async def _respond(scope: Any, receive: Any, send: Any) -> None:
     await send({"type": "http.response.start", "status": 200, "headers": [(b"a", b"b")]})
     await send({"type": "http.response.body", "body": b"x"})
 
@@ -50,8 +50,8 @@
 
         async def scenario() -> float:
             async with trio.open_nursery() as nursery:
-                counted = RequestTrackingMiddleware(_answer, self.work)
-                nursery.start_soon(counted, _scope("1.1"), _receive, write_slowly)
+                middleware = RequestTrackingMiddleware(_respond, self.work)
+                nursery.start_soon(middleware, _scope("1.1"), _receive, write_slowly)
                 await trio.testing.wait_all_tasks_blocked()
                 self.assertEqual(self.work.in_progress, 1)
                 began_s = trio.current_time()
@@ -68,7 +68,7 @@
                 sent.append(message)
 
             self.work.phase = phase
-            await RequestTrackingMiddleware(_answer, self.work)(_scope(version), _receive, send)
+            await RequestTrackingMiddleware(_respond, self.work)(_scope(version), _receive, send)
             return list(sent[0]["headers"])
 
         async def scenario() -> None:
@@ -81,13 +81,13 @@
 
         run_on_mock_clock(scenario)
 
-    def _cut_off_request(self, message: dict[str, Any], answer_at_once: bool) -> list[Any]:
+    def _cut_off_request(self, message: dict[str, Any], responds_at_once: bool) -> list[Any]:
         """Return what a caller receives whose request is cut off after one message of it."""
         sent: list[Any] = []
 
         async def application(scope: Any, receive: Any, send: Any) -> None:
             await receive()
-            if answer_at_once:
+            if responds_at_once:
                 await send({"type": "http.response.start", "status": 200})
             await trio.sleep_forever()
 
@@ -100,8 +100,8 @@
 
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
-                counted = RequestTrackingMiddleware(application, self.work)
-                nursery.start_soon(counted, _scope("1.1"), receive, send)
+                middleware = RequestTrackingMiddleware(application, self.work)
+                nursery.start_soon(middleware, _scope("1.1"), receive, send)
                 await trio.testing.wait_all_tasks_blocked()
                 self.work.phase = Phase.CLOSED
                 self.work.cancel_requests()
@@ -111,16 +111,19 @@
         return sent
 
     def test_a_cut_off_request_gets_its_known_outcome(self) -> None:
-        half = {"type": "http.request", "body": b"x", "more_body": True}
-        for message, outcome in ((half, "not_run"), ({**half, "more_body": False}, "unknown")):
-            start, body = self._cut_off_request(message, answer_at_once=False)
+        partial = {"type": "http.request", "body": b"x", "more_body": True}
+        for message, outcome in (
+            (partial, "not_run"),
+            ({**partial, "more_body": False}, "unknown"),
+        ):
+            start, body = self._cut_off_request(message, responds_at_once=False)
             self.assertEqual(start["status"], 503)
             self.assertIn((b"connection", b"close"), start["headers"])
             self.assertEqual(json.loads(body["body"])["outcome"], outcome)
 
     def test_a_cut_off_response_is_not_completed(self) -> None:
-        whole = {"type": "http.request", "body": b"x"}
-        sent = self._cut_off_request(whole, answer_at_once=True)
+        complete = {"type": "http.request", "body": b"x"}
+        sent = self._cut_off_request(complete, responds_at_once=True)
         self.assertEqual([message["type"] for message in sent], ["http.response.start"])
 
     def test_waiting_continues_until_the_last_item_ends(self) -> None:
@@ -167,30 +170,30 @@
 
     def setUp(self) -> None:
         self.slots = SlotPool(AdmissionController(1, max_queued=9))
-        self.begun: list[str] = []
-        self.refused: dict[str, Problem] = {}
+        self.started: list[str] = []
+        self.rejected: dict[str, Problem] = {}
 
-    async def _hold(self, name: str, cost: float, hold_s: float) -> None:
+    async def _hold_slot(self, name: str, cost: float, hold_s: float) -> None:
         deadline_s = trio.current_time() + 1000
-        arrival = AdmissionRequest(RequestId(name), CustomerId("c"), 1.0, cost, deadline_s, share=1)
+        request = AdmissionRequest(RequestId(name), CustomerId("c"), 1.0, cost, deadline_s, share=1)
         try:
-            async with self.slots.acquire(arrival):
-                self.begun.append(name)
+            async with self.slots.acquire(request):
+                self.started.append(name)
                 await trio.sleep(hold_s)
         except Problem as problem:
-            self.refused[name] = problem
+            self.rejected[name] = problem
 
-    def _check(self, begun: list[str], refused: list[str]) -> None:
-        self.assertEqual(self.begun, begun)
-        self.assertEqual(sorted(self.refused), sorted(refused))
-        for problem in self.refused.values():
+    def _check(self, started: list[str], rejected: list[str]) -> None:
+        self.assertEqual(self.started, started)
+        self.assertEqual(sorted(self.rejected), sorted(rejected))
+        for problem in self.rejected.values():
             self.assertEqual((problem.status, problem.outcome), (503, Outcome.NOT_RUN))
 
     def test_a_long_request_is_rejected_and_a_short_one_starts(self) -> None:
         async def scenario() -> None:
             self.slots.set_stop_time(trio.current_time() + DEFAULT_SECONDS_PER_COST * LONG_COST / 2)
-            await self._hold("long", LONG_COST, 0)
-            await self._hold("short", 1.0, 0)
+            await self._hold_slot("long", LONG_COST, 0)
+            await self._hold_slot("short", 1.0, 0)
 
         run_on_mock_clock(scenario)
         self._check(["short"], ["long"])
@@ -199,7 +202,7 @@
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 for name, cost in (("first", 1.0), ("short", 1.0), ("long", LONG_COST)):
-                    nursery.start_soon(self._hold, name, cost, 1.0)
+                    nursery.start_soon(self._hold_slot, name, cost, 1.0)
                     await trio.testing.wait_all_tasks_blocked()
                 self._check(["first"], [])
                 self.slots.set_stop_time(trio.current_time() + 3)
@@ -213,10 +216,10 @@
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 for name in ("first", "second", "third"):
-                    nursery.start_soon(self._hold, name, 1.0, 1.0)
+                    nursery.start_soon(self._hold_slot, name, 1.0, 1.0)
                     await trio.testing.wait_all_tasks_blocked()
                 self.slots.set_stop_time(trio.current_time())
-                await self._hold("late", 1.0, 1.0)
+                await self._hold_slot("late", 1.0, 1.0)
 
         run_on_mock_clock(scenario)
         self._check(["first"], ["second", "third", "late"])
