--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -148,8 +148,8 @@
     Mutation(
         "planned stop: the rest of a partly received request is not waited for",
         "caller_connection",
-        "with self._activity.reading_request() as limit:",
-        "with trio.CancelScope() as limit:",
+        "with self._activity.reading_request() as scope:",
+        "with trio.CancelScope() as scope:",
         "test_caller_connection",
     ),
     Mutation(
--- a/yewloom/caller_connection.py
+++ b/yewloom/caller_connection.py
@@ -69,14 +69,14 @@
     async def _serve_request(self) -> bool:
         """Read and serve one request; return whether the connection may carry another one."""
         try:
-            with self._activity.reading_request() as limit:
+            with self._activity.reading_request() as scope:
                 request = await self._read_request()
         except h11.RemoteProtocolError as error:
             await self._reject(
                 error.error_status_hint, "malformed request, or a size or time limit exceeded"
             )
             return False
-        if limit.cancelled_caught:
+        if scope.cancelled_caught:
             await self._reject(503, "request incomplete when the host stopped accepting requests")
             return False
         return request is not None and await self._respond(request)
@@ -123,12 +123,12 @@
     async def _wait_for_bytes(self) -> bool:
         """Wait for the first bytes of a request; return whether any arrived."""
         data: bytes | bytearray = b""
-        with self._activity.reading_request(self._limits.idle_timeout_ms / 1000) as limit:
+        with self._activity.reading_request(self._limits.idle_timeout_ms / 1000) as scope:
             try:
                 data = await self._stream.receive_some(READ_BYTES)
             except trio.BrokenResourceError:
                 return False
-        if limit.cancelled_caught:
+        if scope.cancelled_caught:
             data = self._read_pending()
         if data:
             self._receive(data)
--- a/yewloom/caller_messages.py
+++ b/yewloom/caller_messages.py
@@ -111,9 +111,9 @@
         if body:
             data += self._connection.send(h11.Data(data=body)) or b""
         data += self._connection.send(h11.EndOfMessage()) or b""
-        with trio.move_on_after(SEND_TIMEOUT_S) as limit:
+        with trio.move_on_after(SEND_TIMEOUT_S) as timeout_scope:
             await self._write(data)
-        if limit.cancelled_caught:
+        if timeout_scope.cancelled_caught:
             raise CallerDisconnectedError
 
     async def start(self, status: int, headers: Sequence[Header], first: bytes) -> None:
--- a/yewloom/callers.py
+++ b/yewloom/callers.py
@@ -313,7 +313,7 @@
         )
 
     def _deadline_s(self, request: Request) -> float:
-        """Return the deadline of a request, reduced by the time it waited before it was read."""
+        """Return the deadline of a request, less the time it may have waited before it was read."""
         node = self._node
         return deadline_s(request, node.settings.requests.timeout_ms, node.loop_delay.delay_s())
 
--- a/yewloom/headers.py
+++ b/yewloom/headers.py
@@ -48,10 +48,10 @@
 
 
 def is_marked_unsafe(request: Request) -> bool:
-    """Return whether the caller marked a request as unsafe to repeat."""
+    """Return whether the caller marked a request as unsafe to retry."""
     return request.headers.get("x-unsafe", "").lower() in _TRUE_WORDS
 
 
 def is_unsafe_path(row: ServiceRow, path: str) -> bool:
-    """Return whether a service's requests for a path are unsafe to repeat."""
+    """Return whether a service's requests for a path are unsafe to retry."""
     return any(path.startswith(prefix) for prefix in row.unsafe_paths.split())
--- a/yewloom/platform_parts.py
+++ b/yewloom/platform_parts.py
@@ -35,7 +35,8 @@
     """The platform-specific parts of an entry host.
 
     ``configuration``, ``endpoints``, ``records_store`` and ``stale_store`` access the same store
-    with different limits; responses from the last may be seconds old and cost less.
+    with different limits. Responses from ``stale_store`` may be seconds old, but cost the store
+    less.
     """
 
     configuration: Platform
--- a/yewloom/process_signals.py
+++ b/yewloom/process_signals.py
@@ -29,7 +29,7 @@
             signal.signal(number, self._on_signal)
 
     async def wait_for_stop(self, reload: Callable[[], None]) -> float:
-        """Return when a stop was first requested, on trio's clock; call ``reload`` until then."""
+        """Return when a stop was requested, on trio's clock; until then SIGHUP calls ``reload``."""
         self._trio_token = trio.lowlevel.current_trio_token()
         while (requested_s := self._early.requested_s) is None:
             if self._is_reload_requested:
--- a/yewloom/shutdown.py
+++ b/yewloom/shutdown.py
@@ -24,7 +24,7 @@
 
 
 class Listener(Protocol):
-    """What a planned stop needs of the callers' server."""
+    """The part of the callers' server that a planned stop uses."""
 
     activity: CallerActivity
 
--- a/yewloom/socket_ages.py
+++ b/yewloom/socket_ages.py
@@ -14,7 +14,7 @@
 """Size of ``tcp_info`` in the first Linux versions that report this time."""
 
 _LAST_DATA_RECEIVED = struct.Struct("=52xI")
-"""Offset in ``tcp_info`` of the milliseconds since the newest bytes arrived."""
+"""Reads from ``tcp_info`` the milliseconds since the newest bytes arrived."""
 
 
 class Connection(Protocol):
--- a/yewloom/streams.py
+++ b/yewloom/streams.py
@@ -1,7 +1,7 @@
 """Assembles an engine's stream: complete, in order and without duplicates.
 
 Each chunk carries the request, the generation and the offset of its first token. The last chunk
-marks the end, from which the number of tokens follows, so a broken stream is never taken for
+marks the end and so gives the number of tokens; an interrupted stream is therefore never taken for
 complete.
 """
 
--- a/yewloom/tests/test_entry_process.py
+++ b/yewloom/tests/test_entry_process.py
@@ -147,10 +147,10 @@
                 fleet = Fleet(Path(folder), Ledger(), Random(1), nursery)
                 try:
                     await fleet.start(entries, 4, 1)
-                    world = ProcessFleet(fleet)
+                    process_fleet = ProcessFleet(fleet)
                     for entry in fleet.entries:
-                        await world.wait_until_served(entry)
-                    await test(world)
+                        await process_fleet.wait_until_served(entry)
+                    await test(process_fleet)
                 finally:
                     fleet.stop()
                 nursery.cancel_scope.cancel()
@@ -237,17 +237,17 @@
     """Signals to a real process."""
 
     def test_a_reload_at_any_moment_of_the_start_leaves_the_process_serving(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             entry.signal(signal.SIGKILL)
             await entry.wait_ended()
             entry.start()
             await _wait_for_imports(entry)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._reload_often, entry)
-                await world.wait_until_served(entry)
+                await process_fleet.wait_until_served(entry)
                 nursery.cancel_scope.cancel()
-            self.assertTrue(_is_served(await world.ask(entry)))
+            self.assertTrue(_is_served(await process_fleet.ask(entry)))
 
         run(test)
 
@@ -257,29 +257,29 @@
             await trio.sleep(POLL_INTERVAL_S)
 
     def test_a_caller_that_connects_during_the_start_is_served(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
             self.assertNotIn('"event": "started"', entry.log.read_text())
-            self.assertTrue(_is_served(await world.ask(entry)))
+            self.assertTrue(_is_served(await process_fleet.ask(entry)))
 
         run(test)
 
     def test_a_request_that_expires_in_a_suspended_process_is_not_run(self) -> None:
         """Guards against running expired requests, above all unsafe ones."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             for kind, stopped_s in itertools.product(Kind, (1.5, 3.0)):
                 async with trio.open_nursery() as nursery:
                     sent: list[Sent] = []
                     entry.signal(signal.SIGSTOP)
-                    nursery.start_soon(self._send_and_record, world, entry, sent, kind)
+                    nursery.start_soon(self._send_and_record, process_fleet, entry, sent, kind)
                     await trio.sleep(stopped_s)
                     entry.signal(signal.SIGCONT)
                 self.assertEqual([s.status for s in sent], [503], f"{kind} {stopped_s}")
-                self.assertEqual(world.fleet.ledger.runs.get(sent[0].request_id, []), [])
+                self.assertEqual(process_fleet.fleet.ledger.runs.get(sent[0].request_id, []), [])
 
         with (
             mock.patch("yewloom.tests.soak.callers.DEADLINE_S", SHORT_DEADLINE_S),
@@ -291,30 +291,30 @@
     def test_a_suspended_host_accepts_no_request_later_after_sigterm(self) -> None:
         """Guards against counting the deregistration delay from when a late signal was noticed."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             entry.signal(signal.SIGSTOP)
             entry.signal(signal.SIGTERM)
             await trio.sleep(NOTICE_S + NOTICE_SLACK_S)
             entry.signal(signal.SIGCONT)
             await trio.sleep(NOTICE_SLACK_S)
-            sent = await world.ask(entry)
+            sent = await process_fleet.ask(entry)
             self.assertNotEqual(sent.status, 200)
-            self.assertEqual(world.fleet.ledger.runs.get(sent.request_id, []), [])
+            self.assertEqual(process_fleet.fleet.ledger.runs.get(sent.request_id, []), [])
 
         run(test)
 
     def test_a_caller_does_not_wait_for_a_slow_start(self) -> None:
         """Guards against callers waiting for a host that can't read their requests yet."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_slow_down, entry, SLOW_START_SHARE)
                 for kind in (Kind.SAFE, Kind.UNSAFE):
-                    sent = await world.ask(entry, kind)
+                    sent = await process_fleet.ask(entry, kind)
                     self.assertEqual(sent.status, 503)
                     assert sent.ended_s is not None
                     limit_s = sent.deadline_s * MAX_WAIT_SHARE + SLOW_RESPONSE_S
@@ -325,52 +325,56 @@
         run(test)
 
     def test_a_stop_during_the_start_answers_waiting_callers(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._send_and_stop, world, entry)
+                nursery.start_soon(self._send_and_stop, process_fleet, entry)
             await entry.wait_ended()
             self._assert_clean_exit(entry, [])
-            self.assertEqual(world.fleet.ledger.check(), [])
+            self.assertEqual(process_fleet.fleet.ledger.check(), [])
 
         run(test)
 
-    async def _send_and_stop(self, world: ProcessFleet, entry: EntryProcess) -> None:
+    async def _send_and_stop(self, process_fleet: ProcessFleet, entry: EntryProcess) -> None:
         """Request a stop while requests wait for a process that is still starting."""
         async with trio.open_nursery() as nursery:
             sent: list[Sent] = []
             for _ in range(5):
-                nursery.start_soon(self._send_and_record, world, entry, sent)
+                nursery.start_soon(self._send_and_record, process_fleet, entry, sent)
             await trio.sleep(POLL_INTERVAL_S)
             entry.signal(signal.SIGTERM)
         self.assertEqual([s for s in sent if s.status is None], [])
 
     async def _send_and_record(
-        self, world: ProcessFleet, entry: EntryProcess, sent: list[Sent], kind: Kind = Kind.STREAM
+        self,
+        process_fleet: ProcessFleet,
+        entry: EntryProcess,
+        sent: list[Sent],
+        kind: Kind = Kind.STREAM,
     ) -> None:
-        sent.append(await world.ask(entry, kind))
+        sent.append(await process_fleet.ask(entry, kind))
 
     def test_further_signals_during_a_stop_change_nothing(self) -> None:
         hang_up, stop = signal.SIGHUP, signal.SIGTERM
         series = [(stop, stop), (stop, hang_up), (hang_up, stop), (stop, hang_up, stop, hang_up)]
         series.append((stop, signal.SIGINT))
 
-        async def test(world: ProcessFleet) -> None:
-            with world.streams_of(LONG):
+        async def test(process_fleet: ProcessFleet) -> None:
+            with process_fleet.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
-                    for entry, numbers in zip(world.fleet.entries, series, strict=True):
-                        nursery.start_soon(self._stop_with_signals, world, entry, numbers)
+                    for entry, numbers in zip(process_fleet.fleet.entries, series, strict=True):
+                        nursery.start_soon(self._stop_with_signals, process_fleet, entry, numbers)
 
         run(test, len(series))
 
     async def _stop_with_signals(
-        self, world: ProcessFleet, entry: EntryProcess, numbers: Series
+        self, process_fleet: ProcessFleet, entry: EntryProcess, numbers: Series
     ) -> None:
         """Send signals at once, and again while the process is stopping, with streams open."""
         async with trio.open_nursery() as nursery:
-            streams = await world.open_streams(nursery, entry, 3)
+            streams = await process_fleet.open_streams(nursery, entry, 3)
             requested_s = trio.current_time()
             for number in numbers:
                 entry.signal(number)
@@ -389,8 +393,8 @@
         self.assertEqual([s for s in streams if not _is_served(s)], [])
 
     def test_a_stop_before_the_host_listens_is_clean(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await entry.wait_until_taken(signal.SIGTERM)
             entry.signal(signal.SIGTERM)
@@ -400,8 +404,8 @@
         run(test)
 
     def test_a_stop_right_after_the_start_is_clean(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_for_log(entry, "started")
             requested_s = trio.current_time()
@@ -412,11 +416,11 @@
         run(test)
 
     def test_a_stop_with_many_open_streams_cuts_off_none(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
-            with world.streams_of(LONG):
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
+            with process_fleet.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
-                    streams = await world.open_streams(nursery, entry, 20)
+                    streams = await process_fleet.open_streams(nursery, entry, 20)
                     requested_s = trio.current_time()
                     entry.signal(signal.SIGTERM)
                     self.assertTrue(await _ends_in_time(entry, requested_s), _describe_end(entry))
@@ -433,11 +437,11 @@
     def _cut_off(self, streams: int, share: float) -> Callable[[ProcessFleet], Awaitable[None]]:
         """Return a test that stops a slowed process with streams that must be cut off."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
-            with world.streams_of(ENDLESS):
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
+            with process_fleet.streams_of(ENDLESS):
                 async with trio.open_nursery() as nursery:
-                    await world.open_streams(nursery, entry, streams)
+                    await process_fleet.open_streams(nursery, entry, streams)
                     nursery.start_soon(_slow_down, entry, share)
                     requested_s = trio.current_time()
                     entry.signal(signal.SIGTERM)
--- a/yewloom/tests/test_loop_lateness.py
+++ b/yewloom/tests/test_loop_lateness.py
@@ -27,7 +27,7 @@
         self.now_s += duration_s
         self._wait(0.0, 0.0)
 
-    def test_an_idle_loop_is_not_late(self) -> None:
+    def test_an_idle_loop_has_no_delay(self) -> None:
         for timeout_s, waited_s in ((5.0, 5.0), (5.0, 2.0), (1.0, 1.0 + SHORT_S), (0.0, 0.0)):
             self._wait(timeout_s, waited_s)
             self.assertEqual(self.loop_delay.delay_s(), 0.0)
@@ -50,13 +50,13 @@
         self._wait(1.0, 0.01)
         self.assertEqual(self.loop_delay.delay_s(), 0.0)
 
-    def test_a_busy_loop_is_late_only_for_a_limited_time(self) -> None:
+    def test_a_busy_loop_reports_a_delay_only_for_a_limited_time(self) -> None:
         self._compute(BLOCKED_S)
         for _ in range(round(CATCH_UP_S / SHORT_S) + 1):
             self._compute(SHORT_S)
         self.assertEqual(self.loop_delay.delay_s(), 0.0)
 
-    def test_a_loop_blocked_in_each_pass_is_late_by_the_latest_ones(self) -> None:
+    def test_the_delay_of_a_loop_blocked_in_each_pass_covers_the_latest_ones(self) -> None:
         for _ in range(100):
             self._compute(2 * MIN_BLOCKED_S)
         self.assertLessEqual(self.loop_delay.delay_s(), CATCH_UP_S + 2 * MIN_BLOCKED_S)
@@ -75,6 +75,6 @@
         self.assertEqual(self.loop_delay.unnoticed_s(noticed_ago_s=SHORT_S / 2), 0.0)
         self.assertEqual(self.loop_delay.unnoticed_s(noticed_ago_s=BLOCKED_S + 1.0), 0.0)
 
-    def test_short_work_is_not_late(self) -> None:
+    def test_short_work_causes_no_delay(self) -> None:
         self._compute(SHORT_S)
         self.assertEqual(self.loop_delay.delay_s(), 0.0)
--- a/yewloom/tests/test_work.py
+++ b/yewloom/tests/test_work.py
@@ -39,7 +39,7 @@
 
 
 class TestWork(unittest.TestCase):
-    """Work counts from when it is accepted until nothing of it is left to do."""
+    """Work counts from when it is accepted until it is finished."""
 
     def setUp(self) -> None:
         self.work = WorkTracker()
--- a/yewloom/work.py
+++ b/yewloom/work.py
@@ -24,7 +24,7 @@
 
 
 class WorkTracker:
-    """Counts work items from when they are accepted until nothing of them is left to do.
+    """Counts work items from when they are accepted until they are finished.
 
     ``phase`` is the single state of a planned stop; it is checked whenever new work arrives.
     """
