--- a/yewloom/http_calls.py
+++ b/yewloom/http_calls.py
@@ -34,7 +34,7 @@
 
 
 class HttpFailure(Enum):
-    """Whether the request of a failed call was sent, or its response was late."""
+    """Whether the request of a failed call may have been sent, or its response came too late."""
 
     NOT_SENT = "not_sent"
     MAYBE_SENT = "maybe_sent"
--- a/yewloom/loop_lateness.py
+++ b/yewloom/loop_lateness.py
@@ -20,7 +20,7 @@
 """Shortest delay that counts as blocked: a pass of a busy host takes some milliseconds."""
 
 CATCH_UP_S = 0.25
-"""How long after it was blocked a loop is assumed to read queued data at most."""
+"""Maximum time after a blocked period for which data that is read may have been queued."""
 
 MIN_IDLE_WAIT_S = 0.001
 """An event wait of at least this length shows that the loop has caught up: nothing was left to
