--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -148,14 +148,14 @@
     Mutation(
         "planned stop: the rest of a partly received request is not waited for",
         "caller_connection",
-        "with self._activity.reading_request() as limit:",
-        "with trio.CancelScope() as limit:",
+        "with self._activity.reading_request() as scope:",
+        "with trio.CancelScope() as scope:",
         "test_caller_connection",
     ),
     Mutation(
         "answers: nothing is sent after an answer that was cut off",
         "caller_connection",
-        "if self._is_disconnected or not reply.is_complete:",
+        "if self._is_disconnected or not response.is_complete:",
         "if self._is_disconnected:",
         "test_caller_connection",
     ),
--- a/yewloom/tests/test_entry_process.py
+++ b/yewloom/tests/test_entry_process.py
@@ -55,7 +55,7 @@
 SLOTS = 1000
 """Number of streams that engines accept at once: more than a test opens."""
 
-DUTY_PERIOD_S = 0.1
+RUN_PERIOD_S = 0.1
 """Period in which a slowed process runs once, as under the users' CPU quota."""
 
 SLOW_SHARE = 0.2
@@ -67,8 +67,8 @@
 SHORT_DEADLINE_S = 1.0
 """Deadline of a request, shorter than the suspension of the process."""
 
-LONG_PATIENCE_S = 5.0
-"""How much longer than that a caller waits, to see the outcome of its request."""
+EXTRA_WAIT_S = 5.0
+"""Time that a caller waits after that deadline, to see the outcome of its request."""
 
 SLOW_START_SHARE = 0.03
 """Share of the time for which a process runs so that it starts more slowly than callers wait."""
@@ -85,13 +85,13 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self._balancer = Balancer(fleet.entries)  # It checks no host, so all are used.
-        self._asked = 0
+        self._sent_count = 0
         self._events = SHORT.events
 
     async def ask(self, entry: EntryProcess, kind: Kind = Kind.STREAM) -> Sent:
         """Send one request on its own connection."""
-        self._asked += 1
-        caller = Caller(entry, self.fleet, self._balancer, self.fleet.ledger, self._asked)
+        self._sent_count += 1
+        caller = Caller(entry, self.fleet, self._balancer, self.fleet.ledger, self._sent_count)
         async with caller.open_pool() as pool:
             return await caller.send(pool, kind, self._events)
 
@@ -123,17 +123,17 @@
         A stream that ends without an event is started again, because a busy fleet rejects some.
         """
         before = set(self.fleet.ledger.sent)
-        begun = 0
+        started_count = 0
         while True:
             sent = self.fleet.ledger.sent
             new = [s for i, s in sent.items() if i not in before and s.host_life == entry.life]
-            flowing = [s for s in new if s.answer and s.ended_s is None]
-            if len(flowing) == count:
-                return flowing
-            over = sum(s.ended_s is not None for s in new)
-            while begun - over < count:
+            streaming = [s for s in new if s.answer and s.ended_s is None]
+            if len(streaming) == count:
+                return streaming
+            ended_count = sum(s.ended_s is not None for s in new)
+            while started_count - ended_count < count:
                 nursery.start_soon(self.ask, entry)
-                begun += 1
+                started_count += 1
             assert entry.is_running, _describe_end(entry)
             await trio.sleep(POLL_INTERVAL_S)
 
@@ -147,17 +147,17 @@
                 fleet = Fleet(Path(folder), Ledger(), Random(1), nursery)
                 try:
                     await fleet.start(entries, 4, 1)
-                    world = ProcessFleet(fleet)
+                    process_fleet = ProcessFleet(fleet)
                     for entry in fleet.entries:
-                        await world.wait_until_served(entry)
-                    await test(world)
+                        await process_fleet.wait_until_served(entry)
+                    await test(process_fleet)
                 finally:
                     fleet.stop()
                 nursery.cancel_scope.cancel()
 
     with (
         mock.patch("yewloom.tests.soak.callers.STREAM_DEADLINE_S", TIMEOUT_S),
-        mock.patch("yewloom.tests.soak.fleet.configuration", _patient_configuration),
+        mock.patch("yewloom.tests.soak.fleet.configuration", _long_timeout_configuration),
     ):
         trio.run(main)
 
@@ -167,7 +167,7 @@
     return sent.status == 200 and sent.is_whole
 
 
-def _patient_configuration(version: int) -> dict[str, Any]:
+def _long_timeout_configuration(version: int) -> dict[str, Any]:
     """Return a configuration whose routes allow long responses."""
     changed = configuration(version)
     for route in changed["routes"]:
@@ -228,26 +228,26 @@
     """Let a process run for a share of the time only, until cancelled."""
     while True:
         entry.signal(signal.SIGSTOP)
-        await trio.sleep(DUTY_PERIOD_S * (1 - share))
+        await trio.sleep(RUN_PERIOD_S * (1 - share))
         entry.signal(signal.SIGCONT)
-        await trio.sleep(DUTY_PERIOD_S * share)
+        await trio.sleep(RUN_PERIOD_S * share)
 
 
 class TestEntryProcess(unittest.TestCase):
     """Signals to a real process."""
 
     def test_a_reload_at_any_moment_of_the_start_leaves_the_process_serving(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             entry.signal(signal.SIGKILL)
             await entry.wait_ended()
             entry.start()
             await _wait_for_imports(entry)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._reload_often, entry)
-                await world.wait_until_served(entry)
+                await process_fleet.wait_until_served(entry)
                 nursery.cancel_scope.cancel()
-            self.assertTrue(_is_served(await world.ask(entry)))
+            self.assertTrue(_is_served(await process_fleet.ask(entry)))
 
         run(test)
 
@@ -257,64 +257,64 @@
             await trio.sleep(POLL_INTERVAL_S)
 
     def test_a_caller_that_connects_during_the_start_is_served(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
             self.assertNotIn('"event": "started"', entry.log.read_text())
-            self.assertTrue(_is_served(await world.ask(entry)))
+            self.assertTrue(_is_served(await process_fleet.ask(entry)))
 
         run(test)
 
     def test_a_request_that_expires_in_a_suspended_process_is_not_run(self) -> None:
         """Guards against running expired requests, above all unsafe ones."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             for kind, stopped_s in itertools.product(Kind, (1.5, 3.0)):
                 async with trio.open_nursery() as nursery:
                     sent: list[Sent] = []
                     entry.signal(signal.SIGSTOP)
-                    nursery.start_soon(self._send_and_record, world, entry, sent, kind)
+                    nursery.start_soon(self._send_and_record, process_fleet, entry, sent, kind)
                     await trio.sleep(stopped_s)
                     entry.signal(signal.SIGCONT)
                 self.assertEqual([s.status for s in sent], [503], f"{kind} {stopped_s}")
-                self.assertEqual(world.fleet.ledger.runs.get(sent[0].request_id, []), [])
+                self.assertEqual(process_fleet.fleet.ledger.runs.get(sent[0].request_id, []), [])
 
         with (
             mock.patch("yewloom.tests.soak.callers.DEADLINE_S", SHORT_DEADLINE_S),
-            mock.patch("yewloom.tests.soak.callers.PATIENCES_S", (LONG_PATIENCE_S,)),
+            mock.patch("yewloom.tests.soak.callers.PATIENCES_S", (EXTRA_WAIT_S,)),
             mock.patch("yewloom.tests.test_entry_process.TIMEOUT_S", SHORT_DEADLINE_S),
         ):
             run(test)
 
     def test_a_suspended_host_accepts_no_request_later_after_sigterm(self) -> None:
-        """Guards against a deregistration delay that starts over when a signal was noticed late."""
+        """Guards against counting the deregistration delay from when a late signal was noticed."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             entry.signal(signal.SIGSTOP)
             entry.signal(signal.SIGTERM)
             await trio.sleep(NOTICE_S + NOTICE_SLACK_S)
             entry.signal(signal.SIGCONT)
             await trio.sleep(NOTICE_SLACK_S)
-            sent = await world.ask(entry)
+            sent = await process_fleet.ask(entry)
             self.assertNotEqual(sent.status, 200)
-            self.assertEqual(world.fleet.ledger.runs.get(sent.request_id, []), [])
+            self.assertEqual(process_fleet.fleet.ledger.runs.get(sent.request_id, []), [])
 
         run(test)
 
     def test_a_caller_does_not_wait_for_a_slow_start(self) -> None:
         """Guards against callers waiting for a host that can't read their requests yet."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_slow_down, entry, SLOW_START_SHARE)
                 for kind in (Kind.SAFE, Kind.UNSAFE):
-                    sent = await world.ask(entry, kind)
+                    sent = await process_fleet.ask(entry, kind)
                     self.assertEqual(sent.status, 503)
                     assert sent.ended_s is not None
                     limit_s = sent.deadline_s * MAX_WAIT_SHARE + SLOW_RESPONSE_S
@@ -325,52 +325,56 @@
         run(test)
 
     def test_a_stop_during_the_start_answers_waiting_callers(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_until_it_listens(entry)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._send_and_stop, world, entry)
+                nursery.start_soon(self._send_and_stop, process_fleet, entry)
             await entry.wait_ended()
             self._assert_clean_exit(entry, [])
-            self.assertEqual(world.fleet.ledger.check(), [])
+            self.assertEqual(process_fleet.fleet.ledger.check(), [])
 
         run(test)
 
-    async def _send_and_stop(self, world: ProcessFleet, entry: EntryProcess) -> None:
+    async def _send_and_stop(self, process_fleet: ProcessFleet, entry: EntryProcess) -> None:
         """Request a stop while requests wait for a process that is still starting."""
         async with trio.open_nursery() as nursery:
             sent: list[Sent] = []
             for _ in range(5):
-                nursery.start_soon(self._send_and_record, world, entry, sent)
+                nursery.start_soon(self._send_and_record, process_fleet, entry, sent)
             await trio.sleep(POLL_INTERVAL_S)
             entry.signal(signal.SIGTERM)
         self.assertEqual([s for s in sent if s.status is None], [])
 
     async def _send_and_record(
-        self, world: ProcessFleet, entry: EntryProcess, sent: list[Sent], kind: Kind = Kind.STREAM
+        self,
+        process_fleet: ProcessFleet,
+        entry: EntryProcess,
+        sent: list[Sent],
+        kind: Kind = Kind.STREAM,
     ) -> None:
-        sent.append(await world.ask(entry, kind))
+        sent.append(await process_fleet.ask(entry, kind))
 
     def test_further_signals_during_a_stop_change_nothing(self) -> None:
         hang_up, stop = signal.SIGHUP, signal.SIGTERM
         series = [(stop, stop), (stop, hang_up), (hang_up, stop), (stop, hang_up, stop, hang_up)]
         series.append((stop, signal.SIGINT))
 
-        async def test(world: ProcessFleet) -> None:
-            with world.streams_of(LONG):
+        async def test(process_fleet: ProcessFleet) -> None:
+            with process_fleet.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
-                    for entry, numbers in zip(world.fleet.entries, series, strict=True):
-                        nursery.start_soon(self._stop_with_signals, world, entry, numbers)
+                    for entry, numbers in zip(process_fleet.fleet.entries, series, strict=True):
+                        nursery.start_soon(self._stop_with_signals, process_fleet, entry, numbers)
 
         run(test, len(series))
 
     async def _stop_with_signals(
-        self, world: ProcessFleet, entry: EntryProcess, numbers: Series
+        self, process_fleet: ProcessFleet, entry: EntryProcess, numbers: Series
     ) -> None:
         """Send signals at once, and again while the process is stopping, with streams open."""
         async with trio.open_nursery() as nursery:
-            streams = await world.open_streams(nursery, entry, 3)
+            streams = await process_fleet.open_streams(nursery, entry, 3)
             requested_s = trio.current_time()
             for number in numbers:
                 entry.signal(number)
@@ -389,8 +393,8 @@
         self.assertEqual([s for s in streams if not _is_served(s)], [])
 
     def test_a_stop_before_the_host_listens_is_clean(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await entry.wait_until_taken(signal.SIGTERM)
             entry.signal(signal.SIGTERM)
@@ -400,8 +404,8 @@
         run(test)
 
     def test_a_stop_right_after_the_start_is_clean(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
             await _restart(entry)
             await _wait_for_log(entry, "started")
             requested_s = trio.current_time()
@@ -412,11 +416,11 @@
         run(test)
 
     def test_a_stop_with_many_open_streams_cuts_off_none(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
-            with world.streams_of(LONG):
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
+            with process_fleet.streams_of(LONG):
                 async with trio.open_nursery() as nursery:
-                    streams = await world.open_streams(nursery, entry, 20)
+                    streams = await process_fleet.open_streams(nursery, entry, 20)
                     requested_s = trio.current_time()
                     entry.signal(signal.SIGTERM)
                     self.assertTrue(await _ends_in_time(entry, requested_s), _describe_end(entry))
@@ -433,11 +437,11 @@
     def _cut_off(self, streams: int, share: float) -> Callable[[ProcessFleet], Awaitable[None]]:
         """Return a test that stops a slowed process with streams that must be cut off."""
 
-        async def test(world: ProcessFleet) -> None:
-            entry = world.fleet.entries[0]
-            with world.streams_of(ENDLESS):
+        async def test(process_fleet: ProcessFleet) -> None:
+            entry = process_fleet.fleet.entries[0]
+            with process_fleet.streams_of(ENDLESS):
                 async with trio.open_nursery() as nursery:
-                    await world.open_streams(nursery, entry, streams)
+                    await process_fleet.open_streams(nursery, entry, streams)
                     nursery.start_soon(_slow_down, entry, share)
                     requested_s = trio.current_time()
                     entry.signal(signal.SIGTERM)
