--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -35,7 +35,7 @@
     Removal(
         "the last known keys are accepted in an outage",
         "key_trust",
-        "return not self._needs_proof and not self._configuration_state.is_outdated",
+        "return not self._requires_confirmation and not self._configuration_state.is_outdated",
         "return False",
     ),
     Removal(
--- a/tools/measure_core.py
+++ b/tools/measure_core.py
@@ -242,8 +242,8 @@
         changed.version = 2
         other.apply(changed)
         digests = other.bucket_digests
-        found = table.rows_where_different(digests)
-        cost = _time_us(partial(table.rows_where_different, digests), 50)
+        found = table.rows_in_differing_buckets(digests)
+        cost = _time_us(partial(table.rows_in_differing_buckets, digests), 50)
         query = FetchRowsRequest(bucket_digests=digests).ByteSize()
         size = query + FetchRowsResponse(rows=found).ByteSize()
         _print_row("send a changed row, with its bucket", f"{count} rows", cost, size)
--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -191,14 +191,14 @@
     Mutation(
         "keys: a host that knows of a newer configuration accepts no key",
         "key_trust",
-        "return not self._needs_proof and not self._configuration_state.is_outdated",
-        "return not self._needs_proof",
+        "return not self._requires_confirmation and not self._configuration_state.is_outdated",
+        "return not self._requires_confirmation",
         "test_key_trust",
     ),
     Mutation(
         "keys: hosts with keys_need_proof accept keys only with a proof",
         "key_trust",
-        "return not self._needs_proof and not self._configuration_state.is_outdated",
+        "return not self._requires_confirmation and not self._configuration_state.is_outdated",
         "return not self._configuration_state.is_outdated",
         "test_key_trust",
     ),
--- a/tools/mutations_groups.py
+++ b/tools/mutations_groups.py
@@ -6,7 +6,7 @@
     Mutation(
         "planned stop: a stopping host does not become coordinator",
         "replica_coordinator",
-        "self._lease.holds() and not self.is_leaving",
+        "self._lease.holds() and not self.is_stopping",
         "self._lease.holds()",
         "test_replica_coordinator",
     ),
--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -111,7 +111,7 @@
     Mutation(
         "leases: the metric is computed when it is read",
         "coordinators",
-        "set_function(lambda: self.is_holding)",
+        "set_function(lambda: self.holds_lease)",
         "set(0)",
         "test_coordinators",
     ),
--- a/tools/mutations_yewloomd.py
+++ b/tools/mutations_yewloomd.py
@@ -20,8 +20,8 @@
     Mutation(
         "open groups: the age of a peer's report counts from before the peer was asked",
         "fleet",
-        "observed_s=asked_s - report.age_ms / 1000 if",
-        "observed_s=asked_s if",
+        "observed_s=requested_s - report.age_ms / 1000 if",
+        "observed_s=requested_s if",
         "test_placement",
     ),
     Mutation(
@@ -48,7 +48,7 @@
     Mutation(
         "member loss: a pause in probing does not count as silence",
         "groups",
-        "if since is None or asked_s - self.failed_s > longest_pause_s:",
+        "if since is None or requested_s - self.failed_s > longest_pause_s:",
         "if since is None:",
         "test_placement",
     ),
@@ -287,7 +287,7 @@
     Mutation(
         "planned stop: answers close their connections",
         "counted_requests",
-        "self._is_http_1 and self._work.is_leaving",
+        "self._is_http_1 and self._work.is_stopping",
         "False",
         "test_work",
     ),
--- a/yewloom/caller_headers.py
+++ b/yewloom/caller_headers.py
@@ -69,8 +69,8 @@
         """Return the metadata in a request's headers; raises HeaderError."""
         ...
 
-    def request_headers(
-        self, headers: Sequence[Header], sending: ForwardingMetadata
+    def build_request_headers(
+        self, headers: Sequence[Header], metadata: ForwardingMetadata
     ) -> list[Header]:
         """Return the headers of a request as they are sent to the endpoint."""
         ...
@@ -79,6 +79,6 @@
         """Return the metadata in a response's headers."""
         ...
 
-    def response_headers(self, head: ResponseHead) -> list[Header]:
+    def build_response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the response headers to send to the caller, without framing headers."""
         ...
--- a/yewloom/callers.py
+++ b/yewloom/callers.py
@@ -31,7 +31,7 @@
     is_unsafe_path,
     new_request_id,
 )
-from yewloom.idempotency import IdempotentRunner, StoredAnswer
+from yewloom.idempotency import IdempotentRunner, StoredResponse
 from yewloom.ids import AttemptId, CustomerId, IdempotencyKey, ServiceName
 from yewloom.node import Node
 from yewloom.problems import OVERLOADED_STATUS, Problem, bad_request_problem, unavailable_problem
@@ -110,7 +110,7 @@
     async def _complete_response(
         self, completion: CompletionRequest, request: ModelRequest, key: IdempotencyKey | None
     ) -> Response:
-        async def run() -> StoredAnswer:
+        async def run() -> StoredResponse:
             tokens: list[str] = []
             finish_reason = ""
             async with aclosing(self._models_dispatcher.generate(request)) as stream:
@@ -118,7 +118,7 @@
                     tokens += batch.tokens
                     finish_reason = batch.finish_reason
             body = complete_response_body(completion, request.request_id, tokens, finish_reason)
-            return StoredAnswer(200, "application/json", body)
+            return StoredResponse(200, "application/json", body)
 
         return await self._run_and_count(request.customer, key, run)
 
@@ -218,10 +218,10 @@
             is_unsafe=key is not None or is_marked_unsafe(request) or is_unsafe_path(row, path),
         )
 
-        async def run() -> StoredAnswer:
+        async def run() -> StoredResponse:
             response = await self._services_dispatcher.call_service(service_request)
             content_type = response.headers.get("content-type", "application/octet-stream")
-            return StoredAnswer(response.status, content_type, response.body)
+            return StoredResponse(response.status, content_type, response.body)
 
         return await self._run_and_count(customer, key, run)
 
@@ -229,7 +229,7 @@
         self,
         customer: CustomerId,
         key: IdempotencyKey | None,
-        run: Callable[[], Awaitable[StoredAnswer]],
+        run: Callable[[], Awaitable[StoredResponse]],
     ) -> Response:
         try:
             answer = await (run() if key is None else self._runner.run(key, run))
--- a/yewloom/configuration.py
+++ b/yewloom/configuration.py
@@ -31,16 +31,16 @@
 class ReplicaModel:
     """A model whose replicas span several hosts.
 
-    ``share`` is the fraction of hosts initially assigned to the model; ``pace`` is a factor that
-    multiplies all of its durations.
+    ``initial_host_share`` is the fraction of hosts initially assigned to the model;
+    ``duration_factor`` is a factor that multiplies all of its durations.
     """
 
     name: ModelName
     group_size: int
-    share: float
-    pace: float
+    initial_host_share: float
+    duration_factor: float
     load_s: float
-    warm_up_s: float
+    join_s: float
 
 
 @value_class
--- a/yewloom/coordinators.py
+++ b/yewloom/coordinators.py
@@ -58,10 +58,10 @@
         self._next_hosts_read_s = float("-inf")
         self._balancer = ShareBalancer(node, platform, new_attempt)
         # Evaluated at scrape time: after a pause, the lease has expired before any task runs again.
-        node.metrics.is_coordinator.set_function(lambda: self.is_holding)
+        node.metrics.is_coordinator.set_function(lambda: self.holds_lease)
 
     @property
-    def is_holding(self) -> bool:
+    def holds_lease(self) -> bool:
         """Return whether this entry host holds the lease now."""
         return self._lease.holds(trio.current_time())
 
@@ -94,7 +94,7 @@
         """Return whether to read, acquire or renew the lease; a holder does so until it expires."""
         now_s, membership = trio.current_time(), self._node.membership
         is_chosen = membership.has_platform_duty(COORDINATE_DUTY, COORDINATE_COUNT, now_s)
-        return not self._node.work.is_leaving and (is_chosen or self.is_holding)
+        return not self._node.work.is_stopping and (is_chosen or self.holds_lease)
 
     async def _run_lease_action(self) -> None:
         key = f"{LEASE_PREFIX}{self._node.data_centre}"
@@ -128,7 +128,7 @@
         self._lease.on_read(record, version, trio.current_time())
 
     def _check_holding_change(self) -> None:
-        holds = self.is_holding
+        holds = self.holds_lease
         if holds != self._was_holding:
             self._was_holding = holds
             self._is_placement_current = False
@@ -137,7 +137,7 @@
     async def _coordinate(self) -> None:
         interval_s = self._node.settings.groups.probe_interval_ms / 1000
         while True:
-            if self.is_holding:
+            if self.holds_lease:
                 await self._run_step(self._coordinate_once)
             await trio.sleep(interval_s)
 
@@ -149,11 +149,11 @@
         await self._prober.probe_members(self._members_to_probe())
         self._aggregate_closed_groups()
         plan = self._plan()
-        if plan.placement is not None and self.is_holding:
+        if plan.placement is not None and self.holds_lease:
             await self._write_placement(plan)
-        if self.is_holding:
+        if self.holds_lease:
             await self._send_orders()
-        if self.is_holding:
+        if self.holds_lease:
             await self._balancer.run_if_due((self._listed_hosts or {}).values())
 
     async def _read_placement(self) -> bool:
@@ -255,7 +255,7 @@
 
     async def _send_order(self, due_order: DueOrder) -> None:
         """Send one order; an engine that does not check fences gets it only under the lease."""
-        if not due_order.checks_fences and not self.is_holding:
+        if not due_order.checks_fences and not self.holds_lease:
             return
         timeout_s = self._node.settings.lease.margin_ms / 1000
         result = await self._endpoints.send_order(due_order.address, due_order.order, timeout_s)
--- a/yewloom/counted_requests.py
+++ b/yewloom/counted_requests.py
@@ -59,6 +59,6 @@
         """Send a message to the caller; close its connection if this host is stopping."""
         if message["type"] == "http.response.start":
             self.has_response_started = True
-            if self._is_http_1 and self._work.is_leaving:
+            if self._is_http_1 and self._work.is_stopping:
                 message = {**message, "headers": [*message.get("headers", []), _CONNECTION_CLOSE]}
         await self._send(message)
--- a/yewloom/crash_messages.py
+++ b/yewloom/crash_messages.py
@@ -2,7 +2,7 @@
 
 import math
 
-from yewloom.crash_record import AnswerReport, CrashRecord, CrashReport, EndpointProcess
+from yewloom.crash_record import CrashRecord, CrashReport, EndpointProcess, SuccessReport
 from yewloom.ids import Fingerprint, HostId
 from yewloom.quarantine import Quarantine, QuarantineReport
 from yewloom.schema.entry_pb2 import (
@@ -31,7 +31,7 @@
             _to_crashed_process(report) for report in self._record.crash_reports(now_s)
         )
         state.answered.extend(
-            _to_answered_request(report) for report in self._record.answer_reports(now_s)
+            _to_answered_request(report) for report in self._record.success_reports(now_s)
         )
         reports = self._quarantine.reports(now_s, MAX_QUARANTINE_REPORTS)
         state.quarantined.extend(_to_quarantined_request(report) for report in reports)
@@ -41,8 +41,8 @@
         for quarantined in state.quarantined:
             self._quarantine.apply(_to_quarantine_report(quarantined), arrived_s)
         for answered in state.answered:
-            report = AnswerReport(Fingerprint(answered.fingerprint), answered.age_ms / 1000)
-            self._record.apply_answer(report, arrived_s)
+            report = SuccessReport(Fingerprint(answered.fingerprint), answered.age_ms / 1000)
+            self._record.apply_success(report, arrived_s)
         for crashed in state.crashed:
             self._record.apply_crash(_to_crash_report(crashed), arrived_s, now_s)
 
@@ -62,7 +62,7 @@
     return CrashReport(process, requests, message.age_ms / 1000)
 
 
-def _to_answered_request(report: AnswerReport) -> AnsweredRequest:
+def _to_answered_request(report: SuccessReport) -> AnsweredRequest:
     return AnsweredRequest(fingerprint=report.fingerprint, age_ms=_to_ms(report.age_s))
 
 
--- a/yewloom/crash_record.py
+++ b/yewloom/crash_record.py
@@ -40,7 +40,7 @@
 MAX_REQUESTS = 128
 """Maximum number of requests kept per crash, more than an endpoint processes concurrently."""
 
-MAX_ANSWERS = 1024
+MAX_SUCCESSES = 1024
 """Maximum number of requests for which a successful response is kept."""
 
 MAX_REPORTS = 16
@@ -65,7 +65,7 @@
 
 
 @value_class
-class AnswerReport:
+class SuccessReport:
     """A successful response to a suspected request, observed by one host."""
 
     fingerprint: Fingerprint
@@ -130,7 +130,7 @@
         crash = self._get_or_add_crash(report.process, arrived_s - report.age_s)
         self._add_requests(crash, set(report.requests), now_s)
 
-    def record_answer(self, fingerprint: Fingerprint, now_s: float) -> None:
+    def record_success(self, fingerprint: Fingerprint, now_s: float) -> None:
         """Record a successful response: its request did not cause the crashes before it."""
         if not self.is_suspect(fingerprint):
             return
@@ -138,7 +138,7 @@
         self._clear(fingerprint, now_s)
         self._quarantine.lift(fingerprint)
 
-    def apply_answer(self, report: AnswerReport, arrived_s: float) -> None:
+    def apply_success(self, report: SuccessReport, arrived_s: float) -> None:
         """Apply a peer's report of a successful response."""
         self._clear(report.fingerprint, arrived_s - report.age_s)
 
@@ -152,11 +152,11 @@
         ]
         return recent[-MAX_REPORTS:]
 
-    def answer_reports(self, now_s: float) -> list[AnswerReport]:
+    def success_reports(self, now_s: float) -> list[SuccessReport]:
         """Return reports of the recent successful responses that this host has observed itself."""
         recent = {f: s for f, s in self._answered_here_s.items() if now_s - s < REPORT_PERIOD_S}
         self._answered_here_s = recent
-        return [AnswerReport(f, now_s - s) for f, s in recent.items()][-MAX_REPORTS:]
+        return [SuccessReport(f, now_s - s) for f, s in recent.items()][-MAX_REPORTS:]
 
     def _get_or_add_crash(self, process: EndpointProcess, seen_s: float) -> _Crash:
         return self._crashes.setdefault(process, _Crash(seen_s))
@@ -225,7 +225,7 @@
             if crash.seen_s <= answered_s:
                 crash.requests.discard(fingerprint)
                 crash.own_requests.discard(fingerprint)
-        while len(self._answered_s) > MAX_ANSWERS:
+        while len(self._answered_s) > MAX_SUCCESSES:
             del self._answered_s[next(iter(self._answered_s))]
 
     def _drop_expired(self, now_s: float) -> None:
--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -152,7 +152,7 @@
             round(capacity * SLOTS_PER_ENGINE_CAPACITY), self._settings.requests.min_places
         )
         self._slots.set_slots(min(target_slots, self._settings.requests.max_in_flight))
-        metrics.open_groups.set(len(open_groups))
+        metrics.accepting_groups.set(len(open_groups))
         metrics.in_flight.set(self._slots.admission.in_flight)
         metrics.queued.set(self._slots.admission.queued)
         for kind, count in platform.calls.items():
@@ -178,7 +178,7 @@
         drain_timeout_s = self._settings.host.drain_timeout_ms / 1000
         stops_accepting_s = requested_s + DEREGISTRATION_DELAY_S
         deadline_s = stops_accepting_s + drain_timeout_s
-        self._node.start_leaving()
+        self._node.begin_stop()
         coordinator.release()
         self._slots.set_stop_time(deadline_s)
         await trio.sleep_until(stops_accepting_s)
--- a/yewloom/dispatch.py
+++ b/yewloom/dispatch.py
@@ -194,10 +194,10 @@
                     if trio.current_time() >= request.deadline_s:
                         raise EndpointError(CallFailure.STALLED, "the time left ran out")
             if not progress.assembler.is_complete:
-                raise EndpointError(CallFailure.BROKEN, "the stream ended early")
+                raise EndpointError(CallFailure.CONNECTION_LOST, "the stream ended early")
             has_ended = True
         except StreamOverflowError as error:
-            raise EndpointError(CallFailure.BROKEN, str(error)) from error
+            raise EndpointError(CallFailure.CONNECTION_LOST, str(error)) from error
         except EndpointError:
             has_ended = True
             if progress.pending_tokens:
@@ -241,7 +241,7 @@
             gap_s = (now_s - progress.last_token_s) / max(len(tokens), 1)
             self._between_tokens_s(progress.policy).observe(gap_s)
         progress.last_token_s = now_s
-        self._metrics.tokens.inc(len(tokens))
+        self._metrics.delivered_tokens.inc(len(tokens))
         assembler = progress.assembler
         position = StreamPosition(
             GroupId(group.id), group.generation, assembler.request_id, assembler.offset
--- a/yewloom/endpoint_attempts.py
+++ b/yewloom/endpoint_attempts.py
@@ -113,9 +113,13 @@
 
     def _clear_crash_suspicion(self, request: ForwardRequest) -> None:
         """Stop suspecting a request of causing crashes if it did not end in a server error."""
-        status = request.response.status if request.response is not None else request.reply.status
+        status = (
+            request.response.status
+            if request.response is not None
+            else request.response_writer.status
+        )
         if status < MIN_SERVER_ERROR_STATUS and self._crash_record.has_any:
-            self._crash_record.record_answer(request.fingerprint, trio.current_time())
+            self._crash_record.record_success(request.fingerprint, trio.current_time())
 
     async def _run_attempt(self, request: ForwardRequest, endpoint: Endpoint) -> tuple[bool, str]:
         """Return whether the caller gets this response, and the outcome of the attempt.
@@ -210,7 +214,7 @@
             last_event_id=request.cursor.last_event_id if is_resumed else None,
         )
         caller_request = request.caller_request
-        headers = self._codec.request_headers(caller_request.headers, metadata)
+        headers = self._codec.build_request_headers(caller_request.headers, metadata)
         if caller_request.body or caller_request.method not in (
             b"GET",
             b"HEAD",
@@ -248,9 +252,11 @@
         if head.status >= MIN_SERVER_ERROR_STATUS and self._chooser.reserve_another(request):
             return False, f"failed: status {head.status}"
         request.record.set_state(endpoint.id, AttemptState.ANSWERED)
-        if request.reply.is_started:
+        if request.response_writer.is_started:
             return False, f"failed: status {head.status} in the middle of a stream"
-        request.response = BufferedResponse(head.status, self._codec.response_headers(head), body)
+        request.response = BufferedResponse(
+            head.status, self._codec.build_response_headers(head), body
+        )
         return True, "answered"
 
     async def _forward_events(
@@ -276,21 +282,21 @@
             data = b"".join(e.data for e in splitter.feed(chunk) if request.cursor.accept(e))
             if data:
                 await self._forward_data(request, head, data)
-        if splitter.has_partial_event or not request.reply.is_started:
+        if splitter.has_partial_event or not request.response_writer.is_started:
             raise ExchangeError(
                 ExchangeFailure.CONNECTION_LOST, True, "the stream ended inside an event"
             )
         request.record.set_state(endpoint.id, AttemptState.ANSWERED)
-        await request.reply.finish()
+        await request.response_writer.finish()
         return True, "answered"
 
     async def _forward_data(self, request: ForwardRequest, head: ResponseHead, data: bytes) -> None:
-        if request.reply.is_started:
-            await request.reply.send(data)
+        if request.response_writer.is_started:
+            await request.response_writer.send(data)
             return
         request.first_event_s = trio.current_time()
-        headers: list[Header] = self._codec.response_headers(head)
-        await request.reply.start(head.status, headers, data)
+        headers: list[Header] = self._codec.build_response_headers(head)
+        await request.response_writer.start(head.status, headers, data)
 
     async def _run_unless_stalled(
         self, request: ForwardRequest, endpoint: Endpoint, step: Callable[[], Awaitable[T]]
--- a/yewloom/endpoints.py
+++ b/yewloom/endpoints.py
@@ -205,7 +205,9 @@
             finish_reason=str(fields.get("finish_reason", "")),
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise EndpointError(CallFailure.BROKEN, f"invalid stream chunk: {error}") from error
+        raise EndpointError(
+            CallFailure.CONNECTION_LOST, f"invalid stream chunk: {error}"
+        ) from error
 
 
 def _generate_fields(call: GenerateCall) -> dict[str, Any]:
@@ -231,7 +233,7 @@
 def _endpoint_error(error: HttpCallError) -> EndpointError:
     failures = {
         HttpFailure.NOT_SENT: CallFailure.CONNECT,
-        HttpFailure.MAYBE_SENT: CallFailure.BROKEN,
+        HttpFailure.MAYBE_SENT: CallFailure.CONNECTION_LOST,
         HttpFailure.TIMED_OUT: CallFailure.STALLED,
     }
     return EndpointError(failures[error.failure], str(error))
--- a/yewloom/entry_host.py
+++ b/yewloom/entry_host.py
@@ -35,8 +35,8 @@
 from yewloom.own_state import EntryHostProcess, OwnStateBuilder
 from yewloom.peer_configurations import PeerConfigurations
 from yewloom.peer_intake import PeerIntake
-from yewloom.peer_reports import PeerReports
-from yewloom.peer_topics import PeerTopic
+from yewloom.peer_reports import PeerReportHandler
+from yewloom.peer_topics import PeerMessageExtension
 from yewloom.planned_stop import PlannedStop
 from yewloom.platform_parts import PlatformParts
 from yewloom.process_signals import ProcessSignals
@@ -48,12 +48,13 @@
 from yewloom.shutdown import Shutdown
 from yewloom.socket_ages import ReadAges
 from yewloom.stalls import StallDetector
-from yewloom.store_retries import StoreRetries
+from yewloom.store_retries import StoreBackoff
 
 logger = structlog.get_logger(__name__)
 
 BEFORE_TRAFFIC_PAUSE_S = 2.0
-"""Batching time of endpoint changes before the first request, on a host without follow duty."""
+"""Batching time of endpoint changes before the first request, on a host without follow duty: all
+endpoints appear one by one then, and such a host has no use for them yet."""
 
 TASK_RESTART_PAUSE_S = 0.5
 """Pause before a failed task is restarted."""
@@ -98,7 +99,7 @@
             random_fraction,
             self._has_just_started,
         )
-        self._store_retries = StoreRetries(settings.store.retry_pause_ms / 1000, random_fraction)
+        self._store_retries = StoreBackoff(settings.store.retry_pause_ms / 1000, random_fraction)
         self._reachability = Reachability(self._directory, lambda: self._probes.notify())
         self._probes = EndpointProbes(self._reachability)
         self._limits = EndpointLimits(
@@ -107,13 +108,13 @@
         self._selector = Selector(
             self._directory, data_centre, self._peer_states, rng, self._reachability, self._limits
         )
-        self._crashes = CrashDetection(
+        self._crash_detection = CrashDetection(
             host_id, self._peer_states.known_hosts, self._directory, self._schedule_exchange
         )
         self._quarantine_store = QuarantineStore(
             host_id,
             self._peer_states.known_hosts,
-            self._crashes.quarantine,
+            self._crash_detection.quarantine,
             parts.records_store,
             parts.stale_store,
         )
@@ -145,10 +146,10 @@
         self._servers = EntryServers(
             settings.host,
             self._caller_server,
-            self._peer_configurations.answer,
+            self._peer_configurations.handle_request,
             metrics,
             HostReadiness(self._has_full_state, self._is_ready),
-            self._crashes.page,
+            self._crash_detection.page,
         )
 
     def _build_forwarder(self) -> Forwarder:
@@ -156,16 +157,16 @@
         return build_forwarder(
             ForwarderComponents(
                 bounds=bounds,
-                codec=self._parts.codec,
+                header_codec=self._parts.codec,
                 metrics=self._metrics,
                 configuration_state=self._configuration_state,
                 directory=self._directory,
                 selector=self._selector,
                 stalls=self._stalls,
                 reachability=self._reachability,
-                stop=self._stop_plan,
+                planned_stop=self._stop_plan,
                 loop_delay=self._loop_delay,
-                crashes=self._crashes,
+                crash_detection=self._crash_detection,
                 limits=self._limits,
                 retry_extra=lambda: bounds.retry_extra / self._peer_states.sharing_host_count(),
             )
@@ -227,7 +228,10 @@
         return self._store_retries.pause_s(failures, duty.has_duty(), duty.near_host_count())
 
     def _build_exchange(self) -> EntryExchange:
-        topics: list[PeerTopic] = [self._crashes.messages, LimitMessages(self._limits)]
+        extensions: list[PeerMessageExtension] = [
+            self._crash_detection.messages,
+            LimitMessages(self._limits),
+        ]
         own_state = OwnStateBuilder(
             self._identity,
             self._configuration_state,
@@ -235,16 +239,16 @@
             self._stalls,
             self._followed_endpoints,
             self._follow_status,
-            topics,
+            extensions,
         )
         intake = PeerIntake(
             self._peer_states,
             self._configuration_state,
             self._followed_endpoints,
             self._endpoint_intake.apply_peer_changes,
-            PeerReports(self._stalls, self._selector),
+            PeerReportHandler(self._stalls, self._selector),
             self._configuration_follower.relist,
-            topics,
+            extensions,
         )
         return EntryExchange(
             self._build_addresses(),
@@ -287,7 +291,7 @@
             logger.info("stopped", cut_off=self._caller_server.activity.open_requests)
             end_process()
 
-        self._coordinator.is_leaving = True
+        self._coordinator.is_stopping = True
         shutdown = Shutdown(self._stop_plan, self._caller_server, self._forwarder, ExitTimer(end))
         await shutdown.run(
             requested_s, self._loop_delay.unnoticed_s(trio.current_time() - requested_s)
@@ -302,7 +306,7 @@
             self._endpoint_follower.run,
             self._endpoint_intake.drop_lapsed,
             self._probes.run,
-            self._crashes.checks.run,
+            self._crash_detection.checks.run,
             self._quarantine_store.run,
             self._peer_configurations.run,
             self._exchange.run,
@@ -316,7 +320,7 @@
         self._stalls.forget(endpoint_id)
         self._reachability.forget(endpoint_id)
         self._limits.forget(endpoint_id)
-        self._crashes.checks.on_restarted(endpoint_id)
+        self._crash_detection.checks.on_restarted(endpoint_id)
 
     def _schedule_exchange(self) -> None:
         """Send urgent updates to the peers without waiting for the next regular exchange."""
@@ -331,16 +335,12 @@
         return self._has_full_state() and not self._stop_plan.has_begun
 
     def _endpoint_pause_s(self) -> float:
-        """Return how long endpoint changes are batched; a coordinator's work waits for each batch.
-
-        Before the first request all endpoints appear one by one, and a host that does not follow
-        the store for other hosts has no use for them yet.
-        """
+        """Return how long endpoint changes are batched; a coordinator waits for each batch."""
         store = self._settings.store
         is_before_traffic = self._is_before_traffic()
         if is_before_traffic and not self._duty.has_duty():
             return BEFORE_TRAFFIC_PAUSE_S
-        needs_changes_soon = is_before_traffic or self._coordinator.is_holding
+        needs_changes_soon = is_before_traffic or self._coordinator.holds_lease
         pause_ms = store.coordinator_pause_ms if needs_changes_soon else store.endpoint_pause_ms
         return pause_ms / 1000
 
@@ -350,9 +350,9 @@
 
     def _follow_status(self) -> FollowStatus:
         followers = (self._configuration_follower, self._endpoint_follower)
-        is_answered = all(follower.is_answered for follower in followers)
+        is_answered = all(follower.has_latest_response for follower in followers)
         return FollowStatus(
-            is_answered and not self._stop_plan.has_begun, self._coordinator.is_holding
+            is_answered and not self._stop_plan.has_begun, self._coordinator.holds_lease
         )
 
     def _caller_limits(self) -> CallerLimits:
--- a/yewloom/entry_servers.py
+++ b/yewloom/entry_servers.py
@@ -93,7 +93,7 @@
 
     async def _respond_to_operator(self, request: CallerRequest, response: ResponseWriter) -> None:
         if self._quarantine_page.handles(request):
-            await self._quarantine_page.answer(request, response)
+            await self._quarantine_page.handle(request, response)
             return
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
         await response.send_complete(200, headers, generate_latest(self._metrics.registry))
--- a/yewloom/exchange.py
+++ b/yewloom/exchange.py
@@ -60,12 +60,14 @@
     node: Node, request: ExchangeRequest, response: ExchangeResponse, now_s: float
 ) -> None:
     """Add the shares to the response to a peer in the same data centre, and loans to it."""
-    node.obeyed_shares[request.share_state.instance] = request.share_state.obeyed_generation
+    node.applied_share_generations[request.share_state.instance] = (
+        request.share_state.obeyed_generation
+    )
     response.share_state.CopyFrom(node.share_state(now_s))
     if node.shares.record.generation > request.shares_generation:
         response.shares.CopyFrom(node.shares.record)
     in_flight = node.admission.in_flight_by_customer()
-    response.loans.extend(node.shares.lend(request.share_state, in_flight, now_s))
+    response.loans.extend(node.shares.create_loans(request.share_state, in_flight, now_s))
 
 
 def apply_response(
@@ -78,7 +80,9 @@
     node.fleet.merge_groups(response.groups, requested_s)
     node.fleet.merge_services(response.services, requested_s)
     if response.responder.data_centre == node.data_centre:
-        node.obeyed_shares[response.share_state.instance] = response.share_state.obeyed_generation
+        node.applied_share_generations[response.share_state.instance] = (
+            response.share_state.obeyed_generation
+        )
         node.shares.apply(response.shares)
         node.shares.add_loans(response.loans, requested_s)
     return response.table_digest != node.table.digest
@@ -93,14 +97,14 @@
     """Return the rows that a peer may lack; none if the request is malformed."""
     if len(request.bucket_digests) != BUCKET_COUNT:
         return FetchRowsResponse()
-    return FetchRowsResponse(rows=node.table.rows_where_different(request.bucket_digests))
+    return FetchRowsResponse(rows=node.table.rows_in_differing_buckets(request.bucket_digests))
 
 
 def apply_rows(node: Node, rows: Iterable[VersionedRow], source: str) -> None:
     """Apply newer rows; ignore older ones."""
     for row in rows:
         if node.table.apply(row):
-            node.has_table = True
+            node.is_table_loaded = True
             logger.info("row applied", row=row.name, version=row.version, source=source)
 
 
--- a/yewloom/fleet.py
+++ b/yewloom/fleet.py
@@ -117,27 +117,27 @@
             if endpoint.service == service and self._is_service_open(endpoint, now_s)
         ]
 
-    def on_host_answered(self, host_id: HostId, report: HostReport, asked_s: float) -> None:
+    def on_host_answered(self, host_id: HostId, report: HostReport, requested_s: float) -> None:
         """Record a model engine's answer to a probe by this host."""
         known = self._hosts.get(host_id, HostObservation())
-        if asked_s >= known.asked_s:
-            self._hosts[host_id] = known.answered(report, asked_s)
+        if requested_s >= known.requested_s:
+            self._hosts[host_id] = known.answered(report, requested_s)
 
-    def on_host_failed(self, host_id: HostId, asked_s: float) -> None:
+    def on_host_failed(self, host_id: HostId, requested_s: float) -> None:
         """Record that a probe of a model engine by this host failed."""
         known = self._hosts.get(host_id, HostObservation())
-        self._hosts[host_id] = known.failed(asked_s, self._missing_after_s)
+        self._hosts[host_id] = known.failed(requested_s, self._missing_after_s)
 
-    def on_service_answered(self, host_id: HostId, report: HostReport, asked_s: float) -> None:
+    def on_service_answered(self, host_id: HostId, report: HostReport, requested_s: float) -> None:
         """Record a plain service's answer to a probe by this host."""
         known = self._services.get(host_id, HostObservation())
-        if asked_s >= known.asked_s:
-            self._services[host_id] = known.answered(report, asked_s)
+        if requested_s >= known.requested_s:
+            self._services[host_id] = known.answered(report, requested_s)
 
-    def on_service_failed(self, host_id: HostId, asked_s: float) -> None:
+    def on_service_failed(self, host_id: HostId, requested_s: float) -> None:
         """Record that a probe of a plain service by this host failed."""
         known = self._services.get(host_id, HostObservation())
-        self._services[host_id] = known.failed(asked_s, self._missing_after_s)
+        self._services[host_id] = known.failed(requested_s, self._missing_after_s)
 
     def aggregate_probes(self, group: Group, now_s: float) -> None:
         """Aggregate this host's own probes of a group's members into an observation."""
@@ -147,17 +147,19 @@
         """Close a group after a failed call until all members have answered a later probe."""
         self._call_failed_s[group_id] = now_s
 
-    def merge_groups(self, reports: Iterable[GroupReport], asked_s: float) -> None:
-        """Merge a peer's group reports; ``asked_s`` is the time before the peer was queried."""
+    def merge_groups(self, reports: Iterable[GroupReport], requested_s: float) -> None:
+        """Merge a peer's group reports; ``requested_s`` is the time before the peer was queried."""
         for report in reports:
             if report.group_id in self._placed_groups:
-                self._merge(_observation_from(report, asked_s), asked_s)
+                self._merge(_observation_from(report, requested_s), requested_s)
 
-    def merge_services(self, reports: Iterable[ServiceReport], asked_s: float) -> None:
+    def merge_services(self, reports: Iterable[ServiceReport], requested_s: float) -> None:
         """Merge a peer's reports of plain services."""
         for report in reports:
             seen = HostReport(host_id=report.host_id, leaving=report.leaving)
-            self.on_service_answered(HostId(report.host_id), seen, asked_s - report.age_ms / 1000)
+            self.on_service_answered(
+                HostId(report.host_id), seen, requested_s - report.age_ms / 1000
+            )
 
     def group_reports(self, now_s: float) -> list[GroupReport]:
         """Return the group reports for peers, with ages instead of times."""
@@ -171,7 +173,9 @@
         """Return the reports of plain services for peers."""
         return [
             ServiceReport(
-                host_id=host_id, age_ms=_age_ms(known.asked_s, now_s), leaving=_is_leaving(known)
+                host_id=host_id,
+                age_ms=_age_ms(known.requested_s, now_s),
+                leaving=_is_leaving(known),
             )
             for host_id, known in self._services.items()
             if known.report is not None
@@ -229,11 +233,11 @@
     )
 
 
-def _observation_from(report: GroupReport, asked_s: float) -> GroupObservation:
+def _observation_from(report: GroupReport, requested_s: float) -> GroupObservation:
     return GroupObservation(
         group_id=GroupId(report.group_id),
         generation=report.generation,
-        observed_s=asked_s - report.age_ms / 1000 if report.age_ms >= 0 else float("-inf"),
+        observed_s=requested_s - report.age_ms / 1000 if report.age_ms >= 0 else float("-inf"),
         ready=report.ready,
         failed=report.failed,
         leaving=report.leaving,
--- a/yewloom/followers.py
+++ b/yewloom/followers.py
@@ -82,7 +82,7 @@
         self._relist_event = trio.Event()
 
     @property
-    def is_answered(self) -> bool:
+    def has_latest_response(self) -> bool:
         """Return whether the platform answered the latest call."""
         return not self._failures
 
--- a/yewloom/forward_metrics.py
+++ b/yewloom/forward_metrics.py
@@ -63,7 +63,7 @@
         """Count a call to the store that has ended."""
         self._store_calls.labels(call, kind, answer).inc()
 
-    def on_log_line_lost(self) -> None:
+    def on_log_line_dropped(self) -> None:
         """Count a log line that was dropped."""
         self._log_lines_lost.inc()
 
--- a/yewloom/forward_parts.py
+++ b/yewloom/forward_parts.py
@@ -30,30 +30,30 @@
     """
 
     bounds: ServingBounds
-    codec: HeaderCodec
+    header_codec: HeaderCodec
     metrics: ForwardMetrics
     configuration_state: ConfigurationState
     directory: EndpointDirectory
     selector: Selector
     stalls: StallDetector
     reachability: Reachability
-    stop: PlannedStop
+    planned_stop: PlannedStop
     loop_delay: LoopDelayMonitor
-    crashes: CrashDetection
+    crash_detection: CrashDetection
     limits: EndpointLimits
     retry_extra: Callable[[], float]
 
 
 def build_forwarder(components: ForwarderComponents) -> Forwarder:
     """Return a forwarder built from these components."""
-    bounds, quarantine = components.bounds, components.crashes.quarantine
+    bounds, quarantine = components.bounds, components.crash_detection.quarantine
     retries = RetryBudget(bounds.retry_ratio, bounds.retry_window_s, components.retry_extra)
     chooser = EndpointChooser(
-        components.selector, retries, components.stop, quarantine, components.limits
+        components.selector, retries, components.planned_stop, quarantine, components.limits
     )
     return Forwarder(
         components.configuration_state,
-        components.codec,
+        components.header_codec,
         components.selector,
         retries,
         _build_attempt_runner(components, chooser),
@@ -69,15 +69,15 @@
     components: ForwarderComponents, chooser: EndpointChooser
 ) -> EndpointAttemptRunner:
     return EndpointAttemptRunner(
-        components.codec,
+        components.header_codec,
         components.selector,
         components.stalls,
         components.metrics,
         components.reachability,
         chooser,
         components.loop_delay,
-        components.crashes.record,
-        components.crashes.checks,
+        components.crash_detection.record,
+        components.crash_detection.checks,
         components.limits,
     )
 
--- a/yewloom/forward_request.py
+++ b/yewloom/forward_request.py
@@ -31,14 +31,14 @@
 class ForwardRequest:
     """A request that is being forwarded; times are seconds of trio's clock.
 
-    ``reply`` writes the response to the caller. ``response`` is the final response of an endpoint,
-    if it is not a stream, once it has arrived. ``quarantine_count`` is the number of times that the
-    request had been quarantined when it was admitted. ``reserved_endpoint`` gets the request after
-    it has abandoned its current endpoint.
+    ``response_writer`` writes the response to the caller. ``response`` is the final response of an
+    endpoint, if it is not a stream, once it has arrived. ``quarantine_count`` is the number of
+    times that the request had been quarantined when it was admitted. ``reserved_endpoint`` gets the
+    request after it has abandoned its current endpoint.
     """
 
     caller_request: CallerRequest
-    reply: ResponseWriter
+    response_writer: ResponseWriter
     metadata: RequestMetadata
     configuration: Configuration
     route: Route
--- a/yewloom/forwarding.py
+++ b/yewloom/forwarding.py
@@ -84,35 +84,37 @@
             configuration_state, codec, selector, key_trust, is_ready, quarantine
         )
 
-    async def handle(self, caller_request: CallerRequest, reply: ResponseWriter) -> None:
+    async def handle(self, caller_request: CallerRequest, response_writer: ResponseWriter) -> None:
         """Answer one request."""
         request = metadata = None
         try:
             metadata = self._admission.decode_metadata(caller_request)
-            request = self._admission.admit(caller_request, reply, metadata)
+            request = self._admission.admit(caller_request, response_writer, metadata)
             self._admission.check_quarantine(request)
             self._retries.on_request(request.requirements.service, caller_request.read_s)
             outcome = await self._forward(request)
         except Refusal as refusal:
             outcome = refusal.reason
-            await self._send_refusal(reply, refusal)
+            await self._send_refusal(response_writer, refusal)
         except (CallerDisconnectedError, trio.Cancelled):
             # A caller that closes right after it received the complete response has been served.
-            is_served = request is not None and request.record.is_answered and reply.is_complete
+            is_served = (
+                request is not None and request.record.is_answered and response_writer.is_complete
+            )
             outcome = ANSWERED if is_served else "caller gone"
-            self._record_outcome(caller_request, metadata, request, reply, outcome)
+            self._record_outcome(caller_request, metadata, request, response_writer, outcome)
             raise
-        self._record_outcome(caller_request, metadata, request, reply, outcome)
+        self._record_outcome(caller_request, metadata, request, response_writer, outcome)
 
-    async def reject(self, caller_request: CallerRequest, reply: ResponseWriter) -> None:
+    async def reject(self, caller_request: CallerRequest, response_writer: ResponseWriter) -> None:
         """Refuse a request that arrived after the host stopped accepting requests."""
         metadata, outcome = None, STOPPING
         try:
             metadata = self._admission.decode_metadata(caller_request)
         except Refusal as refusal:
             outcome = f"{STOPPING}; {refusal.reason}"
-        await self._send_refusal(reply, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
-        self._record_outcome(caller_request, metadata, None, reply, outcome)
+        await self._send_refusal(response_writer, Refusal(503, STOPPING, STOPPING_RETRY_AFTER_S))
+        self._record_outcome(caller_request, metadata, None, response_writer, outcome)
 
     def end_oldest(self, max_requests: int = sys.maxsize) -> bool:
         """End up to ``max_requests`` open requests, oldest first; each gets its final response.
@@ -132,8 +134,10 @@
         # Outside the time limit: a response that has arrived is sent even if time has run out.
         if request.response is not None:
             response = request.response
-            await request.reply.send_complete(response.status, response.headers, response.body)
-        if request.reply.is_complete:
+            await request.response_writer.send_complete(
+                response.status, response.headers, response.body
+            )
+        if request.response_writer.is_complete:
             return ANSWERED
         return await self._send_failure(request)
 
@@ -165,19 +169,19 @@
 
     async def _send_failure(self, request: ForwardRequest) -> str:
         """Send the final response to a request that no endpoint answered; return the outcome."""
-        if request.reply.is_started:
+        if request.response_writer.is_started:
             return "cut off"  # The stream is left unfinished, so that it can't look complete.
         is_out_of_time = trio.current_time() >= request.deadline_s
         match request.record.failure_response(is_out_of_time):
             case FailureResponse.REFUSED:
                 refusal = self._build_refusal(request)
-                await self._send_refusal(request.reply, refusal)
+                await self._send_refusal(request.response_writer, refusal)
                 return refusal.reason
             case FailureResponse.MAY_HAVE_RUN:
-                await request.reply.send_complete(502, [], b"")
+                await request.response_writer.send_complete(502, [], b"")
                 return "may have run"
             case FailureResponse.TIMED_OUT:
-                await request.reply.send_complete(504, [], b"")
+                await request.response_writer.send_complete(504, [], b"")
                 return "out of time"
 
     def _build_refusal(self, request: ForwardRequest) -> Refusal:
@@ -189,18 +193,18 @@
             return Refusal(503, LIMITED, math.ceil(limit_wait_s * 100) / 100)
         return Refusal(503, "no endpoint free", RETRY_AFTER_S)
 
-    async def _send_refusal(self, reply: ResponseWriter, refusal: Refusal) -> None:
+    async def _send_refusal(self, response_writer: ResponseWriter, refusal: Refusal) -> None:
         headers: list[Header] = []
         if refusal.retry_after_s is not None:
             headers.append((b"retry-after", f"{refusal.retry_after_s:g}".encode()))
-        await reply.send_complete(refusal.status, headers, b"")
+        await response_writer.send_complete(refusal.status, headers, b"")
 
     def _record_outcome(
         self,
         caller_request: CallerRequest,
         metadata: RequestMetadata | None,
         request: ForwardRequest | None,
-        reply: ResponseWriter,
+        response_writer: ResponseWriter,
         outcome: str,
     ) -> None:
         """Log the outcome of a request in one line, and record outcome and duration as metrics."""
@@ -209,13 +213,13 @@
         if request is not None and outcome == ANSWERED:
             self._chooser.durations.record(request.route.name, now_s - caller_request.read_s)
         kind = request.route.kind.value if request is not None else "none"
-        self._metrics.on_request(kind, reply.status, outcome, took_ms / 1000)
+        self._metrics.on_request(kind, response_writer.status, outcome, took_ms / 1000)
         logger.info(
             "request",
             request_id=metadata.request_id if metadata is not None else "",
             route=request.route.name if request is not None else caller_request.path,
             outcome=outcome,
-            status=reply.status,
+            status=response_writer.status,
             took_ms=took_ms,
             waited_ms=round((caller_request.read_s - caller_request.arrived_s) * 1000),
             first_ms=_first_event_ms(caller_request, request),
--- a/yewloom/groups.py
+++ b/yewloom/groups.py
@@ -25,30 +25,30 @@
 class HostObservation:
     """One entry host's observation of an endpoint from its own probes.
 
-    ``asked_s`` is the time before the last answered probe was sent, so the age of the report is
+    ``requested_s`` is the time before the last answered probe was sent, so the age of the report is
     never understated. ``failing_since_s`` is the time of the first failed probe since then and
     ``failed_s`` that of the last; a pause in probing restarts this interval.
     """
 
     report: HostReport | None = None
-    asked_s: float = NEVER_S
+    requested_s: float = NEVER_S
     failing_since_s: float | None = None
     failed_s: float = NEVER_S
 
-    def answered(self, report: HostReport, asked_s: float) -> "HostObservation":
+    def answered(self, report: HostReport, requested_s: float) -> "HostObservation":
         """Return the observation after an answered probe."""
-        return HostObservation(report, asked_s)
+        return HostObservation(report, requested_s)
 
-    def failed(self, asked_s: float, longest_pause_s: float) -> "HostObservation":
+    def failed(self, requested_s: float, longest_pause_s: float) -> "HostObservation":
         """Return the observation after a failed probe."""
         since = self.failing_since_s
-        if since is None or asked_s - self.failed_s > longest_pause_s:
-            since = asked_s
-        return replace(self, failing_since_s=since, failed_s=max(asked_s, self.failed_s))
+        if since is None or requested_s - self.failed_s > longest_pause_s:
+            since = requested_s
+        return replace(self, failing_since_s=since, failed_s=max(requested_s, self.failed_s))
 
     def is_fresh(self, now_s: float, freshness_s: float) -> bool:
         """Return whether the endpoint answered within the freshness bound."""
-        return now_s - self.asked_s <= freshness_s
+        return now_s - self.requested_s <= freshness_s
 
 
 @value_class
@@ -91,7 +91,7 @@
     return GroupObservation(
         group_id=GroupId(group.id),
         generation=group.generation,
-        observed_s=min((known.asked_s for known in seen.values()), default=NEVER_S),
+        observed_s=min((known.requested_s for known in seen.values()), default=NEVER_S),
         ready=ready,
         was_ready=ready,
         failed=any(_has_state(report, EngineState.FAILED) for report in placed.values()),
--- a/yewloom/idempotency.py
+++ b/yewloom/idempotency.py
@@ -14,7 +14,7 @@
 
 
 @value_class
-class StoredAnswer:
+class StoredResponse:
     """A complete response that can be returned again for the same key."""
 
     status: int
@@ -33,8 +33,8 @@
         self._new_attempt = new_attempt
 
     async def run(
-        self, key: IdempotencyKey, run: Callable[[], Awaitable[StoredAnswer]]
-    ) -> StoredAnswer:
+        self, key: IdempotencyKey, run: Callable[[], Awaitable[StoredResponse]]
+    ) -> StoredResponse:
         """Run a request, or return the stored response of its earlier run; may raise Problem."""
         claim = ClaimRequest(key, self._new_attempt(), self._holder)
         earlier = await self.claim(claim)
@@ -49,7 +49,7 @@
         self.store_result(claim, ClaimState.DONE, response)
         return response
 
-    async def claim(self, claim: ClaimRequest) -> StoredAnswer | None:
+    async def claim(self, claim: ClaimRequest) -> StoredResponse | None:
         """Claim a key; return the stored response if its request has already run.
 
         Raise Problem if the request must not run.
@@ -65,7 +65,7 @@
                 )
 
     def store_result(
-        self, claim: ClaimRequest, state: ClaimState, response: StoredAnswer | None = None
+        self, claim: ClaimRequest, state: ClaimState, response: StoredResponse | None = None
     ) -> None:
         """Store the result of a claimed request."""
         result = ClaimResult(claim.key, claim.attempt, state)
@@ -81,14 +81,16 @@
         self._claims.store_result(result)
 
 
-def _check_verdict(answer: ClaimAnswer) -> StoredAnswer | None:
+def _check_verdict(answer: ClaimAnswer) -> StoredResponse | None:
     if answer.verdict is Verdict.RUN:
         return None
     if answer.verdict is Verdict.FULL:
         raise overloaded_problem("The record of idempotency keys is full.", 5.0)
     assert answer.earlier is not None
     if answer.verdict is Verdict.ANSWERED:
-        return StoredAnswer(answer.earlier.status, answer.earlier.content_type, answer.earlier.body)
+        return StoredResponse(
+            answer.earlier.status, answer.earlier.content_type, answer.earlier.body
+        )
     raise _conflict_problem(answer.earlier)
 
 
--- a/yewloom/key_trust.py
+++ b/yewloom/key_trust.py
@@ -23,7 +23,7 @@
 class KeyTrust:
     """Decides by the configuration's age whether keys may be accepted or refused.
 
-    If ``needs_proof`` is true, as in strict deployments, keys are accepted only while the
+    If ``requires_confirmation`` is true, as in strict deployments, keys are accepted only while the
     configuration is confirmed to be recent enough.
     """
 
@@ -32,18 +32,18 @@
         configuration_state: ConfigurationState,
         key_revocation_s: float,
         configuration_apply_s: float,
-        needs_proof: bool,
+        requires_confirmation: bool,
     ) -> None:
         self._configuration_state = configuration_state
         self._confirmation_ttl_s = key_revocation_s * CONFIRMATION_FRACTION
         self._configuration_apply_s = configuration_apply_s
-        self._needs_proof = needs_proof
+        self._requires_confirmation = requires_confirmation
 
     def may_accept(self, now_s: float) -> bool:
         """Return whether a known key may be accepted."""
         if self._configuration_state.age_s(now_s) <= self._confirmation_ttl_s:
             return True
-        return not self._needs_proof and not self._configuration_state.is_outdated
+        return not self._requires_confirmation and not self._configuration_state.is_outdated
 
     def may_refuse_permanently(self, now_s: float) -> bool:
         """Return whether an unknown route or key may be refused permanently."""
--- a/yewloom/limits.py
+++ b/yewloom/limits.py
@@ -76,7 +76,7 @@
         remaining = self._own_limit(customer) - _sum_current(self._lent, customer, now_s)
         return max(0, remaining) + _sum_current(self._borrowed, customer, now_s)
 
-    def state(
+    def build_state(
         self,
         in_flight: Mapping[CustomerId, int],
         demand: Mapping[CustomerId, int],
@@ -103,7 +103,7 @@
             if shortfall > 0:
                 yield CustomerDemand(customer=customer, demand=shortfall)
 
-    def lend(
+    def create_loans(
         self, peer_state: ShareState, in_flight: Mapping[CustomerId, int], now_s: float
     ) -> list[Loan]:
         """Lend another entry host capacity that it lacks and this one does not use."""
--- a/yewloom/metrics.py
+++ b/yewloom/metrics.py
@@ -22,7 +22,9 @@
         self.retries = Counter(
             "yewloom_retries", "Calls sent again, by step.", ["step"], registry=self.registry
         )
-        self.tokens = Counter("yewloom_tokens", "Tokens passed to callers.", registry=self.registry)
+        self.delivered_tokens = Counter(
+            "yewloom_tokens", "Tokens passed to callers.", registry=self.registry
+        )
         self.first_token_s = Histogram(
             "yewloom_first_token_seconds",
             "Time from arrival to the first token.",
@@ -43,7 +45,7 @@
         self.queued = Gauge(
             "yewloom_requests_queued", "Requests that wait.", registry=self.registry
         )
-        self.open_groups = Gauge(
+        self.accepting_groups = Gauge(
             "yewloom_open_groups", "Groups that may take new work.", registry=self.registry
         )
         self.is_coordinator = Gauge(
--- a/yewloom/model_need.py
+++ b/yewloom/model_need.py
@@ -64,7 +64,9 @@
 
 def configured_demand(profile: EngineProfile) -> dict[ModelName, float]:
     """Return the demand in replicas that follows from the configured shares of the hosts."""
-    return {model.name: model.share / model.group_size for model in profile.models.values()}
+    return {
+        model.name: model.initial_host_share / model.group_size for model in profile.models.values()
+    }
 
 
 class DemandMeter:
--- a/yewloom/node.py
+++ b/yewloom/node.py
@@ -50,11 +50,11 @@
     rng: random.Random
     work: WorkTracker = field(default_factory=WorkTracker)
     loop_delay: LoopDelayMonitor = field(default_factory=LoopDelayMonitor)
-    has_table: bool = False
+    is_table_loaded: bool = False
     experiments: defaultdict[str, ExperimentRecord] = field(
         default_factory=lambda: defaultdict(ExperimentRecord)
     )
-    obeyed_shares: dict[str, int] = field(default_factory=dict)
+    applied_share_generations: dict[str, int] = field(default_factory=dict)
 
     @property
     def id(self) -> EntryHostId:
@@ -79,7 +79,7 @@
     def share_state(self, now_s: float) -> ShareState:
         """Return the use of shares on this host, for its peers; reset the counted demand."""
         demand = dict.fromkeys(self.table.customers(), 0) | self.admission.read_and_reset_demand()
-        return self.shares.state(self.admission.in_flight_by_customer(), demand, now_s)
+        return self.shares.build_state(self.admission.in_flight_by_customer(), demand, now_s)
 
     @property
     def accepts_requests(self) -> bool:
@@ -88,14 +88,14 @@
         During a planned stop they are still accepted for some time after ``is_ready``, which is
         reported to the load balancer, has become false.
         """
-        return self.has_table and self.work.phase is not Phase.CLOSED
+        return self.is_table_loaded and self.work.phase is not Phase.CLOSED
 
     @property
     def is_ready(self) -> bool:
         """Return whether the load balancer may send requests to this host."""
-        return self.has_table and not self.work.is_leaving
+        return self.is_table_loaded and not self.work.is_stopping
 
-    def start_leaving(self) -> None:
+    def begin_stop(self) -> None:
         """Begin a planned stop: announce it to the load balancer and peers.
 
         Requests are still accepted.
--- a/yewloom/observers.py
+++ b/yewloom/observers.py
@@ -63,22 +63,22 @@
         return self._node.membership.has_duty(duty, count, trio.current_time())
 
     async def _probe_member(self, member: GroupMember) -> None:
-        asked_s = trio.current_time()
+        requested_s = trio.current_time()
         host_id = HostId(member.host_id)
         match await self._endpoints.probe(member.address):
             case Ok(report):
-                self._node.fleet.on_host_answered(host_id, report, asked_s)
+                self._node.fleet.on_host_answered(host_id, report, requested_s)
             case Err():
-                self._node.fleet.on_host_failed(host_id, asked_s)
+                self._node.fleet.on_host_failed(host_id, requested_s)
 
     async def _probe_service(self, endpoint: ServiceEndpoint) -> None:
-        asked_s = trio.current_time()
+        requested_s = trio.current_time()
         host_id = HostId(endpoint.host_id)
         match await self._endpoints.probe(endpoint.address):
             case Ok(report):
-                self._node.fleet.on_service_answered(host_id, report, asked_s)
+                self._node.fleet.on_service_answered(host_id, report, requested_s)
             case Err():
-                self._node.fleet.on_service_failed(host_id, asked_s)
+                self._node.fleet.on_service_failed(host_id, requested_s)
 
     def _apply_cache_events(self, group: Group) -> None:
         known = self._node.fleet.hosts.get(HostId(group.members[0].host_id))
--- a/yewloom/own_state.py
+++ b/yewloom/own_state.py
@@ -7,7 +7,7 @@
 from yewloom.follow_duty import FollowStatus
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import DataCentreId, EntryHostId
-from yewloom.peer_topics import PeerTopic
+from yewloom.peer_topics import PeerMessageExtension
 from yewloom.schema.entry_pb2 import EndpointLoad, EntryState, GroupMovement
 from yewloom.selection import Selector
 from yewloom.stalls import StallDetector
@@ -34,9 +34,9 @@
         stalls: StallDetector,
         followed_endpoints: FollowedPosition,
         status: Callable[[], FollowStatus],
-        topics: Sequence[PeerTopic],
+        extensions: Sequence[PeerMessageExtension],
     ) -> None:
-        self._topics = topics
+        self._extensions = extensions
         self._process = process
         self._configuration_state = configuration_state
         self._selector = selector
@@ -71,6 +71,6 @@
             is_coordinator=status.is_coordinator,
             listing=self._followed_endpoints.report(now_s),
         )
-        for topic in self._topics:
+        for topic in self._extensions:
             topic.add_fields(state, now_s)
         return state
--- a/yewloom/peer_configurations.py
+++ b/yewloom/peer_configurations.py
@@ -71,7 +71,7 @@
         self._receiver = receiver
         self._addresses_with_version = addresses_with_version
 
-    async def answer(self, request: CallerRequest, response: ResponseWriter) -> None:
+    async def handle_request(self, request: CallerRequest, response: ResponseWriter) -> None:
         """Respond to a peer's request with the configuration in its stored form."""
         stored = self._receiver.latest
         if stored is None:
--- a/yewloom/peer_intake.py
+++ b/yewloom/peer_intake.py
@@ -9,8 +9,8 @@
 from yewloom.followed_position import FollowedPosition
 from yewloom.ids import HostId
 from yewloom.listed_endpoints import ChangedEndpoints, decode_changes
-from yewloom.peer_reports import PeerReports
-from yewloom.peer_topics import PeerTopic
+from yewloom.peer_reports import PeerReportHandler
+from yewloom.peer_topics import PeerMessageExtension
 from yewloom.schema.entry_pb2 import EndpointChanges, EntryMessage, EntryState
 
 logger = structlog.get_logger(__name__)
@@ -28,11 +28,11 @@
         configuration_state: ConfigurationState,
         followed_endpoints: FollowedPosition,
         apply_changes: Callable[[ChangedEndpoints], None],
-        reports: PeerReports,
+        reports: PeerReportHandler,
         read_configuration: Callable[[], None],
-        topics: Sequence[PeerTopic],
+        extensions: Sequence[PeerMessageExtension],
     ) -> None:
-        self._topics = topics
+        self._extensions = extensions
         self._peer_states = peer_states
         self._configuration_state = configuration_state
         self._followed_endpoints = followed_endpoints
@@ -66,7 +66,7 @@
             self._reports.on_unreachable(HostId(leader), arrived_s)
         for group in state.moving:
             self._reports.on_progress(HostId(group.leader), group.age_ms / 1000, arrived_s)
-        for topic in self._topics:
+        for topic in self._extensions:
             topic.process(state, arrived_s, now_s)
 
     def _process_configuration(self, confirmed: ConfirmedConfiguration) -> None:
--- a/yewloom/peer_reports.py
+++ b/yewloom/peer_reports.py
@@ -5,7 +5,7 @@
 from yewloom.stalls import STALLED_AVOIDANCE_S, StallDetector
 
 
-class PeerReports:
+class PeerReportHandler:
     """Makes the selector avoid reported groups for a time, and informs the stall detector."""
 
     def __init__(self, stalls: StallDetector, selector: Selector) -> None:
--- a/yewloom/peer_topics.py
+++ b/yewloom/peer_topics.py
@@ -5,7 +5,7 @@
 from yewloom.schema.entry_pb2 import EntryState
 
 
-class PeerTopic(Protocol):
+class PeerMessageExtension(Protocol):
     """A component with its own fields in the messages sent to peers and received from them."""
 
     def add_fields(self, state: EntryState, now_s: float) -> None:
--- a/yewloom/planned_stop.py
+++ b/yewloom/planned_stop.py
@@ -73,11 +73,11 @@
         self.stops_accepting_s = requested_s - unnoticed_s + deregistration_s
         self._reserve_for_exit(EXIT_MARGIN_S)
 
-    def add_delay(self, late_s: float) -> None:
+    def add_delay(self, delay_s: float) -> None:
         """Record a scheduling delay of the process; after long delays it exits earlier."""
         if self.has_begun:
             max_s = self._grace_s * (1 - PROTECTED_WORK_SHARE) - FINAL_RESPONSES_MARGIN_S
-            self._reserve_for_exit(min(late_s * EXIT_DELAY_FACTOR, MAX_EXIT_MARGIN_S, max_s))
+            self._reserve_for_exit(min(delay_s * EXIT_DELAY_FACTOR, MAX_EXIT_MARGIN_S, max_s))
 
     def _reserve_for_exit(self, margin_s: float) -> None:
         """Reserve time for the exit of the process; a smaller margin than before has no effect."""
--- a/yewloom/platform/headers.py
+++ b/yewloom/platform/headers.py
@@ -61,20 +61,20 @@
             last_event_id=_integer_header(values, _LAST_EVENT_ID) or 0,
         )
 
-    def request_headers(
-        self, headers: Sequence[Header], sending: ForwardingMetadata
+    def build_request_headers(
+        self, headers: Sequence[Header], metadata: ForwardingMetadata
     ) -> list[Header]:
         """Return the headers of a request to forward to an endpoint."""
         dropped = _listed_in_connection(headers) | _HOP_BY_HOP | _NOT_FROM_CALLER
-        if sending.last_event_id is not None:
+        if metadata.last_event_id is not None:
             dropped |= {_LAST_EVENT_ID}
         forwarded = [header for header in headers if header[0] not in dropped]
-        forwarded.append((DEADLINE_HEADER, str(sending.deadline_ms).encode()))
-        forwarded.append((_EXPECTED_ENDPOINT, sending.endpoint.encode()))
-        if sending.customer is not None:
-            forwarded.append((_CUSTOMER, sending.customer.encode()))
-        if sending.last_event_id is not None:
-            forwarded.append((_LAST_EVENT_ID, str(sending.last_event_id).encode()))
+        forwarded.append((DEADLINE_HEADER, str(metadata.deadline_ms).encode()))
+        forwarded.append((_EXPECTED_ENDPOINT, metadata.endpoint.encode()))
+        if metadata.customer is not None:
+            forwarded.append((_CUSTOMER, metadata.customer.encode()))
+        if metadata.last_event_id is not None:
+            forwarded.append((_LAST_EVENT_ID, str(metadata.last_event_id).encode()))
         return forwarded
 
     def decode_response(self, head: ResponseHead) -> ResponseMetadata:
@@ -87,7 +87,7 @@
             limit=_announced_limit(head),
         )
 
-    def response_headers(self, head: ResponseHead) -> list[Header]:
+    def build_response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the headers of a response to forward to the caller, without framing headers."""
         dropped = _listed_in_connection(head.headers) | _HOP_BY_HOP | {b"content-length"}
         return [header for header in head.headers if header[0] not in dropped]
--- a/yewloom/platform/program.py
+++ b/yewloom/platform/program.py
@@ -85,7 +85,7 @@
     signals = ProcessSignals(early_signals)
     signals.listen()
     metrics = ForwardMetrics()
-    sink = LogSink(sys.stdout.fileno(), metrics.on_log_line_lost)
+    sink = LogSink(sys.stdout.fileno(), metrics.on_log_line_dropped)
     match read_entry_settings(path):
         case Err(error):
             configure_logs("info", sink)
--- a/yewloom/platform/records.py
+++ b/yewloom/platform/records.py
@@ -19,7 +19,7 @@
 from yewloom.writes import RecordError
 
 _ROUTE_KINDS = {
-    "idempotent": RouteKind.REPEATABLE,
+    "idempotent": RouteKind.RETRYABLE,
     "non_idempotent": RouteKind.UNSAFE,
     "stream": RouteKind.STREAM,
 }
@@ -93,9 +93,9 @@
         max_endpoints=int(fields.get("attempts") or 1),
         timeout_ms=int(fields["timeoutMs"]),
         # The wire field "sloMs": a response within this time earns its full credit.
-        objective_ms=int(fields.get("sloMs") or 0),
+        latency_objective_ms=int(fields.get("sloMs") or 0),
         priority=int(fields.get("priority") or 0),
-        is_open=bool(fields.get("anonymous")),
+        allows_anonymous=bool(fields.get("anonymous")),
         is_resumable=kind is RouteKind.STREAM and bool(fields.get("resumable")),
     )
 
@@ -110,11 +110,11 @@
         ReplicaModel(
             name=ModelName(item["name"]),
             group_size=int(item["size"]),
-            share=float(item.get("share") or 0),
-            pace=float(item.get("pace") or 1),
+            initial_host_share=float(item.get("share") or 0),
+            duration_factor=float(item.get("pace") or 1),
             load_s=float(item["loadS"]),
             # The wire field "warmupS" is the time to join a group once the weights are on the host.
-            warm_up_s=float(item["warmupS"]),
+            join_s=float(item["warmupS"]),
         )
         for item in fields.get("models") or []
     ]
--- a/yewloom/platform/standin_engine.py
+++ b/yewloom/platform/standin_engine.py
@@ -49,7 +49,7 @@
     processes were in.
 
     Callbacks: ``on_run`` gets each request, with its body, before it runs; ``on_join`` each order
-    to join before it is carried out; ``on_complete_answer`` each request whose response is
+    to join before it is carried out; ``on_response_complete`` each request whose response is
     complete; and ``on_group_left`` is called after each departure from a group.
 
     ``event_count`` returns the number of events of the response to a request, and
@@ -59,14 +59,14 @@
     name: str
     address: str
     service: str
-    domain: str
+    fabric_domain: str
     zone: str
     store: StoreStandIn
     staged: list[str] = field(default_factory=list)
     models: list[str] = field(default_factory=list)
     group: dict[str, Any] | None = None
     members: list[str] = field(default_factory=list)
-    sequence: int = 0
+    order_count: int = 0
     is_silent: bool = False
     is_cut_off_from_store: bool = False
     is_loading: bool = False
@@ -76,7 +76,7 @@
     orders: list[dict[str, Any]] = field(default_factory=list)
     groups_made_ready: set[tuple[str, int, tuple[str, ...]]] = field(default_factory=set)
     on_run: Callable[["UserEngineStandIn", Request, bytes], None] | None = None
-    on_complete_answer: Callable[[Request], None] | None = None
+    on_response_complete: Callable[[Request], None] | None = None
     on_join: Callable[["UserEngineStandIn", dict[str, Any]], None] | None = None
     on_group_left: Callable[["UserEngineStandIn"], None] | None = None
     event_count: Callable[[Request], int] = lambda request: DEFAULT_EVENT_COUNT
@@ -97,7 +97,7 @@
             self.groups_of_earlier_processes.add((self.group["name"], self.group["epoch"]))
         self.started_unix_ms += clock_step_ms
         self.group, self.members, self.models = None, [], []
-        self.sequence = 0
+        self.order_count = 0
         self.publish()
 
     def publish(self) -> None:
@@ -111,7 +111,7 @@
             "version": "v1",
             "slots": 13,
             "state": "ready",
-            "domain": self.domain,
+            "domain": self.fabric_domain,
             "models": [{"name": name, "version": 1, "adapters": []} for name in self.models],
             "staged": self.staged,
             "group": self.group,
@@ -125,7 +125,7 @@
         if request.headers.get("yewloom-expect-instance") != self.name:
             return Response(status_code=421)
         expected = order.get("expectedRev")
-        if expected is not None and expected != self.sequence:
+        if expected is not None and expected != self.order_count:
             return Response(status_code=409)
         if order["op"] == "join":
             return await self._join(order)
@@ -183,14 +183,14 @@
             self.publish()
 
     def _accept_order(self) -> Response:
-        self.sequence += 1
+        self.order_count += 1
         self.publish()
         return Response(status_code=202)
 
     async def _report(self, request: Request) -> Response:
         if self.is_silent:
             return Response(status_code=503)
-        report = {"phase": "both", "sequence": self.sequence, "queued": 0, "active": 0}
+        report = {"phase": "both", "sequence": self.order_count, "queued": 0, "active": 0}
         report |= {"utilization": self.is_loading}
         return JSONResponse(report | {"born": self.started_unix_ms, "group": self.group})
 
@@ -215,5 +215,5 @@
             await self.progress_enabled.wait()
             yield b"id: %d\ndata: %d\n\n" % (number, number)
             await trio.sleep(self.event_interval_s)
-        if self.on_complete_answer is not None:
-            self.on_complete_answer(request)
+        if self.on_response_complete is not None:
+            self.on_response_complete(request)
--- a/yewloom/platform/standin_store.py
+++ b/yewloom/platform/standin_store.py
@@ -28,11 +28,11 @@
     """Injected faults.
 
     Unless ``status`` is 0, every call that arrives gets a response with that status. With
-    ``loses_answers``, writes take effect but get an error response.
+    ``loses_responses``, writes take effect but get an error response.
     """
 
     status: int = 0
-    loses_answers: bool = False
+    loses_responses: bool = False
 
 
 class StoreStandIn:
@@ -167,7 +167,7 @@
 
     def _write(self, kind: str, name: str, spec: Any) -> Response:
         self.put(kind, name, spec)
-        if self.faults.loses_answers:
+        if self.faults.loses_responses:
             return Response(status_code=500)
         return JSONResponse(self._objects[kind][name])
 
--- a/yewloom/quarantine_page.py
+++ b/yewloom/quarantine_page.py
@@ -30,7 +30,7 @@
         """Return whether the path of a request belongs to this page."""
         return request.path == PATH or request.path.startswith(f"{PATH}/")
 
-    async def answer(self, request: CallerRequest, response: ResponseWriter) -> None:
+    async def handle(self, request: CallerRequest, response: ResponseWriter) -> None:
         """Send the list, or lift the quarantine of a request."""
         if request.method == b"GET" and request.path == PATH:
             await response.send_complete(200, _JSON, self._list_as_json())
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -66,14 +66,14 @@
         self._stalled_groups = StalledGroups(
             directory, stalls, parts.orders, self._state, loop_delay_s
         )
-        self._is_holding = False
+        self._holds_lease = False
         self._data_centres = 1
-        self.is_leaving = False
+        self.is_stopping = False
 
     @property
-    def is_holding(self) -> bool:
+    def holds_lease(self) -> bool:
         """Return whether this host is the coordinator now."""
-        return self._is_holding
+        return self._holds_lease
 
     async def run(self) -> None:
         """Coordinate until cancelled."""
@@ -85,23 +85,23 @@
 
     async def _coordinate(self, tasks: BackgroundTasks) -> None:
         """Acquire or renew the lease, and plan once if it is held."""
-        if self.is_leaving:
+        if self.is_stopping:
             self._set_holding(False, tasks)
             await self._lease.release()
-        elif self._is_holding or self._may_coordinate():
+        elif self._holds_lease or self._may_coordinate():
             await self._lease.run_due_action()
             # The host may have begun to stop while the store call was in progress.
-            self._set_holding(self._lease.holds() and not self.is_leaving, tasks)
-            if self._is_holding:
+            self._set_holding(self._lease.holds() and not self.is_stopping, tasks)
+            if self._holds_lease:
                 await self._step(tasks)
 
     def _set_holding(self, holds: bool, tasks: BackgroundTasks) -> None:
         """Start or stop coordinating, and discard what another coordinator may have changed."""
-        if holds == self._is_holding:
+        if holds == self._holds_lease:
             return
         tasks.cancel_all()
         logger.info("coordinator role changed", holds=holds, term=self._lease.term)
-        self._is_holding = holds
+        self._holds_lease = holds
         self._placement.invalidate()
         self._state.clear_observations()
         self._delivery.clear_order_counts()
--- a/yewloom/replica_lifecycle.py
+++ b/yewloom/replica_lifecycle.py
@@ -248,7 +248,7 @@
         limit_s = (model.load_s if model is not None else 0.0) + FORM_MARGIN_S
         members = [HostId(member.host_id) for member in group.members]
         if all(self._has_weights(member, group.model) for member in members):
-            limit_s = (model.warm_up_s if model is not None else 0.0) + FORM_MARGIN_S
+            limit_s = (model.join_s if model is not None else 0.0) + FORM_MARGIN_S
         if age_s > limit_s:
             self.retire(group, key, GroupIntent.REPLACING)
 
--- a/yewloom/request_admission.py
+++ b/yewloom/request_admission.py
@@ -58,7 +58,10 @@
             raise Refusal(400, str(error)) from error
 
     def admit(
-        self, caller_request: CallerRequest, reply: ResponseWriter, metadata: RequestMetadata
+        self,
+        caller_request: CallerRequest,
+        response_writer: ResponseWriter,
+        metadata: RequestMetadata,
     ) -> ForwardRequest:
         """Return a request with its route and customer, or raise Refusal."""
         configuration = self._configuration_state.current
@@ -66,9 +69,11 @@
             raise Refusal(503, "no configuration yet", NOT_READY_RETRY_AFTER_S)
         route = self._find_route(configuration, metadata.host, caller_request)
         customer = None
-        if configuration.requires_keys and not route.is_open:
+        if configuration.requires_keys and not route.allows_anonymous:
             customer = self._find_customer(configuration, metadata.api_key or "", caller_request)
-        return self._build(caller_request, reply, metadata, configuration, route, customer)
+        return self._build(
+            caller_request, response_writer, metadata, configuration, route, customer
+        )
 
     def check_quarantine(self, request: ForwardRequest) -> None:
         """Raise Refusal if a request is known to crash endpoints, unless a trial is due."""
@@ -112,7 +117,7 @@
     def _build(
         self,
         caller_request: CallerRequest,
-        reply: ResponseWriter,
+        response_writer: ResponseWriter,
         metadata: RequestMetadata,
         configuration: Configuration,
         route: Route,
@@ -124,7 +129,7 @@
         requirements = EndpointRequirements(self._selector.draw_service(route), metadata.model)
         return ForwardRequest(
             caller_request=caller_request,
-            reply=reply,
+            response_writer=response_writer,
             metadata=metadata,
             configuration=configuration,
             route=route,
--- a/yewloom/retries.py
+++ b/yewloom/retries.py
@@ -15,7 +15,7 @@
 
     CONNECT = "connect"
     REFUSED = "refused"
-    BROKEN = "broken"
+    CONNECTION_LOST = "broken"
     STALLED = "stalled"
     ENDPOINT_ERROR = "endpoint_error"
 
@@ -94,7 +94,7 @@
             self.outcome = Outcome.UNKNOWN
         if now_s >= deadline_s:
             return NextStep.GIVE_UP
-        is_broken_stream = failure in (CallFailure.BROKEN, CallFailure.STALLED)
+        is_broken_stream = failure in (CallFailure.CONNECTION_LOST, CallFailure.STALLED)
         if is_broken_stream and self._can_resume and self._resumes < MAX_RESUMES:
             self._resumes += 1
             return NextStep.RESUME
--- a/yewloom/routes.py
+++ b/yewloom/routes.py
@@ -14,7 +14,7 @@
 class RouteKind(Enum):
     """Whether requests that may have run can be retried, and whether responses are streams."""
 
-    REPEATABLE = "repeatable"
+    RETRYABLE = "repeatable"
     UNSAFE = "unsafe"
     STREAM = "stream"
 
@@ -32,8 +32,8 @@
     """A route.
 
     ``max_endpoints`` limits the number of endpoints that one request may be sent to. Routes with
-    ``is_open`` require no API key. Streams of routes with ``is_resumable`` may be resumed at
-    another endpoint.
+    ``allows_anonymous`` require no API key. Streams of routes with ``is_resumable`` may be resumed
+    at another endpoint.
     """
 
     name: RouteName
@@ -43,9 +43,9 @@
     services: tuple[ServiceWeight, ...]
     max_endpoints: int
     timeout_ms: int
-    objective_ms: int
+    latency_objective_ms: int
     priority: int
-    is_open: bool = False
+    allows_anonymous: bool = False
     is_resumable: bool = False
 
     @property
@@ -56,7 +56,7 @@
     @property
     def may_retry(self) -> bool:
         """Return whether a request that may have run can be sent to another endpoint."""
-        return self.kind is RouteKind.REPEATABLE or self.is_resumable
+        return self.kind is RouteKind.RETRYABLE or self.is_resumable
 
 
 class RouteTable:
--- a/yewloom/share_balancer.py
+++ b/yewloom/share_balancer.py
@@ -86,7 +86,7 @@
 
     def _obeyed_generations(self) -> dict[str, int]:
         own = self._node.share_state(trio.current_time())
-        return {**self._node.obeyed_shares, own.instance: own.obeyed_generation}
+        return {**self._node.applied_share_generations, own.instance: own.obeyed_generation}
 
     def _departed_holders(self, current: Shares, listed: Iterable[Host]) -> set[str]:
         """Return holders that the platform no longer lists or that a later process replaced."""
--- a/yewloom/store_retries.py
+++ b/yewloom/store_retries.py
@@ -25,7 +25,7 @@
 
 
 @value_class
-class StoreRetries:
+class StoreBackoff:
     """Pauses of one host between calls to a store that does not answer.
 
     ``first_pause_s`` comes from the settings; ``random_fraction`` is a random number from 0 to 1,
--- a/yewloom/tables.py
+++ b/yewloom/tables.py
@@ -97,7 +97,7 @@
         """The digest of each bucket."""
         return list(self._bucket_digests)
 
-    def rows_where_different(self, bucket_digests: Sequence[int]) -> list[VersionedRow]:
+    def rows_in_differing_buckets(self, bucket_digests: Sequence[int]) -> list[VersionedRow]:
         """Return the rows of all buckets whose digests differ from the given ones."""
         return [
             self._rows[name]
--- a/yewloom/tests/entry_support.py
+++ b/yewloom/tests/entry_support.py
@@ -56,9 +56,9 @@
         services=(ServiceWeight(service, 1.0),),
         max_endpoints=max_endpoints,
         timeout_ms=2000,
-        objective_ms=300,
+        latency_objective_ms=300,
         priority=1,
-        is_open=is_open,
+        allows_anonymous=is_open,
         is_resumable=is_resumable,
     )
 
--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -57,8 +57,8 @@
 STREAM_ROUTE = make_route(RouteKind.STREAM, "/s/", ENGINES, is_resumable=True)
 NON_RESUMABLE_ROUTE = make_route(RouteKind.STREAM, "/once/", ENGINES)
 UNSAFE_ROUTE = make_route(RouteKind.UNSAFE, "/u/")
-REPEATABLE_ROUTE = make_route(RouteKind.REPEATABLE, "/r/")
-OPEN_ROUTE = make_route(RouteKind.REPEATABLE, "/open/", is_open=True)
+REPEATABLE_ROUTE = make_route(RouteKind.RETRYABLE, "/r/")
+OPEN_ROUTE = make_route(RouteKind.RETRYABLE, "/open/", is_open=True)
 ROUTES = (STREAM_ROUTE, NON_RESUMABLE_ROUTE, UNSAFE_ROUTE, REPEATABLE_ROUTE, OPEN_ROUTE)
 
 
@@ -170,16 +170,16 @@
         self.forwarder = build_forwarder(
             ForwarderComponents(
                 bounds=BOUNDS,
-                codec=HttpHeaderCodec(),
+                header_codec=HttpHeaderCodec(),
                 metrics=self.metrics,
                 configuration_state=self.configuration_state,
                 directory=self.directory,
                 selector=self.selector,
                 stalls=self.stalls,
                 reachability=reachability,
-                stop=self.stop,
+                planned_stop=self.stop,
                 loop_delay=self.loop_delay,
-                crashes=self.crashes,
+                crash_detection=self.crashes,
                 limits=self.limits,
                 retry_extra=lambda: self.retries_left,
             )
--- a/yewloom/tests/soak/endpoints.py
+++ b/yewloom/tests/soak/endpoints.py
@@ -72,7 +72,7 @@
                 detail = f"{name} was never ready in {key}"
                 self._ledger.record_violation("partial", run.request_id, detail)
 
-    def on_whole(self, request: Request) -> None:
+    def on_response_complete(self, request: Request) -> None:
         """Record that an engine has made a complete answer."""
         self._ledger.record_complete_answer(
             request.headers["yewloom-request-id"], trio.current_time()
--- a/yewloom/tests/soak/fault_play.py
+++ b/yewloom/tests/soak/fault_play.py
@@ -216,10 +216,10 @@
             store.drop_history()
         return
     store.faults.status = 503 if fault.kind is StoreFault.REFUSE else 0
-    store.faults.loses_answers = fault.kind is StoreFault.LOSE_ANSWERS
+    store.faults.loses_responses = fault.kind is StoreFault.LOSE_ANSWERS
     with ledger.disturbing([entry.name for entry in fleet.entries]):
         await trio.sleep(fault.for_s)
-    store.faults.status, store.faults.loses_answers = 0, False
+    store.faults.status, store.faults.loses_responses = 0, False
 
 
 @apply_fault.register
--- a/yewloom/tests/soak/fleet.py
+++ b/yewloom/tests/soak/fleet.py
@@ -258,7 +258,10 @@
         engine = UserEngineStandIn(name, "", ENGINES, domain, "hall-a", self.store)
         watch = EngineWatch(self.ledger, self._known_engines)
         engine.on_run, engine.on_join = watch.on_run, watch.on_join
-        engine.on_complete_answer, engine.on_group_left = watch.on_whole, self._on_left
+        engine.on_response_complete, engine.on_group_left = (
+            watch.on_response_complete,
+            self._on_left,
+        )
         engine.event_count, engine.event_interval_s = requested_events, EVENT_S
         self._known_engines.append(engine)
         link = await self._open_link(await self._serve(engine.application()))
--- a/yewloom/tests/support.py
+++ b/yewloom/tests/support.py
@@ -214,7 +214,7 @@
         if fault is CallFault.FAIL:
             raise EndpointError(CallFailure.ENDPOINT_ERROR, "status 500")
         if fault is not CallFault.NONE:
-            raise EndpointError(CallFailure.BROKEN, "cut")
+            raise EndpointError(CallFailure.CONNECTION_LOST, "cut")
         return HttpResponse(200, {}, b"ok")
 
     def _next_fault(self) -> CallFault:
@@ -245,7 +245,7 @@
             await trio.sleep(stall_timeout_s)
             raise EndpointError(CallFailure.STALLED, "silence")
         if break_after < len(self.tokens):
-            raise EndpointError(CallFailure.BROKEN, "cut")
+            raise EndpointError(CallFailure.CONNECTION_LOST, "cut")
 
     def _chunk(self, call: GenerateCall, offset: int) -> StreamChunk:
         is_last = offset + 1 == len(self.tokens)
--- a/yewloom/tests/test_attempts.py
+++ b/yewloom/tests/test_attempts.py
@@ -45,7 +45,7 @@
     def test_a_request_is_sent_to_at_most_the_endpoints_that_the_route_allows(
         self, states: list[AttemptState], max_endpoints: int
     ) -> None:
-        record = _record(RouteKind.REPEATABLE, states, max_endpoints)
+        record = _record(RouteKind.RETRYABLE, states, max_endpoints)
         reached = sum(state is not AttemptState.NOTHING_SENT for state in states)
         self.assertEqual(record.may_try_another, reached < max_endpoints)
 
--- a/yewloom/tests/test_boot_clock.py
+++ b/yewloom/tests/test_boot_clock.py
@@ -70,7 +70,7 @@
 
         async def test(machine: Machine) -> None:
             configuration_state = ConfigurationState()
-            trust = KeyTrust(configuration_state, 5.0, 2.0, needs_proof=True)
+            trust = KeyTrust(configuration_state, 5.0, 2.0, requires_confirmation=True)
             configuration_state.apply(make_configuration(), trio.current_time())
             self.assertTrue(trust.may_accept(trio.current_time()))
             machine.suspend()
--- a/yewloom/tests/test_callers.py
+++ b/yewloom/tests/test_callers.py
@@ -85,7 +85,7 @@
     }
     for name, row in rows.items():
         node.table.apply(VersionedRow(name=name, version=1, row=row))
-    node.has_table = True
+    node.is_table_loaded = True
     node.admission = AdmissionController(4, 4)
     slots, engines = SlotPool(node.admission), FakeEngines(ANSWER)
 
--- a/yewloom/tests/test_claims.py
+++ b/yewloom/tests/test_claims.py
@@ -17,7 +17,7 @@
     Verdict,
     add_claims,
 )
-from yewloom.idempotency import IdempotentRunner, StoredAnswer
+from yewloom.idempotency import IdempotentRunner, StoredResponse
 from yewloom.ids import AttemptId, EntryHostId, IdempotencyKey
 from yewloom.platforms import StoredObject
 from yewloom.problems import Problem, unavailable_problem
@@ -69,12 +69,12 @@
         return IdempotentRunner(writer, EntryHostId(name), self.new_attempt)
 
     async def send(self, runner: IdempotentRunner, submission: _Submission) -> None:
-        async def run() -> StoredAnswer:
+        async def run() -> StoredResponse:
             if submission.is_refused:
                 raise unavailable_problem("refused", Outcome.NOT_RUN)
             self.runs[submission.key] += 1
             await trio.sleep(0.2)
-            return StoredAnswer(200, "text/plain", b"done")
+            return StoredResponse(200, "text/plain", b"done")
 
         await trio.sleep(submission.start_s)
         with trio.move_on_after(submission.timeout_s):
--- a/yewloom/tests/test_coordinators.py
+++ b/yewloom/tests/test_coordinators.py
@@ -183,10 +183,10 @@
                 await trio.sleep(10)
                 await _start(nursery, coordinators[1])
                 await trio.sleep(10)
-                held.append(coordinators[1].is_holding)
+                held.append(coordinators[1].holds_lease)
                 first.cancel()
                 await trio.sleep(15)
-                held.append(coordinators[1].is_holding)
+                held.append(coordinators[1].holds_lease)
                 nursery.cancel_scope.cancel()
             return held
 
--- a/yewloom/tests/test_crash_record.py
+++ b/yewloom/tests/test_crash_record.py
@@ -44,8 +44,8 @@
 
     def report_to(self, other: "Host", now_s: float) -> None:
         """Send another host the reports of what this one has observed itself."""
-        for answer in self.record.answer_reports(now_s):
-            other.record.apply_answer(answer, now_s)
+        for answer in self.record.success_reports(now_s):
+            other.record.apply_success(answer, now_s)
         for crash in self.record.crash_reports(now_s):
             other.record.apply_crash(crash, now_s, now_s)
 
@@ -81,11 +81,11 @@
         for number in range(2 * CRASH_THRESHOLD):
             self._crash(number, CAUSE)
             self.assertEqual(self.host.quarantined(), set())
-            self.host.record.record_answer(CAUSE, number + 0.5)
+            self.host.record.record_success(CAUSE, number + 0.5)
 
     def test_an_answer_does_not_clear_later_crashes(self) -> None:
         self._crash(0, CAUSE)
-        self.host.record.record_answer(CAUSE, 0.5)
+        self.host.record.record_success(CAUSE, 0.5)
         for number in range(1, 1 + CRASH_THRESHOLD):
             self._crash(number, CAUSE)
         self.assertEqual(self.host.quarantined(), {CAUSE})
@@ -121,7 +121,7 @@
     def test_an_answer_lifts_the_quarantine(self) -> None:
         for number in range(CRASH_THRESHOLD):
             self._crash(number, CAUSE)
-        self.host.record.record_answer(CAUSE, 50.0)
+        self.host.record.record_success(CAUSE, 50.0)
         self.assertEqual(self.host.quarantined(), set())
 
     def test_the_number_of_crashes_is_bounded(self) -> None:
@@ -171,7 +171,7 @@
         for number in range(CRASH_THRESHOLD - 1):
             one.record.record_crash(_process(number), [CAUSE], 1.0)
         one.report_to(other, 1.5)
-        other.record.record_answer(CAUSE, 2.0)
+        other.record.record_success(CAUSE, 2.0)
         other.report_to(one, 2.5)
         one.record.record_crash(_process(CRASH_THRESHOLD), [CAUSE], 3.0)
         self.assertEqual(one.quarantined(), set())
--- a/yewloom/tests/test_followers.py
+++ b/yewloom/tests/test_followers.py
@@ -143,9 +143,9 @@
                 await trio.sleep(5)
                 self.assertTrue(followed.can_apply(5, 9))
                 followed.record_changes(9, True, float("-inf"))
-                self.assertFalse(follower.is_answered)
+                self.assertFalse(follower.has_latest_response)
                 await trio.sleep(20)
-                self.assertTrue(follower.is_answered)
+                self.assertTrue(follower.has_latest_response)
                 nursery.cancel_scope.cancel()
 
         run_on_mock_clock(main)
--- a/yewloom/tests/test_host_in_one_group.py
+++ b/yewloom/tests/test_host_in_one_group.py
@@ -164,11 +164,11 @@
             simulation.store.is_unavailable = True
             self.world.engines[A].is_reachable = False
             simulation.stalls.report_stalled(A, trio.current_time())
-            while simulation.coordinator.is_holding:  # noqa: ASYNC110 - the lease ends by its time
+            while simulation.coordinator.holds_lease:  # noqa: ASYNC110 - the lease ends by its time
                 await trio.sleep(1.0)
             self.world.engines[A].is_reachable = True
             simulation.store.is_unavailable = False
-            while not simulation.coordinator.is_holding:  # noqa: ASYNC110 - as above
+            while not simulation.coordinator.holds_lease:  # noqa: ASYNC110 - as above
                 await trio.sleep(1.0)
             await trio.sleep(SETTLE_S)
             self._check_still_serves()
--- a/yewloom/tests/test_key_trust.py
+++ b/yewloom/tests/test_key_trust.py
@@ -38,12 +38,12 @@
 class Host:
     """The admission of a host that read a configuration at 0 s, or none, and nothing since."""
 
-    def __init__(self, needs_proof: bool, has_configuration: bool = True) -> None:
+    def __init__(self, requires_confirmation: bool, has_configuration: bool = True) -> None:
         self.configuration_state = ConfigurationState()
         if has_configuration:
             route = make_route(RouteKind.STREAM, "/s/", ENGINES)
             self.configuration_state.apply(make_configuration(route), 0.0)
-        trust = KeyTrust(self.configuration_state, REVOCATION_S, APPLY_S, needs_proof)
+        trust = KeyTrust(self.configuration_state, REVOCATION_S, APPLY_S, requires_confirmation)
         peer_states = PeerStates(EntryHostId("me"), DATA_CENTRE)
         directory = EndpointDirectory()
         selector = make_selector(directory, peer_states)
@@ -70,19 +70,19 @@
     """Responses while the configuration is not confirmed."""
 
     def test_strict_host_refuses_keys_once_its_confirmation_is_too_old(self) -> None:
-        host = Host(needs_proof=True)
+        host = Host(requires_confirmation=True)
         self.assertEqual(host.status(REVOCATION_S * CONFIRMATION_FRACTION), 200)
         self.assertEqual(host.status(REVOCATION_S * CONFIRMATION_FRACTION + 0.01), 503)
 
     def test_other_hosts_accept_the_last_known_keys_during_the_outage(self) -> None:
-        host = Host(needs_proof=False)
+        host = Host(requires_confirmation=False)
         for at_s in (0.0, REVOCATION_S, OUTAGE_S):
             self.assertEqual(host.status(at_s), 200)
 
     def test_host_that_learns_of_a_newer_configuration_refuses_keys_until_it_has_read_it(
         self,
     ) -> None:
-        host = Host(needs_proof=False)
+        host = Host(requires_confirmation=False)
         host.configuration_state.record_version(4)
         self.assertEqual(host.status(1.0), 200)
         self.assertEqual(host.status(OUTAGE_S), 503)
@@ -91,13 +91,15 @@
         self.assertEqual(host.status(OUTAGE_S), 200)
 
     def test_host_that_starts_during_the_outage_asks_callers_to_retry(self) -> None:
-        self.assertEqual(Host(needs_proof=False, has_configuration=False).status(1.0), 503)
+        self.assertEqual(
+            Host(requires_confirmation=False, has_configuration=False).status(1.0), 503
+        )
 
     @given(st.booleans(), st.floats(0.0, 100.0), st.booleans())
     def test_unknown_keys_and_routes_are_refused_permanently_only_by_a_recent_configuration(
-        self, needs_proof: bool, at_s: float, is_outdated: bool
+        self, requires_confirmation: bool, at_s: float, is_outdated: bool
     ) -> None:
-        host = Host(needs_proof)
+        host = Host(requires_confirmation)
         if is_outdated:
             host.configuration_state.record_version(4)
         is_confirmed = at_s <= APPLY_S and not is_outdated
--- a/yewloom/tests/test_limits.py
+++ b/yewloom/tests/test_limits.py
@@ -73,7 +73,7 @@
         request_state = self._state(borrower_name)
         request_state.demands.add(customer=CUSTOMER, demand=4)
         self._record_obeyed(lender_name, request_state)
-        loans = self.hosts[lender_name].lend(
+        loans = self.hosts[lender_name].create_loans(
             request_state, {CUSTOMER: self.in_flight[lender_name]}, self.now_s
         )
         if is_answer_lost:
@@ -114,7 +114,7 @@
             self.record = next_record
 
     def _state(self, name: str) -> ShareState:
-        return self.hosts[name].state({CUSTOMER: self.in_flight[name]}, {}, self.now_s)
+        return self.hosts[name].build_state({CUSTOMER: self.in_flight[name]}, {}, self.now_s)
 
     def _record_obeyed(self, name: str, state: ShareState) -> None:
         self.obeyed[name][state.instance] = state.obeyed_generation
@@ -199,7 +199,7 @@
         lender.apply(self._plan(Shares(), ["e0"], 0))
         request_state = ShareState(instance="e1")
         request_state.demands.add(customer=CUSTOMER, demand=3)
-        borrower.add_loans(lender.lend(request_state, {}, 1.0), 1.0)
+        borrower.add_loans(lender.create_loans(request_state, {}, 1.0), 1.0)
         self.assertEqual(borrower.capacity(CUSTOMER, 1.0), 3)
         self.assertEqual(lender.capacity(CUSTOMER, 1.0), LIMIT - 3)
         self.assertEqual(borrower.capacity(CUSTOMER, 4.1), 0)
@@ -211,8 +211,10 @@
         lender.apply(shares)
         request_state = ShareState(instance="e1")
         request_state.demands.add(customer=CUSTOMER, demand=5)
-        lender.lend(request_state, {}, 0.0)
+        lender.create_loans(request_state, {}, 0.0)
         lowered = self._plan(shares, ["e0", "e1"], shares.generation)
         lender.apply(lowered)
-        self.assertEqual(lender.state({CUSTOMER: 4}, {}, 1.0).obeyed_generation, 0)
-        self.assertEqual(lender.state({CUSTOMER: 4}, {}, 3.5).obeyed_generation, lowered.generation)
+        self.assertEqual(lender.build_state({CUSTOMER: 4}, {}, 1.0).obeyed_generation, 0)
+        self.assertEqual(
+            lender.build_state({CUSTOMER: 4}, {}, 3.5).obeyed_generation, lowered.generation
+        )
--- a/yewloom/tests/test_peer_configurations.py
+++ b/yewloom/tests/test_peer_configurations.py
@@ -68,7 +68,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start responding to peers' requests and sending requests to peers."""
-        server = CallerServer(Handlers(self.peer_configurations.answer), CallerLimits)
+        server = CallerServer(Handlers(self.peer_configurations.handle_request), CallerLimits)
         await nursery.start(server.serve, listen(self.address))
         nursery.start_soon(self.peer_configurations.run)
 
@@ -114,7 +114,7 @@
             peer, host = await _start_two(nursery, _stored(1, "k1", "k2"))
             peer.read(_stored(2, "k2"))
             host.configuration_state.record_version(2)
-            trust = KeyTrust(host.configuration_state, 5.0, 2.0, needs_proof=False)
+            trust = KeyTrust(host.configuration_state, 5.0, 2.0, requires_confirmation=False)
             self.assertFalse(trust.may_accept(trio.current_time() + OUTAGE_S))
             await host.wait_for(2)
             assert host.configuration_state.current is not None
--- a/yewloom/tests/test_peer_reports.py
+++ b/yewloom/tests/test_peer_reports.py
@@ -18,7 +18,7 @@
 from yewloom.limit_messages import LimitMessages
 from yewloom.own_state import EntryHostProcess, OwnStateBuilder
 from yewloom.peer_intake import PeerIntake
-from yewloom.peer_reports import PeerReports
+from yewloom.peer_reports import PeerReportHandler
 from yewloom.schema.entry_pb2 import EntryMessage, EntryState
 from yewloom.selection import Selector
 from yewloom.stalls import MAX_MESSAGE_DELAY_S, RECENT_EVENT_S, StallDetector
@@ -65,7 +65,7 @@
             lambda: FollowStatus(True, False),
             [self.crashes.messages, LimitMessages(self.limits)],
         )
-        reports = PeerReports(self.stalls, selector)
+        reports = PeerReportHandler(self.stalls, selector)
         self._intake = PeerIntake(
             peer_states,
             configuration_state,
@@ -186,7 +186,7 @@
         for number in range(CRASH_THRESHOLD - 1):
             self._crash(self.host, number)
         self.host.send_to(self.peer, 1.1)
-        self.peer.crashes.record.record_answer(CRASHING_REQUEST, 2.0)
+        self.peer.crashes.record.record_success(CRASHING_REQUEST, 2.0)
         self.peer.send_to(self.host, 2.1)
         self._crash(self.host, CRASH_THRESHOLD, 3.0)
         self.assertEqual(self._wait_s(self.host, 3.0), 0.0)
--- a/yewloom/tests/test_placement.py
+++ b/yewloom/tests/test_placement.py
@@ -477,25 +477,25 @@
         report = HostReport(host_id="h0", state=EngineState.READY.value, group_id="g", generation=1)
         peer.on_host_answered(HostId("h0"), report, 0.0)
         peer.aggregate_probes(group, 0.0)
-        fleet.merge_groups(peer.group_reports(1.5), asked_s=1.0)
+        fleet.merge_groups(peer.group_reports(1.5), requested_s=1.0)
         self.assertTrue(fleet.is_open(group, 1.4))
         self.assertFalse(fleet.is_open(group, 2.1))
 
     def test_missing_member_is_reported_although_an_earlier_report_was_faster(self) -> None:
         fleet, peer, group = _two_observing_fleets()
         _answer_probe(peer, group, answered_s=0.0)
-        fleet.merge_groups(peer.group_reports(0.001), asked_s=0.001)
+        fleet.merge_groups(peer.group_reports(0.001), requested_s=0.001)
         for tenth in range(5, 70):
             now_s = tenth / 10
             _fail_probe(peer, group, now_s)
-            fleet.merge_groups(peer.group_reports(now_s), asked_s=now_s - 0.05)
+            fleet.merge_groups(peer.group_reports(now_s), requested_s=now_s - 0.05)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
 
     def test_missing_member_is_detected_after_the_last_observer_is_gone(self) -> None:
         fleet, peer, group = _two_observing_fleets()
         _answer_probe(fleet, group, answered_s=0.0)
         _answer_probe(peer, group, answered_s=0.2)
-        fleet.merge_groups(peer.group_reports(0.2), asked_s=0.2)
+        fleet.merge_groups(peer.group_reports(0.2), requested_s=0.2)
         for tenth in range(4, 80):
             _fail_probe(fleet, group, tenth / 10)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
@@ -507,7 +507,7 @@
             now_s = tenth / 10
             _fail_probe(fleet, group, now_s)
             _answer_probe(peer, group, answered_s=now_s)
-            fleet.merge_groups(peer.group_reports(now_s), asked_s=now_s)
+            fleet.merge_groups(peer.group_reports(now_s), requested_s=now_s)
             self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
         for tenth in range(100, 138):
             _fail_probe(fleet, group, tenth / 10)
@@ -522,7 +522,7 @@
             _fail_probe(fleet, group, tenth / 10)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ("h0",))
         _answer_probe(peer, group, answered_s=6.0)
-        fleet.merge_groups(peer.group_reports(6.0), asked_s=6.0)
+        fleet.merge_groups(peer.group_reports(6.0), requested_s=6.0)
         _fail_probe(fleet, group, 6.1)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
 
@@ -539,8 +539,8 @@
         fleet, _, group = _two_observing_fleets()
         _answer_probe(fleet, group, answered_s=0.0)
         # Sent before the pause; the answers remain unread until the time-outs have passed.
-        for asked_s in (0.1, 0.5):
-            fleet.on_host_failed(HostId("h0"), asked_s)
+        for requested_s in (0.1, 0.5):
+            fleet.on_host_failed(HostId("h0"), requested_s)
         fleet.aggregate_probes(group, 0.5 + MISSING_AFTER_S)
         self.assertEqual(fleet.group_observations[GroupId("g")].missing, ())
 
@@ -567,5 +567,5 @@
         fleet = Fleet(FRESHNESS_S, MISSING_AFTER_S)
         fleet.on_host_answered(HostId("h"), HostReport(running=2), 5.0)
         fleet.on_host_answered(HostId("h"), HostReport(running=1), 4.0)
-        self.assertEqual(fleet.hosts[HostId("h")].asked_s, 5.0)
+        self.assertEqual(fleet.hosts[HostId("h")].requested_s, 5.0)
         self.assertEqual(HostObservation().failed(1.0, 4.0).failed(2.0, 4.0).failing_since_s, 1.0)
--- a/yewloom/tests/test_platform_adapter.py
+++ b/yewloom/tests/test_platform_adapter.py
@@ -105,7 +105,7 @@
         self.assertEqual((stream.kind, stream.is_resumable), (RouteKind.STREAM, True))
         self.assertEqual([part.weight for part in stream.services], [90, 10])
         self.assertEqual((unsafe.kind, unsafe.max_endpoints), (RouteKind.UNSAFE, 1))
-        self.assertTrue(unsafe.is_open)
+        self.assertTrue(unsafe.allows_anonymous)
         self.assertEqual(configuration.customers["k2"], "hotel")
         self.assertEqual(configuration.limits.max_body_bytes, 99)
         [service] = configuration.engine_services()
@@ -187,7 +187,7 @@
 
     def test_the_api_key_and_forged_headers_are_not_forwarded(self) -> None:
         metadata = ForwardingMetadata(HostId("i1"), CustomerId("hotel"), 700, last_event_id=15)
-        sent = self.codec.request_headers(REQUEST, metadata)
+        sent = self.codec.build_request_headers(REQUEST, metadata)
         names = [name for name, _ in sent]
         self.assertEqual(len(names), len(set(names)))
         sent_values = dict(sent)
@@ -203,7 +203,9 @@
 
     def test_without_a_customer_a_forged_customer_header_is_dropped(self) -> None:
         sent = dict(
-            self.codec.request_headers(REQUEST, ForwardingMetadata(HostId("i1"), None, 1, None))
+            self.codec.build_request_headers(
+                REQUEST, ForwardingMetadata(HostId("i1"), None, 1, None)
+            )
         )
         self.assertNotIn(b"yewloom-tenant", sent)
         self.assertEqual(sent[b"last-event-id"], b"12")
@@ -251,7 +253,7 @@
             200,
             [(b"yewloom-server-stamp", b"s"), (b"transfer-encoding", b"chunked")],
         )
-        self.assertEqual(self.codec.response_headers(head), [(b"yewloom-server-stamp", b"s")])
+        self.assertEqual(self.codec.build_response_headers(head), [(b"yewloom-server-stamp", b"s")])
 
 
 class _FakeHttpClient(HttpClient):
--- a/yewloom/tests/test_quarantine_page.py
+++ b/yewloom/tests/test_quarantine_page.py
@@ -38,7 +38,7 @@
 
         async def main() -> None:
             self.quarantine.add(F, trio.current_time())
-            await page.answer(request, response)  # type: ignore[arg-type]
+            await page.handle(request, response)  # type: ignore[arg-type]
 
         trio.run(main)
         return response.status, json.loads(response.body) if response.body else None
--- a/yewloom/tests/test_replica_coordinator.py
+++ b/yewloom/tests/test_replica_coordinator.py
@@ -74,10 +74,10 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(coordinator.run)
                 await store.update_called.wait()
-                coordinator.is_leaving = True
+                coordinator.is_stopping = True
                 store.may_answer.set()
                 await trio.testing.wait_all_tasks_blocked()
-                self.assertFalse(coordinator.is_holding)
+                self.assertFalse(coordinator.holds_lease)
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/yewloom/tests/test_retries.py
+++ b/yewloom/tests/test_retries.py
@@ -53,7 +53,10 @@
 
     def test_a_stream_is_resumed_a_few_times_before_another_group_is_tried(self) -> None:
         tracker = AttemptTracker(False, True, RetryBudget(0.1, 10))
-        steps = [tracker.on_failure(CallFailure.BROKEN, 0.0, 9.0) for _ in range(MAX_RESUMES + 1)]
+        steps = [
+            tracker.on_failure(CallFailure.CONNECTION_LOST, 0.0, 9.0)
+            for _ in range(MAX_RESUMES + 1)
+        ]
         self.assertEqual(steps, [NextStep.RESUME] * MAX_RESUMES + [NextStep.REROUTE])
 
     def test_no_retry_after_the_deadline(self) -> None:
--- a/yewloom/tests/test_routes.py
+++ b/yewloom/tests/test_routes.py
@@ -33,7 +33,7 @@
         self.assertIsNone(RouteTable([make_route()]).find("x.example", "/ab/1"))
 
     def test_only_repeatable_and_resumable_routes_may_retry(self) -> None:
-        self.assertTrue(make_route(RouteKind.REPEATABLE).may_retry)
+        self.assertTrue(make_route(RouteKind.RETRYABLE).may_retry)
         self.assertTrue(make_route(RouteKind.STREAM, is_resumable=True).may_retry)
         self.assertFalse(make_route(RouteKind.STREAM).may_retry)
         self.assertFalse(make_route(RouteKind.UNSAFE).may_retry)
--- a/yewloom/tests/test_silent_connections.py
+++ b/yewloom/tests/test_silent_connections.py
@@ -146,7 +146,7 @@
     def test_a_host_with_an_outdated_configuration_rejects_no_key_permanently(self) -> None:
         configuration_state = ConfigurationState()
         configuration_state.apply(make_configuration(version=4), confirmed_s=10.0)
-        trust = KeyTrust(configuration_state, 5.0, IN_FORCE_S, needs_proof=True)
+        trust = KeyTrust(configuration_state, 5.0, IN_FORCE_S, requires_confirmation=True)
         self.assertTrue(trust.may_refuse_permanently(10.1))
         configuration_state.record_version(5)
         self.assertFalse(trust.may_refuse_permanently(10.1))
--- a/yewloom/tests/test_store_retries.py
+++ b/yewloom/tests/test_store_retries.py
@@ -7,7 +7,7 @@
     JITTER,
     MAX_DUTY_FACTOR,
     MIN_IDLE_FACTOR,
-    StoreRetries,
+    StoreBackoff,
 )
 
 FIRST_PAUSE_S = 0.2
@@ -16,7 +16,7 @@
 
 def _calls(host: int, hosts: int, has_duty: bool) -> int:
     """Return the number of calls by a host in an outage; the first is at its start."""
-    retries = StoreRetries(FIRST_PAUSE_S, host / max(1, hosts - 1))
+    retries = StoreBackoff(FIRST_PAUSE_S, host / max(1, hosts - 1))
     calls, now_s = 0, 0.0
     while now_s < OUTAGE_S:
         calls += 1
@@ -35,16 +35,16 @@
             self.assertLessEqual(calls - hosts, OUTAGE_S / min_interval_s)
 
     def test_pause_in_a_small_data_centre_has_a_lower_bound(self) -> None:
-        pause_s = StoreRetries(FIRST_PAUSE_S, 0.5).pause_s(1, False, near_host_count=1)
+        pause_s = StoreBackoff(FIRST_PAUSE_S, 0.5).pause_s(1, False, near_host_count=1)
         self.assertEqual(pause_s, FIRST_PAUSE_S * MIN_IDLE_FACTOR)
 
     def test_host_with_the_duty_retries_soon_and_then_less_often(self) -> None:
-        retries = StoreRetries(FIRST_PAUSE_S, 0.5)
+        retries = StoreBackoff(FIRST_PAUSE_S, 0.5)
         pauses_s = [retries.pause_s(failures, True, 43) for failures in range(1, 8)]
         self.assertEqual(pauses_s[0], FIRST_PAUSE_S)
         self.assertEqual(pauses_s, sorted(pauses_s))
         self.assertEqual(pauses_s[-1], FIRST_PAUSE_S * MAX_DUTY_FACTOR)
 
     def test_hosts_that_fail_at_the_same_time_do_not_retry_at_the_same_time(self) -> None:
-        pauses_s = {StoreRetries(FIRST_PAUSE_S, n / 10).pause_s(3, True, 9) for n in range(10)}
+        pauses_s = {StoreBackoff(FIRST_PAUSE_S, n / 10).pause_s(3, True, 9) for n in range(10)}
         self.assertEqual(len(pauses_s), 10)
--- a/yewloom/tests/test_tables.py
+++ b/yewloom/tests/test_tables.py
@@ -63,9 +63,9 @@
             mine.apply(row)
         for row in there:
             peers.apply(row)
-        for row in peers.rows_where_different(mine.bucket_digests):
+        for row in peers.rows_in_differing_buckets(mine.bucket_digests):
             mine.apply(row)
-        for row in mine.rows_where_different(peers.bucket_digests):
+        for row in mine.rows_in_differing_buckets(peers.bucket_digests):
             peers.apply(row)
         self.assertEqual(mine.digest, peers.digest)
         self.assertEqual(list(mine.rows()), list(peers.rows()))
--- a/yewloom/watchers.py
+++ b/yewloom/watchers.py
@@ -49,7 +49,7 @@
 
     def _has_duty(self) -> bool:
         count, now_s = self._node.settings.platform.watchers, trio.current_time()
-        is_new = not self._node.has_table
+        is_new = not self._node.is_table_loaded
         return is_new or self._node.membership.has_platform_duty(WATCH_DUTY, count, now_s)
 
     async def _recheck(self, pause_s: float) -> None:
@@ -72,7 +72,7 @@
                 for stored in found.objects:
                     apply_object(self._node, stored)
                 if self._prefix == TABLE_PREFIX:
-                    self._node.has_table = True
+                    self._node.is_table_loaded = True
                 self._position = found.position
                 return True
             case Err(error):
--- a/yewloom/work.py
+++ b/yewloom/work.py
@@ -36,7 +36,7 @@
         self._request_scopes: set[trio.CancelScope] = set()
 
     @property
-    def is_leaving(self) -> bool:
+    def is_stopping(self) -> bool:
         """Return whether a planned stop has begun."""
         return self.phase is not Phase.SERVING
 
