--- a/tools/measure_silence.py
+++ b/tools/measure_silence.py
@@ -14,7 +14,14 @@
 import trio
 import typer
 
-from yewloom.tests.soak.fleet import HOST, PLAIN, EntryProcess, Fleet, configuration, key_of
+from yewloom.tests.soak.fleet import (
+    PLAIN_SERVICE,
+    ROUTE_HOST,
+    EntryProcess,
+    Fleet,
+    api_key,
+    configuration,
+)
 from yewloom.tests.soak.ledger import Ledger
 
 DATA_CENTRES = ("hall-a", "hall-b", "hall-c")
@@ -36,17 +43,19 @@
     """Write a version with one route in addition to the initial ones."""
     fields = configuration(1)
     plain = next(known for known in fields["routes"] if known["name"] == FIRST_ROUTE)
-    fields["routes"].append({**plain, "name": route, "pathPrefix": f"/{route}/", "service": PLAIN})
+    fields["routes"].append(
+        {**plain, "name": route, "pathPrefix": f"/{route}/", "service": PLAIN_SERVICE}
+    )
     fleet.store.put("config", "main", fields | {"version": version})
 
 
 async def _request_status(entry: EntryProcess, route: str) -> int | None:
     """Send a request by a route; return the status of the answer, or None if there is none."""
     headers: dict[bytes | str, bytes | str] = {
-        "host": HOST,
+        "host": ROUTE_HOST,
         "yewloom-request-id": f"{entry.name}-{route}",
         "yewloom-deadline-ms": "900",
-        "authorization": f"Token {key_of(1)}",
+        "authorization": f"Token {api_key(1)}",
     }
     with trio.move_on_after(1.0):
         try:
--- a/yewloom/own_state.py
+++ b/yewloom/own_state.py
@@ -71,6 +71,6 @@
             is_coordinator=status.is_coordinator,
             listing=self._followed_endpoints.report(now_s),
         )
-        for topic in self._extensions:
-            topic.add_fields(state, now_s)
+        for extension in self._extensions:
+            extension.add_fields(state, now_s)
         return state
--- a/yewloom/peer_intake.py
+++ b/yewloom/peer_intake.py
@@ -66,8 +66,8 @@
             self._reports.on_unreachable(HostId(leader), arrived_s)
         for group in state.moving:
             self._reports.on_progress(HostId(group.leader), group.age_ms / 1000, arrived_s)
-        for topic in self._extensions:
-            topic.process(state, arrived_s, now_s)
+        for extension in self._extensions:
+            extension.process(state, arrived_s, now_s)
 
     def _process_configuration(self, confirmed: ConfirmedConfiguration) -> None:
         current = self._configuration_state.current
--- a/yewloom/tests/forwarding_support.py
+++ b/yewloom/tests/forwarding_support.py
@@ -62,10 +62,12 @@
 ROUTES = (STREAM_ROUTE, NON_RESUMABLE_ROUTE, UNSAFE_ROUTE, REPEATABLE_ROUTE, OPEN_ROUTE)
 
 
-class Endpoint:
+class ScriptedEndpoint:
     """An endpoint that runs a script: a function that gets the request and writes the response."""
 
-    def __init__(self, script: Callable[["Endpoint", h11.Request], Awaitable[None]]) -> None:
+    def __init__(
+        self, script: Callable[["ScriptedEndpoint", h11.Request], Awaitable[None]]
+    ) -> None:
         self._script = script
         self.requests: list[h11.Request] = []
         self.bodies: list[bytes] = []
@@ -127,12 +129,12 @@
         await self.stream.send_all(data or b"")
 
 
-class SharedEndpoint(Endpoint):
-    """An endpoint that serves several requests at once, each by its own ``Endpoint``."""
+class SharedEndpoint(ScriptedEndpoint):
+    """An endpoint that serves several requests at once, each by its own ``ScriptedEndpoint``."""
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Read one request and run the script."""
-        endpoint = Endpoint(self._script)
+        endpoint = ScriptedEndpoint(self._script)
         endpoint.requests = self.requests
         await endpoint.serve(stream)
 
@@ -143,13 +145,13 @@
 
 
 class CallerResponse:
-    """What a caller received; ``is_whole`` says whether the response is complete by its framing."""
+    """What a caller received; ``is_complete`` is whether it is complete by its framing."""
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.is_whole = False
+        self.is_complete = False
 
 
 class ForwarderFixture:
@@ -212,7 +214,7 @@
             self.configuration_state.confirm(trio.current_time())
 
     async def add_plain(
-        self, name: str, endpoint: Endpoint, closes_port_on_request: bool = False
+        self, name: str, endpoint: ScriptedEndpoint, closes_port_on_request: bool = False
     ) -> None:
         """Add an endpoint of a plain service to the directory.
 
@@ -223,7 +225,7 @@
         self.directory.put(make_plain(name, address))
 
     async def add_engine(
-        self, name: str, endpoint: Endpoint, closes_port_on_request: bool = False
+        self, name: str, endpoint: ScriptedEndpoint, closes_port_on_request: bool = False
     ) -> None:
         """Add the leader of a group with the small model to the directory."""
         key = put_group(self.directory, f"group-{name}", SMALL, [name, f"{name}-2"])
@@ -232,7 +234,7 @@
         engine = make_engine(name, membership=member, model=SMALL)
         self.directory.put(replace(engine, address=address))
 
-    async def ask(self, path: str, **headers: str) -> CallerResponse:
+    async def request(self, path: str, **headers: str) -> CallerResponse:
         """Send a request with a body as a caller, and read the response."""
         stream = await trio.open_tcp_stream(*self.address)
         connection = await self.send(stream, path, **headers)
@@ -251,7 +253,7 @@
         await stream.send_all(data)
         return connection
 
-    async def ask_while_blocked(
+    async def request_while_blocked(
         self, path: str, blocked_s: float, **headers: str
     ) -> CallerResponse:
         """Send a request, block the event loop before the host reads it, and read the response."""
@@ -294,12 +296,14 @@
             elif isinstance(h11_event, h11.Data):
                 response.body += h11_event.data
             elif isinstance(h11_event, h11.EndOfMessage):
-                response.is_whole = True
+                response.is_complete = True
                 return response
             elif isinstance(h11_event, h11.ConnectionClosed):
                 return response
 
-    async def _listen(self, endpoint: Endpoint, closes_port_on_request: bool = False) -> str:
+    async def _listen(
+        self, endpoint: ScriptedEndpoint, closes_port_on_request: bool = False
+    ) -> str:
         assert self._nursery is not None
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         [listener] = listeners
@@ -324,26 +328,26 @@
                 pass  # The endpoint has closed its port.
 
 
-async def answer_ok(endpoint: Endpoint, request: h11.Request) -> None:
+async def respond_ok(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer with status 200."""
     await endpoint.answer(200, b"fine")
 
 
-async def answer_with_long_body(endpoint: Endpoint, request: h11.Request) -> None:
+async def answer_with_long_body(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer with more bytes than a caller's socket buffers can hold."""
     await endpoint.answer(200, LONG_BODY)
 
 
-async def refuse_not_run(endpoint: Endpoint, request: h11.Request) -> None:
+async def refuse_not_run(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Refuse, and promise that the request has not run."""
     await endpoint.answer(503, b"", yewloom_not_executed="1")
 
 
-async def close_without_answer(endpoint: Endpoint, request: h11.Request) -> None:
+async def close_without_response(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Close the connection after reading the request."""
 
 
-async def fail(endpoint: Endpoint, request: h11.Request) -> None:
+async def respond_with_error(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer with status 500."""
     await endpoint.answer(500, b"oops")
 
--- a/yewloom/tests/soak/balancer.py
+++ b/yewloom/tests/soak/balancer.py
@@ -80,7 +80,7 @@
             raise httpcore.ConnectError(f"balancer does not route to {self._entry.name}")
         network = self._network
         stream = await network.connect_tcp(host, port, timeout, local_address, socket_options)
-        return RecordedStream(stream, self._entry.life)
+        return RecordedStream(stream, self._entry.process_name)
 
     async def sleep(self, seconds: float) -> None:
         """Wait before the next connection attempt."""
--- a/yewloom/tests/soak/callers.py
+++ b/yewloom/tests/soak/callers.py
@@ -9,8 +9,8 @@
 
 from yewloom.tests.soak.balancer import BalancedBackend, Balancer
 from yewloom.tests.soak.endpoints import EVENTS_HEADER
-from yewloom.tests.soak.fleet import HOST, MODEL, EntryProcess, Fleet, key_of
-from yewloom.tests.soak.ledger import STREAM_EVENTS, Kind, Ledger, Sent
+from yewloom.tests.soak.fleet import MODEL, ROUTE_HOST, EntryProcess, Fleet, api_key
+from yewloom.tests.soak.ledger import STREAM_EVENTS, Kind, Ledger, SentRequest
 from yewloom.tests.soak.noted_streams import current_request
 
 MEAN_PAUSE_S = 0.12
@@ -22,7 +22,7 @@
 STREAM_DEADLINE_S = 6.0
 """Deadline of a stream, until its last event; some streams last for seconds."""
 
-PATIENCES_S = (0.0, 1.0)
+EXTRA_WAITS_S = (0.0, 1.0)
 """Times that a caller may wait beyond its deadline, drawn for each request. With 0 the caller
 disconnects at the deadline; with 1 s it sees that the host itself answers by then."""
 
@@ -80,24 +80,24 @@
 
     async def send(
         self, pool: httpcore.AsyncConnectionPool, kind: Kind, events: int = STREAM_EVENTS
-    ) -> Sent:
+    ) -> SentRequest:
         """Send one request, and record it and its answer; ``events`` is the length of a stream."""
         request_id = next(self._numbers)
         version = max(1, self._fleet.version - self._rng.choice(_KEY_VERSION_LAGS))
-        sent = Sent(
+        sent = SentRequest(
             request_id=request_id,
             kind=kind,
             path=f"{_PATHS[kind]}{request_id}",
             body=b"" if kind is Kind.SAFE else f"body of {request_id}".encode(),
             key_version=version,
-            host_life=self._entry.life,
+            process_name=self._entry.process_name,
             sent_s=trio.current_time(),
             events=events,
             deadline_s=deadline_s(kind),
         )
         self._ledger.sent[request_id] = sent
         current_request.set(sent)
-        extra_wait_s = self._rng.choice(PATIENCES_S)
+        extra_wait_s = self._rng.choice(EXTRA_WAITS_S)
         try:
             with trio.fail_after(deadline_s(kind) + extra_wait_s) as cancel_scope:
                 await self._exchange(pool, sent, cancel_scope)
@@ -110,7 +110,7 @@
         return sent
 
     async def _exchange(
-        self, pool: httpcore.AsyncConnectionPool, sent: Sent, cancel_scope: trio.CancelScope
+        self, pool: httpcore.AsyncConnectionPool, sent: SentRequest, cancel_scope: trio.CancelScope
     ) -> None:
         headers = _headers(sent)
         method = "GET" if sent.kind is Kind.SAFE else "POST"
@@ -124,7 +124,7 @@
             sent.stamp = stamps[0].decode() if stamps else ""
             async for chunk in answer.aiter_stream():
                 sent.answer += chunk
-            sent.is_whole = True
+            sent.is_complete = True
 
 
 def deadline_s(kind: Kind) -> float:
@@ -133,7 +133,7 @@
 
 
 def _progress_trace(
-    sent: Sent, cancel_scope: trio.CancelScope
+    sent: SentRequest, cancel_scope: trio.CancelScope
 ) -> Callable[[str, object], Awaitable[None]]:
     """Return an ``httpcore`` trace function that records how the request is sent.
 
@@ -155,12 +155,12 @@
     return trace
 
 
-def _headers(sent: Sent) -> dict[bytes | str, bytes | str]:
+def _headers(sent: SentRequest) -> dict[bytes | str, bytes | str]:
     headers: dict[bytes | str, bytes | str] = {
-        "host": HOST,
+        "host": ROUTE_HOST,
         "yewloom-request-id": sent.request_id,
         "yewloom-deadline-ms": str(round(deadline_s(sent.kind) * 1000)),
-        "authorization": f"Token {key_of(sent.key_version)}",
+        "authorization": f"Token {api_key(sent.key_version)}",
     }
     if sent.kind is Kind.STREAM:
         headers["yewloom-model"] = MODEL
--- a/yewloom/tests/soak/fault_play.py
+++ b/yewloom/tests/soak/fault_play.py
@@ -106,22 +106,22 @@
     """
     if not entry.is_running:
         return
-    life, now_s = entry.life, trio.current_time()
-    stopped_s = ledger.planned_stops.setdefault(life, now_s)
+    process_name, now_s = entry.process_name, trio.current_time()
+    stopped_s = ledger.planned_stops.setdefault(process_name, now_s)
     entry.signal(signal.SIGTERM)
     with trio.move_on_at(stopped_s + GRACE_S):
         await entry.wait_ended()
-    if entry.life == life and entry.is_running:
-        ledger.record_overdue_stop(life)
+    if entry.process_name == process_name and entry.is_running:
+        ledger.record_overdue_stop(process_name)
         entry.signal(signal.SIGKILL)
 
 
 async def _start_again(entry: EntryProcess, after_s: float) -> None:
     """Start a process again ``after_s`` after its end, unless another fault has started it."""
-    life = entry.life
+    process_name = entry.process_name
     await entry.wait_ended()
     await trio.sleep(after_s)
-    if entry.life == life and not entry.is_running:
+    if entry.process_name == process_name and not entry.is_running:
         entry.start()
 
 
@@ -142,9 +142,9 @@
 
 async def _pause(entry: EntryProcess, for_s: float, ledger: Ledger) -> None:
     """Pause a process with SIGSTOP, and resume it after ``for_s``."""
-    life, begin_s = entry.life, trio.current_time()
+    process_name, begin_s = entry.process_name, trio.current_time()
     entry.signal(signal.SIGSTOP)
-    ledger.pauses[life].append(Disturbance(begin_s, begin_s + for_s + PAUSE_SLACK_S))
+    ledger.pauses[process_name].append(Disturbance(begin_s, begin_s + for_s + PAUSE_SLACK_S))
     with ledger.disturbing([entry.name]):
         await trio.sleep(for_s)
         entry.signal(signal.SIGCONT)
@@ -155,7 +155,7 @@
     entry = fleet.entries[fault.entry]
     # For some 60 ms, while the interpreter itself starts, SIGHUP would end the process by its
     # default action; the program cannot prevent that.
-    await entry.wait_until_taken(signal.SIGHUP)
+    await entry.wait_until_handled(signal.SIGHUP)
     entry.signal(signal.SIGHUP)
 
 
--- a/yewloom/tests/soak/fleet.py
+++ b/yewloom/tests/soak/fleet.py
@@ -26,8 +26,8 @@
 from yewloom.tests.soak.ledger import Ledger
 from yewloom.tests.soak.proxy import FirstBytesCallback, Link, PeerLink
 
-ENGINES, PLAIN, OTHER, MODEL = "engines", "plain", "other", "plates"
-HOST = "soak.example"
+ENGINE_SERVICE, PLAIN_SERVICE, OTHER_SERVICE, MODEL = "engines", "plain", "other", "plates"
+ROUTE_HOST = "soak.example"
 
 EVENT_S = 0.1
 """Time between two events of a stream: about one iteration of an engine, and much less than a
@@ -65,18 +65,18 @@
 """
 
 
-def key_of(version: int) -> str:
+def api_key(version: int) -> str:
     """Return the API key that a configuration version introduces."""
     return f"key-{version}"
 
 
 def configuration(version: int, extra_routes: Sequence[dict[str, Any]] = ()) -> dict[str, Any]:
     """Return a configuration version; it accepts its own key and that of the version before."""
-    kinds = {"stream": ENGINES, "idempotent": PLAIN, "non_idempotent": PLAIN}
+    kinds = {"stream": ENGINE_SERVICE, "idempotent": PLAIN_SERVICE, "non_idempotent": PLAIN_SERVICE}
     routes = [
         {
             "name": kind,
-            "host": HOST,
+            "host": ROUTE_HOST,
             "pathPrefix": f"/{kind}/",
             "type": kind,
             "timeoutMs": 6000,
@@ -89,11 +89,15 @@
     ]
     model = {"name": MODEL, "size": 2, "share": 1, "loadS": 1, "warmupS": 0.1}
     engine = {"slots": 13, "models": [model], "loadsPerS": 4.0}
-    keys = [key_of(version), key_of(version - 1)]
+    keys = [api_key(version), api_key(version - 1)]
     return {
         "version": version,
         "routes": [*routes, *extra_routes],
-        "services": [{"name": ENGINES, "engine": engine}, {"name": PLAIN}, {"name": OTHER}],
+        "services": [
+            {"name": ENGINE_SERVICE, "engine": engine},
+            {"name": PLAIN_SERVICE},
+            {"name": OTHER_SERVICE},
+        ],
         "tenants": [{"name": "customer", "apiKeys": keys}],
     }
 
@@ -113,7 +117,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     @property
-    def life(self) -> str:
+    def process_name(self) -> str:
         """Name of the current process, unique over restarts."""
         return f"{self.name}/{self.start_count}"
 
@@ -148,7 +152,7 @@
         while self.is_running:  # noqa: ASYNC110 - a process
             await trio.sleep(PROCESS_CHECK_S)
 
-    async def wait_until_taken(self, number: signal.Signals) -> None:
+    async def wait_until_handled(self, number: signal.Signals) -> None:
         """Wait until the process handles a signal instead of its default action, or has ended."""
         while self.is_running and not self._handles(number):  # noqa: ASYNC110 - a process
             await trio.sleep(SIGNAL_CHECK_S)
@@ -215,9 +219,9 @@
         for _ in range(engines):
             await self.add_engine()
         for number in range(plain):
-            await self._add_plain(f"{PLAIN}-{number}", PLAIN)
+            await self._add_plain(f"{PLAIN_SERVICE}-{number}", PLAIN_SERVICE)
         for number in range(other):
-            await self._add_plain(f"{OTHER}-{number}", OTHER)
+            await self._add_plain(f"{OTHER_SERVICE}-{number}", OTHER_SERVICE)
         for number in range(entries):
             store = self.store.application(partial(self._spec_for_host, number))
             link = await self._open_link(await self._serve(store))
@@ -255,7 +259,7 @@
         """Start a new engine, which has loaded no weights."""
         name = f"engine-{len(self._known_engines)}"
         domain = f"rack-{len(self._known_engines) % 2}"
-        engine = UserEngineStandIn(name, "", ENGINES, domain, "hall-a", self.store)
+        engine = UserEngineStandIn(name, "", ENGINE_SERVICE, domain, "hall-a", self.store)
         watch = EngineWatch(self.ledger, self._known_engines)
         engine.on_run, engine.on_join = watch.on_run, watch.on_join
         engine.on_response_complete, engine.on_group_left = (
@@ -289,8 +293,8 @@
 
     def pids(self) -> dict[str, int]:
         """Return the ids of the running entry host processes, by process name."""
-        running = {entry.life: entry.pid for entry in self.entries}
-        return {life: pid for life, pid in running.items() if pid is not None}
+        running = {entry.process_name: entry.pid for entry in self.entries}
+        return {process_name: pid for process_name, pid in running.items() if pid is not None}
 
     def stop(self) -> None:
         """Kill the processes that this soak started, and no others."""
--- a/yewloom/tests/soak/fragile.py
+++ b/yewloom/tests/soak/fragile.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class EndpointLedger:
+class EndpointTimes:
     """Times at which requests arrived at endpoints, and at which endpoints crashed.
 
     ``arrived_s`` and ``ended_s`` are when the crashing request arrived at any endpoint and when it
@@ -51,7 +51,7 @@
         name: str,
         service: str,
         store: StoreStandIn,
-        ledger: EndpointLedger,
+        ledger: EndpointTimes,
         limit: str = "",
     ) -> None:
         self.limit = limit
@@ -104,7 +104,7 @@
         self,
         endpoint: FragileEndpoint,
         name: str,
-        ledger: EndpointLedger,
+        ledger: EndpointTimes,
         scope: trio.CancelScope,
     ) -> None:
         self._endpoint = endpoint
--- a/yewloom/tests/soak/fragile_play.py
+++ b/yewloom/tests/soak/fragile_play.py
@@ -10,8 +10,8 @@
 import httpcore
 import trio
 
-from yewloom.tests.soak.fleet import HOST, PLAIN, EntryProcess, Fleet, key_of
-from yewloom.tests.soak.fragile import CRASHING_BODY, EndpointLedger, FragileEndpoint
+from yewloom.tests.soak.fleet import PLAIN_SERVICE, ROUTE_HOST, EntryProcess, Fleet, api_key
+from yewloom.tests.soak.fragile import CRASHING_BODY, EndpointTimes, FragileEndpoint
 from yewloom.tests.soak.ledger import Ledger
 
 ENTRIES, ENDPOINTS = 3, 12
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class FragilePlay:
+class FragileEndpointRun:
     """Callers of a fleet; ``statuses`` has the statuses of all requests but the crashing ones.
 
     ``limits`` are the limits that the first endpoints announce; the other endpoints announce none.
@@ -37,7 +37,7 @@
 
     fleet: Fleet
     limits: Sequence[str] = ()
-    seen: EndpointLedger = field(default_factory=EndpointLedger)
+    seen: EndpointTimes = field(default_factory=EndpointTimes)
     statuses: list[int] = field(default_factory=list)
     _request_count: int = 0
 
@@ -45,7 +45,9 @@
         """Start the endpoints."""
         limits = [*self.limits, *[""] * (ENDPOINTS - len(self.limits))]
         for number, limit in enumerate(limits):
-            endpoint = FragileEndpoint(f"p{number}", PLAIN, self.fleet.store, self.seen, limit)
+            endpoint = FragileEndpoint(
+                f"p{number}", PLAIN_SERVICE, self.fleet.store, self.seen, limit
+            )
             nursery.start_soon(endpoint.run)
 
     async def wait_until_served(self) -> None:
@@ -59,10 +61,10 @@
         """Send a request on a new connection; return its status, 0 without an answer."""
         self._request_count += 1
         headers: dict[bytes | str, bytes | str] = {
-            "host": HOST,
+            "host": ROUTE_HOST,
             "yewloom-request-id": f"r{self._request_count}",
             "yewloom-deadline-ms": str(DEADLINE_MS),
-            "authorization": f"Token {key_of(1)}",
+            "authorization": f"Token {api_key(1)}",
         }
         url = f"http://{entry.caller_address}/idempotent/a"
         try:
@@ -113,18 +115,18 @@
         self.statuses.append(await self.send(entry, b"other %d" % number))
 
 
-async def play_fragile(
+async def run_with_fragile_endpoints(
     for_s: float,
     other_pause_s: float,
     limits: Sequence[str] = (),
     is_crashing: bool = False,
     restarts: int = 0,
-) -> FragilePlay:
+) -> FragileEndpointRun:
     """Send requests for ``for_s``, and as long again after each of ``restarts`` restarts."""
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(Path(folder), Ledger(), Random(1), nursery)
-            session = FragilePlay(fleet, limits)
+            session = FragileEndpointRun(fleet, limits)
             try:
                 await fleet.start(ENTRIES, 0, 0)
                 await session.serve_endpoints(nursery)
--- a/yewloom/tests/soak/ledger.py
+++ b/yewloom/tests/soak/ledger.py
@@ -21,13 +21,13 @@
 """Time after an answer that shows a configuration version from which that host must not act on an
 older one."""
 
-NOTICE_S = 2.6
-"""Notice period: time after SIGTERM for which a host still accepts requests. The balancer checks it
-once a second and stops routing to it after two failed checks; specified by the platform's
+DEREGISTRATION_S = 2.6
+"""Deregistration delay: time after SIGTERM for which a host still accepts requests. The balancer
+checks it once a second and stops routing to it after two failed checks; specified by the platform's
 documentation, as in ``entry_host``."""
 
-NOTICE_SLACK_S = 0.4
-"""Time after the notice period from which a request counts as late. The sum is the 3 s after
+DEREGISTRATION_TOLERANCE_S = 0.4
+"""Time after the deregistration delay from which a request counts as late. The sum is the 3 s after
 SIGTERM that the platform's documentation specifies."""
 
 CLOSE_RACE_S = 0.3
@@ -77,13 +77,13 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A request as its caller sent it, and the answer.
 
     ``key_version`` is the configuration version that introduced its key. ``deadline_s`` is the time
     that the host was given for an answer.
 
-    ``host_life`` names the process that the request was sent to: the one that ran when the
+    ``process_name`` names the process that the request was sent to: the one that ran when the
     connection was open or, without a connection, when the request was created.
     ``is_connection_reused`` tells whether the connection was open before, and ``has_given_up``
     whether the caller disconnected at its deadline. ``failure`` is the error that ended an exchange
@@ -95,7 +95,7 @@
     path: str
     body: bytes
     key_version: int
-    host_life: str
+    process_name: str
     sent_s: float
     headers_sent_s: float | None = None
     fully_sent_s: float | None = None
@@ -109,7 +109,7 @@
     status: int | None = None
     stamp: str = ""
     answer: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
 
     @property
     def expires_s(self) -> float:
@@ -149,7 +149,7 @@
     and ``disturbances_by_host`` only the named one.
     """
 
-    sent: dict[str, Sent] = field(default_factory=dict)
+    sent: dict[str, SentRequest] = field(default_factory=dict)
     runs: dict[str, list[EndpointRun]] = field(default_factory=lambda: defaultdict(list))
     completed_s: dict[str, float] = field(default_factory=dict)
     revoked_s: dict[int, float] = field(default_factory=dict)
@@ -181,12 +181,14 @@
         """Record a violation; ``request_id`` is empty if it concerns no single request."""
         self.violations.append(Violation(check, request_id, detail))
 
-    def record_overdue_stop(self, life: str) -> None:
+    def record_overdue_stop(self, process_name: str) -> None:
         """Record that a process did not end within its grace period, unless it was paused in it."""
-        stopped_s = self.planned_stops[life]
-        if not any(_overlaps(span, stopped_s, stopped_s + GRACE_S) for span in self.pauses[life]):
+        stopped_s = self.planned_stops[process_name]
+        if not any(
+            _overlaps(span, stopped_s, stopped_s + GRACE_S) for span in self.pauses[process_name]
+        ):
             self.record_violation(
-                "stop took too long", "", f"{life} runs {GRACE_S} s after SIGTERM"
+                "stop took too long", "", f"{process_name} runs {GRACE_S} s after SIGTERM"
             )
 
     def record_run(self, run: EndpointRun) -> None:
@@ -221,24 +223,24 @@
         for sent in self.sent.values():
             found += self._check_request(sent)
             if self._is_unanswered(sent):
-                found.append(Violation("unanswered", sent.request_id, f"by {sent.host_life}"))
+                found.append(Violation("unanswered", sent.request_id, f"by {sent.process_name}"))
         return found + list(self._check_regressions()) + list(self._check_planned_stops())
 
-    def _check_request(self, sent: Sent) -> Iterable[Violation]:
+    def _check_request(self, sent: SentRequest) -> Iterable[Violation]:
         runs = self.runs.get(sent.request_id, [])
         if sent.kind is Kind.UNSAFE and len(runs) > 1:
             yield Violation("twice", sent.request_id, f"ran at {[run.endpoint for run in runs]}")
         if sent.status in NOT_RUN_STATUSES and runs:
             yield Violation("refused", sent.request_id, f"{sent.status}, ran at {runs[0].endpoint}")
-        if sent.status == 200 and sent.is_whole:
+        if sent.status == 200 and sent.is_complete:
             yield from self._check_answer(sent, runs)
         for forwarded_s in self.forwarded_s.get(sent.request_id, []):
             overdue_s = forwarded_s - sent.expires_s
             if overdue_s > OVERDUE_S:
-                detail = f"forwarded by {sent.host_life} {overdue_s:.2f} s after its deadline"
+                detail = f"forwarded by {sent.process_name} {overdue_s:.2f} s after its deadline"
                 yield Violation("overdue", sent.request_id, detail)
 
-    def _check_answer(self, sent: Sent, runs: list[EndpointRun]) -> Iterable[Violation]:
+    def _check_answer(self, sent: SentRequest, runs: list[EndpointRun]) -> Iterable[Violation]:
         if sent.stamp not in {run.endpoint for run in runs}:
             yield Violation(
                 "mixed", sent.request_id, f"stamp {sent.stamp!r} of an endpoint that did not run it"
@@ -251,9 +253,9 @@
 
         That would show that the process acts on an older configuration than before.
         """
-        by_life: defaultdict[str, list[Sent]] = defaultdict(list)
+        by_life: defaultdict[str, list[SentRequest]] = defaultdict(list)
         for sent in self.sent.values():
-            by_life[sent.host_life].append(sent)
+            by_life[sent.process_name].append(sent)
         for requests in by_life.values():
             accepted = [sent for sent in requests if sent.status == 200]
             for sent in requests:
@@ -266,7 +268,7 @@
                     detail = f"{sent.status} for key of version {sent.key_version} after {newest}"
                     yield Violation("regressed", sent.request_id, detail)
 
-    def _is_revoked(self, sent: Sent) -> bool:
+    def _is_revoked(self, sent: SentRequest) -> bool:
         """Return whether a request's key may have been revoked before its answer."""
         revoked_s = self.revoked_s.get(sent.key_version)
         return revoked_s is not None and (sent.ended_s is None or sent.ended_s >= revoked_s)
@@ -276,32 +278,34 @@
 
         Requests that are cut off while a fault disturbs the soak are not counted.
         """
-        for life, stopped_s in self.planned_stops.items():
-            for sent in (sent for sent in self.sent.values() if sent.host_life == life):
+        for process_name, stopped_s in self.planned_stops.items():
+            for sent in (sent for sent in self.sent.values() if sent.process_name == process_name):
                 connection = "kept" if sent.is_connection_reused else "new"
                 detail = (
-                    f"{life}, {connection} connection, "
+                    f"{process_name}, {connection} connection, "
                     f"{sent.sent_s - stopped_s:.2f} s after SIGTERM"
                 )
                 if self._is_lost(sent, stopped_s):
                     yield Violation("lost", sent.request_id, detail)
-                if sent.sent_s > self._notice_ends_s(life) and self.runs.get(sent.request_id):
+                if sent.sent_s > self._notice_ends_s(process_name) and self.runs.get(
+                    sent.request_id
+                ):
                     yield Violation("late", sent.request_id, detail)
 
-    def _notice_ends_s(self, life: str) -> float:
-        """Return the end of a stopping process's notice period, with its slack.
+    def _notice_ends_s(self, process_name: str) -> float:
+        """Return the end of a stopping process's deregistration delay, with its tolerance.
 
         A pause in that period starts it again: a paused process sees the signal, its timer and
         pending requests at the same time when it resumes.
         """
-        stopped_s = self.planned_stops[life]
-        ends_s = stopped_s + NOTICE_S + NOTICE_SLACK_S
-        for pause in self.pauses[life]:
+        stopped_s = self.planned_stops[process_name]
+        ends_s = stopped_s + DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S
+        for pause in self.pauses[process_name]:
             if _overlaps(pause, stopped_s, ends_s):
-                ends_s = max(ends_s, pause.end_s + NOTICE_S + NOTICE_SLACK_S)
+                ends_s = max(ends_s, pause.end_s + DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S)
         return ends_s
 
-    def _is_unanswered(self, sent: Sent) -> bool:
+    def _is_unanswered(self, sent: SentRequest) -> bool:
         """Return whether a request that was fully sent in undisturbed times has no answer at all.
 
         Two cases are excused: the caller gave up at its deadline, or the request crossed a
@@ -314,13 +318,13 @@
             return False
         if self._is_disturbed(sent.sent_s, sent.ended_s):
             return False
-        stopped_s = self.planned_stops.get(sent.host_life)
+        stopped_s = self.planned_stops.get(sent.process_name)
         if stopped_s is None or sent.ended_s < stopped_s:
             return True
         is_close_race = sent.ended_s - sent.fully_sent_s <= CLOSE_RACE_S
         return not is_close_race and not self.runs.get(sent.request_id)
 
-    def _is_lost(self, sent: Sent, stopped_s: float) -> bool:
+    def _is_lost(self, sent: SentRequest, stopped_s: float) -> bool:
         """Return whether a planned stop cut off a request that ran in undisturbed times.
 
         Requests that ended at their deadline, or that may be cut off, are excused.
@@ -331,9 +335,9 @@
             return False
         if _has_reached_deadline(sent) or self._is_unfinished_work(sent, stopped_s):
             return False
-        return sent.status is None or (sent.status == 200 and not sent.is_whole)
+        return sent.status is None or (sent.status == 200 and not sent.is_complete)
 
-    def _is_unfinished_work(self, sent: Sent, stopped_s: float) -> bool:
+    def _is_unfinished_work(self, sent: SentRequest, stopped_s: float) -> bool:
         """Return whether a request was still unfinished in the last part of the grace period.
 
         Such a request may be cut off if it was sent in the notice period. It is not excused if the
@@ -341,7 +345,7 @@
         may have crossed the close.
         """
         assert sent.ended_s is not None
-        is_in_notice = sent.sent_s <= stopped_s + NOTICE_S + NOTICE_SLACK_S
+        is_in_notice = sent.sent_s <= stopped_s + DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S
         is_in_last_part = sent.ended_s >= stopped_s + WORK_CUT_OFF_S
         completed_s = self.completed_s.get(sent.request_id, math.inf)
         return is_in_notice and is_in_last_part and completed_s > sent.ended_s - CLOSE_RACE_S
@@ -352,7 +356,7 @@
     def outcomes(self) -> Counter[str]:
         """Count the requests by kind and status."""
         return Counter(
-            f"{sent.kind.value} {sent.status if sent.is_whole or sent.status != 200 else 'cut'}"
+            f"{sent.kind.value} {sent.status if sent.is_complete or sent.status != 200 else 'cut'}"
             for sent in self.sent.values()
         )
 
@@ -361,13 +365,13 @@
     return span.begin_s < to_s and span.end_s > from_s
 
 
-def _has_reached_deadline(sent: Sent) -> bool:
+def _has_reached_deadline(sent: SentRequest) -> bool:
     """Return whether a request ended because of its deadline."""
     assert sent.ended_s is not None
     return sent.ended_s >= sent.expires_s - ANSWER_MARGIN_S
 
 
-def _newest_version_before(sent: Sent, accepted: Iterable[Sent]) -> int:
+def _newest_version_before(sent: SentRequest, accepted: Iterable[SentRequest]) -> int:
     """Return the newest version whose key was accepted before a request; 0 if there is none.
 
     Answers within ``REGRESSION_S`` before the request do not count.
@@ -382,7 +386,7 @@
     )
 
 
-def expected_answer(sent: Sent) -> bytes:
+def expected_answer(sent: SentRequest) -> bytes:
     """Return the body of a complete answer to a request."""
     if sent.kind is Kind.STREAM:
         numbers = range(1, sent.events + 1)
--- a/yewloom/tests/soak/noted_streams.py
+++ b/yewloom/tests/soak/noted_streams.py
@@ -6,18 +6,18 @@
 
 import httpcore
 
-from yewloom.tests.soak.ledger import Sent
+from yewloom.tests.soak.ledger import SentRequest
 
-current_request: ContextVar[Sent] = ContextVar("current_request")
+current_request: ContextVar[SentRequest] = ContextVar("current_request")
 """Request that the current task is sending."""
 
 
 class RecordedStream(httpcore.AsyncNetworkStream):
-    """A connection to one process of an entry host; ``life`` is the name of that process."""
+    """A connection to one process of an entry host, whose name is ``process_name``."""
 
-    def __init__(self, stream: httpcore.AsyncNetworkStream, life: str) -> None:
+    def __init__(self, stream: httpcore.AsyncNetworkStream, process_name: str) -> None:
         self._stream = stream
-        self._life = life
+        self._process_name = process_name
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Read up to ``max_bytes`` bytes."""
@@ -26,7 +26,7 @@
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         """Write bytes, and record the process and the port with the current request."""
         sent = current_request.get()
-        sent.host_life = self._life
+        sent.process_name = self._process_name
         sent.caller_port = self._stream.get_extra_info("client_addr")[1]
         await self._stream.write(buffer, timeout)
 
--- a/yewloom/tests/soak/operator.py
+++ b/yewloom/tests/soak/operator.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from yewloom.tests.soak.fleet import HOST, OTHER, PLAIN, Fleet, configuration
+from yewloom.tests.soak.fleet import OTHER_SERVICE, PLAIN_SERVICE, ROUTE_HOST, Fleet, configuration
 
 MAX_ADDED_ROUTES = 6
 """Maximum number of routes beside the initial ones. At the maximum, the next change drops one."""
@@ -27,7 +27,7 @@
 UNKNOWN_ROUTE = "never-added"
 """Name of a route that is in no version."""
 
-SERVICE_CHOICES = ((PLAIN,), (OTHER,), (PLAIN, OTHER))
+SERVICE_CHOICES = ((PLAIN_SERVICE,), (OTHER_SERVICE,), (PLAIN_SERVICE, OTHER_SERVICE))
 """Services to which an added route may send requests."""
 
 
@@ -95,7 +95,7 @@
 def _route(name: str, services: tuple[str, ...], timeout_ms: int) -> dict[str, object]:
     return {
         "name": name,
-        "host": HOST,
+        "host": ROUTE_HOST,
         "pathPrefix": f"/{name}/",
         "type": "idempotent",
         "timeoutMs": timeout_ms,
--- a/yewloom/tests/soak/process_waits.py
+++ b/yewloom/tests/soak/process_waits.py
@@ -24,7 +24,7 @@
 class CpuSample:
     """CPU time and run-queue waiting time of one process between two times of the soak's clock."""
 
-    life: str
+    process_name: str
     from_s: float
     to_s: float
     ran_s: float
@@ -49,19 +49,19 @@
     async def run(self) -> None:
         """Take samples until cancelled."""
         while True:
-            for life, pid in {SOAK_PROCESS: os.getpid(), **self._pids()}.items():
-                self._sample(life, pid)
+            for process_name, pid in {SOAK_PROCESS: os.getpid(), **self._pids()}.items():
+                self._sample(process_name, pid)
             await trio.sleep(SAMPLE_PERIOD_S)
 
-    def _sample(self, life: str, pid: int) -> None:
+    def _sample(self, process_name: str, pid: int) -> None:
         try:
             text = Path(f"/proc/{pid}/schedstat").read_text(encoding="ascii")
         except OSError:
             return  # The process has ended, or the system has no scheduler statistics.
         ran_ns, waited_ns, _ = (int(number) for number in text.split())
         now = _CpuCounters(trio.current_time(), ran_ns * SECONDS_PER_NS, waited_ns * SECONDS_PER_NS)
-        last = self._last.get(life)
-        self._last[life] = now
+        last = self._last.get(process_name)
+        self._last[process_name] = now
         if last is not None:
             deltas = now.ran_s - last.ran_s, now.waited_s - last.waited_s
-            self.samples.append(CpuSample(life, last.at_s, now.at_s, *deltas))
+            self.samples.append(CpuSample(process_name, last.at_s, now.at_s, *deltas))
--- a/yewloom/tests/soak/route_checks.py
+++ b/yewloom/tests/soak/route_checks.py
@@ -60,7 +60,7 @@
     """
 
     host: str
-    life: str
+    process_name: str
     route: str
     sent_s: float
     ended_s: float
@@ -117,7 +117,7 @@
         """Check that no process answers as an older version than one that it acted on before."""
         by_life: defaultdict[str, list[ProbeResult]] = defaultdict(list)
         for result in self._versioned_results:
-            by_life[result.life].append(result)
+            by_life[result.process_name].append(result)
         for results in by_life.values():
             shown = sorted((a.ended_s, min(self._allowing_versions(a), default=0)) for a in results)
             for result in results:
@@ -225,7 +225,8 @@
         newest_allowing = max(self._allowing_versions(result), default=0)
         next_version = self._written[min(newest_allowing + 1, len(self._written) - 1)]
         return (
-            f"{result.life} answered {result.status} {result.service} at {result.sent_s:.2f} s, "
+            f"{result.process_name} answered {result.status} {result.service} "
+            f"at {result.sent_s:.2f} s, "
             f"which version {self._written[newest_allowing].version} allows; "
             f"version {next_version.version} is {result.sent_s - next_version.at_s:.2f} s old"
         )
--- a/yewloom/tests/soak/route_probes.py
+++ b/yewloom/tests/soak/route_probes.py
@@ -7,8 +7,8 @@
 import trio
 
 from yewloom.tests.soak.endpoints import PLAIN_WORK_S, WORK_HEADER
-from yewloom.tests.soak.fleet import HOST, EntryProcess, Fleet, key_of
-from yewloom.tests.soak.ledger import Kind, Sent
+from yewloom.tests.soak.fleet import ROUTE_HOST, EntryProcess, Fleet, api_key
+from yewloom.tests.soak.ledger import Kind, SentRequest
 from yewloom.tests.soak.operator import UNKNOWN_ROUTE, Operator
 from yewloom.tests.soak.route_checks import ProbeResult
 
@@ -63,11 +63,11 @@
     async def _probe(self, entry: EntryProcess, route: str) -> None:
         work_s = LONG_WORK_S if self._rng.random() < LONG_SHARE else PLAIN_WORK_S
         request_id = f"probe-{next(self._numbers)}"
-        life, sent_s = entry.life, trio.current_time()
+        process_name, sent_s = entry.process_name, trio.current_time()
         path = f"/{route}/{request_id}"
         # The ledger reports a request that runs at an endpoint but was not recorded as sent.
-        self._fleet.ledger.sent[request_id] = Sent(
-            request_id, Kind.SAFE, path, b"", self._fleet.version, life, sent_s
+        self._fleet.ledger.sent[request_id] = SentRequest(
+            request_id, Kind.SAFE, path, b"", self._fleet.version, process_name, sent_s
         )
         status, stamp = None, ""
         with trio.move_on_after(TIMEOUT_S):
@@ -75,7 +75,14 @@
         service = stamp.rpartition("-")[0]
         self.results.append(
             ProbeResult(
-                entry.name, life, route, sent_s, trio.current_time(), status, service, work_s
+                entry.name,
+                process_name,
+                route,
+                sent_s,
+                trio.current_time(),
+                status,
+                service,
+                work_s,
             )
         )
 
@@ -84,10 +91,10 @@
     ) -> tuple[int | None, str]:
         """Return the status, None without an answer, and the name of the endpoint that answered."""
         headers: dict[bytes | str, bytes | str] = {
-            "host": HOST,
+            "host": ROUTE_HOST,
             "yewloom-request-id": request_id,
             "yewloom-deadline-ms": str(round(TIMEOUT_S * 1000)),
-            "authorization": f"Token {key_of(self._fleet.version)}",
+            "authorization": f"Token {api_key(self._fleet.version)}",
             WORK_HEADER: str(work_s),
         }
         try:
--- a/yewloom/tests/soak/run.py
+++ b/yewloom/tests/soak/run.py
@@ -165,11 +165,14 @@
                 while not await _is_served(caller, kind):  # noqa: ASYNC110 - asks a process
                     await trio.sleep(POLL_S)
         if timer.cancelled_caught:
-            detail = f"{entry.life} does not serve after {limit_s} s; exit code {entry.exit_code}"
+            detail = (
+                f"{entry.process_name} does not serve after {limit_s} s; "
+                f"exit code {entry.exit_code}"
+            )
             fleet.ledger.record_violation("serves", "", detail)
 
 
 async def _is_served(caller: Caller, kind: Kind) -> bool:
     async with caller.open_pool() as pool:
         sent = await caller.send(pool, kind)
-    return sent.status == 200 and sent.is_whole
+    return sent.status == 200 and sent.is_complete
--- a/yewloom/tests/support.py
+++ b/yewloom/tests/support.py
@@ -28,8 +28,8 @@
     """Fault that a fake platform injects into one write."""
 
     NONE = "none"
-    REFUSE = "refuse"
-    LOSE_ANSWER = "lose_answer"
+    REJECT = "refuse"
+    LOSE_RESPONSE = "lose_answer"
     LOSE_WRITE = "lose_write"
     DELAY_WRITE = "apply_late"
 
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
-        self.faults: list[WriteFault] = []
+        self.next_write_faults: list[WriteFault] = []
         self.is_unavailable = False
         self.is_down = False
         self.listed_hosts: list[Host] = []
@@ -61,15 +61,15 @@
     ) -> Result[int, PlatformError]:
         self.calls["update"] += 1
         await trio.lowlevel.checkpoint()
-        fault = self.faults.pop(0) if self.faults else WriteFault.NONE
-        if self.is_unavailable or fault is WriteFault.REFUSE:
+        fault = self.next_write_faults.pop(0) if self.next_write_faults else WriteFault.NONE
+        if self.is_unavailable or fault is WriteFault.REJECT:
             return _UNAVAILABLE
         if fault is WriteFault.DELAY_WRITE:
             self.delayed_writes.append((key, value, expected_version))
         if fault in (WriteFault.DELAY_WRITE, WriteFault.LOSE_WRITE):
             return _ANSWER_LOST
         version = self._apply(key, value, expected_version)
-        if fault is WriteFault.LOSE_ANSWER:
+        if fault is WriteFault.LOSE_RESPONSE:
             return _ANSWER_LOST
         if version is None:
             return Err(PlatformError(PlatformFailure.CONFLICT, "another version"))
@@ -157,7 +157,7 @@
     REFUSE = "refuse"
     FAIL = "fail"
     BREAK = "break"
-    BREAK_LATER = "break_later"
+    BREAK_AFTER_TWO_TOKENS = "break_later"
     STALL = "stall"
     LOSE_STATE = "lose_state"
 
@@ -233,7 +233,7 @@
             raise EndpointError(CallFailure.ENDPOINT_ERROR, "status 500")
         break_after_by_fault = {CallFault.BREAK: 0, CallFault.STALL: 1, CallFault.LOSE_STATE: 1}
         break_after = break_after_by_fault.get(
-            fault, 2 if fault is CallFault.BREAK_LATER else len(self.tokens)
+            fault, 2 if fault is CallFault.BREAK_AFTER_TWO_TOKENS else len(self.tokens)
         )
         for sent, offset in enumerate(range(call.offset, len(self.tokens))):
             if sent == break_after:
--- a/yewloom/tests/test_callers.py
+++ b/yewloom/tests/test_callers.py
@@ -23,7 +23,7 @@
 from yewloom.service_dispatch import ServiceDispatcher
 from yewloom.settings import parse_settings
 from yewloom.tests.support import FakeEngines, FakePlatform, make_policy, run_on_mock_clock
-from yewloom.tests.test_dispatch import ANSWER, SETTINGS
+from yewloom.tests.test_dispatch import SETTINGS, TOKENS
 
 KEY = "secret"
 CHAT = {"model": "m", "messages": [{"role": "user", "content": "x"}]}
@@ -87,7 +87,7 @@
         node.table.apply(VersionedRow(name=name, version=1, row=row))
     node.is_table_loaded = True
     node.admission = AdmissionController(4, 4)
-    slots, engines = SlotPool(node.admission), FakeEngines(ANSWER)
+    slots, engines = SlotPool(node.admission), FakeEngines(TOKENS)
 
     def share_of(customer: CustomerId, row: CustomerRow) -> int:
         return share
--- a/yewloom/tests/test_claims.py
+++ b/yewloom/tests/test_claims.py
@@ -100,7 +100,7 @@
     ) -> None:
         async def scenario() -> _Harness:
             platform = FakePlatform()
-            platform.faults = list(faults)
+            platform.next_write_faults = list(faults)
             harness = _Harness(platform)
             async with trio.open_nursery() as nursery:
                 for outage_s in outages:
--- a/yewloom/tests/test_crash_checks.py
+++ b/yewloom/tests/test_crash_checks.py
@@ -15,12 +15,12 @@
 from yewloom.ids import EntryHostId, Fingerprint
 from yewloom.quarantine import Quarantine
 from yewloom.tests.entry_support import make_plain
-from yewloom.tests.forwarding_support import Endpoint as ScriptedEndpoint
 from yewloom.tests.forwarding_support import (
     ForwarderFixture,
-    answer_ok,
-    close_without_answer,
+    ScriptedEndpoint,
+    close_without_response,
     event,
+    respond_ok,
     run,
 )
 from yewloom.tests.free_ports import allocate_address
@@ -152,10 +152,10 @@
                 await _add_crashing_endpoint(fixture, f"p{number}")
                 for number in range(CRASH_THRESHOLD + 3)
             ]
-            statuses = [(await fixture.ask("/r/1")).status for _ in range(4)]
+            statuses = [(await fixture.request("/r/1")).status for _ in range(4)]
             self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), CRASH_THRESHOLD)
             self.assertEqual(statuses, [502, 502, 503, 503])
-            rejected = await fixture.ask("/r/1")
+            rejected = await fixture.request("/r/1")
             self.assertGreater(int(rejected.headers[b"retry-after"]), 60)
 
         run(test)
@@ -167,10 +167,10 @@
             leaders = [ScriptedEndpoint(_abort_stream) for _ in range(CRASH_THRESHOLD + 3)]
             for number, leader in enumerate(leaders):
                 await fixture.add_engine(f"e{number}", leader, closes_port_on_request=True)
-            responses = [await fixture.ask("/s/1") for _ in range(3)]
+            responses = [await fixture.request("/s/1") for _ in range(3)]
             self.assertEqual(sum(len(leader.requests) for leader in leaders), CRASH_THRESHOLD)
             self.assertEqual([response.status for response in responses], [200, 200, 503])
-            self.assertEqual([response.is_whole for response in responses], [False, False, True])
+            self.assertEqual([response.is_complete for response in responses], [False, False, True])
 
         run(test)
 
@@ -179,19 +179,19 @@
             for number in range(CRASH_THRESHOLD):
                 await _add_crashing_endpoint(fixture, f"p{number}")
             for _ in range(2):
-                await fixture.ask("/r/1")
-            await fixture.add_plain("well", ScriptedEndpoint(answer_ok))
-            self.assertEqual((await fixture.ask("/r/1")).status, 503)
-            self.assertEqual((await fixture.ask("/r/2")).status, 200)
+                await fixture.request("/r/1")
+            await fixture.add_plain("well", ScriptedEndpoint(respond_ok))
+            self.assertEqual((await fixture.request("/r/1")).status, 503)
+            self.assertEqual((await fixture.request("/r/2")).status, 200)
 
         run(test)
 
     def test_a_request_aborted_by_endpoints_that_keep_running_is_never_quarantined(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             for number in range(4):
-                await fixture.add_plain(f"p{number}", ScriptedEndpoint(close_without_answer))
+                await fixture.add_plain(f"p{number}", ScriptedEndpoint(close_without_response))
             for _ in range(4):
-                self.assertEqual((await fixture.ask("/r/1")).status, 502)
+                self.assertEqual((await fixture.request("/r/1")).status, 502)
             self.assertFalse(fixture.crashes.record.has_any)
 
         run(test)
@@ -199,7 +199,7 @@
 
 async def _add_crashing_endpoint(fixture: ForwarderFixture, name: str) -> ScriptedEndpoint:
     """Add an endpoint whose process ends when it receives a request."""
-    endpoint = ScriptedEndpoint(close_without_answer)
+    endpoint = ScriptedEndpoint(close_without_response)
     await fixture.add_plain(name, endpoint, closes_port_on_request=True)
     return endpoint
 
--- a/yewloom/tests/test_crashing_request.py
+++ b/yewloom/tests/test_crashing_request.py
@@ -5,8 +5,8 @@
 
 import trio
 
-from yewloom.tests.soak.fragile import EndpointLedger
-from yewloom.tests.soak.fragile_play import play_fragile
+from yewloom.tests.soak.fragile import EndpointTimes
+from yewloom.tests.soak.fragile_play import run_with_fragile_endpoints
 
 OTHER_REQUEST_PAUSE_S = 0.04
 """Pause between two requests other than the crashing one."""
@@ -27,7 +27,11 @@
     def test_it_crashes_few_more_endpoints_after_restarts_of_all_hosts(self) -> None:
         """Guards against three more crashes each time that all hosts restart at once."""
         play = partial(
-            play_fragile, DURATION_S / 2, OTHER_REQUEST_PAUSE_S, is_crashing=True, restarts=2
+            run_with_fragile_endpoints,
+            DURATION_S / 2,
+            OTHER_REQUEST_PAUSE_S,
+            is_crashing=True,
+            restarts=2,
         )
         self._check(trio.run(play).seen)
 
@@ -35,11 +39,13 @@
         """Guards against a retried request that crashes every endpoint it reaches."""
         self._check(
             trio.run(
-                partial(play_fragile, DURATION_S, OTHER_REQUEST_PAUSE_S, is_crashing=True)
+                partial(
+                    run_with_fragile_endpoints, DURATION_S, OTHER_REQUEST_PAUSE_S, is_crashing=True
+                )
             ).seen
         )
 
-    def _check(self, seen: EndpointLedger) -> None:
+    def _check(self, seen: EndpointTimes) -> None:
         """Check how many endpoints the request reached after all hosts knew of it."""
         self.assertGreaterEqual(len(seen.ended_s), 3)
         known_everywhere_s = seen.ended_s[2] + PROPAGATION_S
--- a/yewloom/tests/test_dispatch.py
+++ b/yewloom/tests/test_dispatch.py
@@ -33,7 +33,7 @@
 from yewloom.streams import StreamPosition
 from yewloom.tests.support import CallFault, FakeEngines, make_policy, run_on_mock_clock
 
-ANSWER = ("one ", "two ", "three ", "four ", "five ")
+TOKENS = ("one ", "two ", "three ", "four ", "five ")
 CUSTOMER = CustomerRow(weight=1, max_in_flight=10, max_queue_ms=1000, priority=5)
 SETTINGS = """
 [host]
@@ -153,7 +153,7 @@
         customer_row=CUSTOMER,
         model=ModelName("m"),
         prompt="user: hello",
-        max_tokens=len(ANSWER),
+        max_tokens=len(TOKENS),
         session="s",
         deadline_s=trio.current_time() + 20,
         is_unsafe=is_unsafe,
@@ -168,56 +168,58 @@
     def test_responses_are_complete_and_outcomes_correct(
         self, faults: list[CallFault], is_unsafe: bool
     ) -> None:
-        engines = FakeEngines(ANSWER, faults)
+        engines = FakeEngines(TOKENS, faults)
         result = _Harness(engines).generate(is_unsafe)
-        self.assertEqual(result.tokens, ANSWER[: len(result.tokens)])
+        self.assertEqual(result.tokens, TOKENS[: len(result.tokens)])
         if result.problem is None:
-            self.assertEqual(result.tokens, ANSWER)
+            self.assertEqual(result.tokens, TOKENS)
         elif result.problem.outcome is Outcome.NOT_RUN:
             self.assertEqual(engines.runs["r1"], 0)
         if is_unsafe:
             self.assertLessEqual(engines.runs["r1"], 1)
 
     def test_a_broken_stream_is_resumed_where_it_broke(self) -> None:
-        engines = FakeEngines(ANSWER, [CallFault.BREAK_LATER, CallFault.BREAK_LATER])
+        engines = FakeEngines(
+            TOKENS, [CallFault.BREAK_AFTER_TWO_TOKENS, CallFault.BREAK_AFTER_TWO_TOKENS]
+        )
         result = _Harness(engines).generate(is_unsafe=True)
-        self.assertEqual(result.tokens, ANSWER)
+        self.assertEqual(result.tokens, TOKENS)
         self.assertEqual(engines.runs["r1"], 1)
 
     def test_a_request_moves_to_another_group_after_a_replica_is_lost(self) -> None:
-        engines = FakeEngines(ANSWER, [CallFault.LOSE_STATE])
+        engines = FakeEngines(TOKENS, [CallFault.LOSE_STATE])
         result = _Harness(engines).generate()
-        self.assertEqual(result.tokens, ANSWER)
+        self.assertEqual(result.tokens, TOKENS)
         self.assertEqual(engines.runs["r1"], 2)
 
     def test_an_unsafe_request_on_a_lost_replica_has_an_unknown_outcome(self) -> None:
-        engines = FakeEngines(ANSWER, [CallFault.LOSE_STATE])
+        engines = FakeEngines(TOKENS, [CallFault.LOSE_STATE])
         result = _Harness(engines).generate(is_unsafe=True)
         assert result.problem is not None
         self.assertEqual(result.problem.outcome, Outcome.UNKNOWN)
 
     def test_a_request_given_up_is_answered_immediately_with_retry_after(self) -> None:
-        engines = FakeEngines(ANSWER, [CallFault.FAIL])
+        engines = FakeEngines(TOKENS, [CallFault.FAIL])
         result = _Harness(engines).generate(is_unsafe=True)
         assert result.problem is not None
         self.assertLess(result.ended_s, 0.5)
         self.assertIsNotNone(result.problem.retry_after_s)
 
     def test_without_an_open_group_not_run_is_reported_immediately(self) -> None:
-        result = _Harness(FakeEngines(ANSWER), groups=0).generate()
+        result = _Harness(FakeEngines(TOKENS), groups=0).generate()
         assert result.problem is not None
         self.assertEqual(result.problem.outcome, Outcome.NOT_RUN)
         self.assertLess(result.ended_s, 0.5)
 
     def test_retries_stop_when_the_budget_is_spent(self) -> None:
-        engines = FakeEngines(ANSWER, [CallFault.REFUSE] * 100)
+        engines = FakeEngines(TOKENS, [CallFault.REFUSE] * 100)
         result = _Harness(engines).generate()
         assert result.problem is not None
         self.assertGreater(len(engines.faults), 80)
         self.assertEqual(result.problem.outcome, Outcome.NOT_RUN)
 
     def test_the_stream_of_a_disconnected_caller_is_cancelled_after_the_grace_period(self) -> None:
-        engines = FakeEngines(ANSWER)
+        engines = FakeEngines(TOKENS)
         harness = _Harness(engines)
 
         async def scenario() -> tuple[int, int]:
@@ -236,7 +238,7 @@
         self.assertEqual(harness.slots.admission.in_flight, 0)
 
     def test_a_stream_is_resumed_at_another_entry_host(self) -> None:
-        engines = FakeEngines(ANSWER)
+        engines = FakeEngines(TOKENS)
         engines.running.add(("h1:1", "r0"))
         harness = _Harness(engines)
 
@@ -251,7 +253,7 @@
                 nursery.cancel_scope.cancel()
             return tokens
 
-        self.assertEqual(tuple(run_on_mock_clock(scenario)), ANSWER[2:])
+        self.assertEqual(tuple(run_on_mock_clock(scenario)), TOKENS[2:])
         self.assertEqual(engines.runs["r0"], 0)
 
 
@@ -263,7 +265,7 @@
     def test_unsafe_calls_run_at_most_once_and_outcomes_are_correct(
         self, faults: list[CallFault], is_unsafe: bool
     ) -> None:
-        engines = FakeEngines(ANSWER, faults)
+        engines = FakeEngines(TOKENS, faults)
         harness = _Harness(engines)
 
         async def scenario() -> Outcome:
--- a/yewloom/tests/test_engine_restart.py
+++ b/yewloom/tests/test_engine_restart.py
@@ -18,35 +18,35 @@
     """Groups do not rely on state of an earlier process, and requests are served again."""
 
     def test_group_is_formed_again_after_the_leader_or_another_member_restarts(self) -> None:
-        async def test(world: ProcessFleet) -> None:
-            [entry] = world.fleet.entries
+        async def test(fleet: ProcessFleet) -> None:
+            [entry] = fleet.fleet.entries
             for clock_step_ms in CLOCK_STEPS_MS:
                 for rank in (0, 1):
-                    await self._restart(world, entry, rank, clock_step_ms)
-            self.assertEqual(world.fleet.ledger.check(), [])
+                    await self._restart(fleet, entry, rank, clock_step_ms)
+            self.assertEqual(fleet.fleet.ledger.check(), [])
 
         run(test)
 
     async def _restart(
-        self, world: ProcessFleet, entry: EntryProcess, rank: int, clock_step_ms: int
+        self, fleet: ProcessFleet, entry: EntryProcess, rank: int, clock_step_ms: int
     ) -> None:
         """Restart a member of an open group, and wait until it is in an open group again."""
-        chosen = next(e for e in world.fleet.engines if self._rank(e) == rank)
-        for leader in world.fleet.engines:
+        chosen = next(e for e in fleet.fleet.engines if self._rank(e) == rank)
+        for leader in fleet.fleet.engines:
             if leader.engine.name in chosen.engine.members[:1] and leader is not chosen:
                 # The leader stalls without its member.
                 leader.engine.progress_enabled = trio.Event()
         chosen.engine.restart(clock_step_ms)
-        while not self._is_in_open_group(world, chosen):  # noqa: ASYNC110 - other processes
+        while not self._is_in_open_group(fleet, chosen):  # noqa: ASYNC110 - other processes
             await trio.sleep(POLL_INTERVAL_S)
-        await world.wait_until_served(entry)
+        await fleet.wait_until_served(entry)
 
     def _rank(self, engine: SoakEngine) -> int | None:
         group = engine.engine.group
         return group["rank"] if group is not None else None
 
-    def _is_in_open_group(self, world: ProcessFleet, member: SoakEngine) -> bool:
-        by_name = {engine.engine.name: engine.engine for engine in world.fleet.engines}
+    def _is_in_open_group(self, fleet: ProcessFleet, member: SoakEngine) -> bool:
+        by_name = {engine.engine.name: engine.engine for engine in fleet.fleet.engines}
         leaders = [by_name[name] for name in member.engine.members[:1]]
         return any(
             leader.group is not None and leader.group["state"] == "open" for leader in leaders
--- a/yewloom/tests/test_entry_process.py
+++ b/yewloom/tests/test_entry_process.py
@@ -19,7 +19,14 @@
 from yewloom.tests.soak.balancer import Balancer
 from yewloom.tests.soak.callers import Caller
 from yewloom.tests.soak.fleet import EntryProcess, Fleet, configuration
-from yewloom.tests.soak.ledger import GRACE_S, NOTICE_S, NOTICE_SLACK_S, Kind, Ledger, Sent
+from yewloom.tests.soak.ledger import (
+    DEREGISTRATION_S,
+    DEREGISTRATION_TOLERANCE_S,
+    GRACE_S,
+    Kind,
+    Ledger,
+    SentRequest,
+)
 
 TEST_LIMIT_S = 120.0
 """Time limit of a test; reaching it fails the test."""
@@ -88,7 +95,7 @@
         self._sent_count = 0
         self._events = SHORT.events
 
-    async def ask(self, entry: EntryProcess, kind: Kind = Kind.STREAM) -> Sent:
+    async def ask(self, entry: EntryProcess, kind: Kind = Kind.STREAM) -> SentRequest:
         """Send one request on its own connection."""
         self._sent_count += 1
         caller = Caller(entry, self.fleet, self._balancer, self.fleet.ledger, self._sent_count)
@@ -117,7 +124,7 @@
 
     async def open_streams(
         self, nursery: trio.Nursery, entry: EntryProcess, count: int
-    ) -> list[Sent]:
+    ) -> list[SentRequest]:
         """Open streams; return their records once that many are open and have their first event.
 
         A stream that ends without an event is started again, because a busy fleet rejects some.
@@ -126,7 +133,11 @@
         started_count = 0
         while True:
             sent = self.fleet.ledger.sent
-            new = [s for i, s in sent.items() if i not in before and s.host_life == entry.life]
+            new = [
+                s
+                for i, s in sent.items()
+                if i not in before and s.process_name == entry.process_name
+            ]
             streaming = [s for s in new if s.answer and s.ended_s is None]
             if len(streaming) == count:
                 return streaming
@@ -162,9 +173,9 @@
         trio.run(main)
 
 
-def _is_served(sent: Sent) -> bool:
+def _is_served(sent: SentRequest) -> bool:
     """Return whether a stream was received completely."""
-    return sent.status == 200 and sent.is_whole
+    return sent.status == 200 and sent.is_complete
 
 
 def _long_timeout_configuration(version: int) -> dict[str, Any]:
@@ -179,7 +190,7 @@
 def _describe_end(entry: EntryProcess) -> str:
     """Return how a process ended, with the end of its log."""
     code = entry.process.returncode if entry.process is not None else None
-    return f"{entry.life} ended with {code}: {entry.log.read_text()[-2000:]}"
+    return f"{entry.process_name} ended with {code}: {entry.log.read_text()[-2000:]}"
 
 
 async def _wait_for_log(entry: EntryProcess, event: str) -> None:
@@ -273,7 +284,7 @@
             entry = process_fleet.fleet.entries[0]
             for kind, stopped_s in itertools.product(Kind, (1.5, 3.0)):
                 async with trio.open_nursery() as nursery:
-                    sent: list[Sent] = []
+                    sent: list[SentRequest] = []
                     entry.signal(signal.SIGSTOP)
                     nursery.start_soon(self._send_and_record, process_fleet, entry, sent, kind)
                     await trio.sleep(stopped_s)
@@ -283,7 +294,7 @@
 
         with (
             mock.patch("yewloom.tests.soak.callers.DEADLINE_S", SHORT_DEADLINE_S),
-            mock.patch("yewloom.tests.soak.callers.PATIENCES_S", (EXTRA_WAIT_S,)),
+            mock.patch("yewloom.tests.soak.callers.EXTRA_WAITS_S", (EXTRA_WAIT_S,)),
             mock.patch("yewloom.tests.test_entry_process.TIMEOUT_S", SHORT_DEADLINE_S),
         ):
             run(test)
@@ -295,9 +306,9 @@
             entry = process_fleet.fleet.entries[0]
             entry.signal(signal.SIGSTOP)
             entry.signal(signal.SIGTERM)
-            await trio.sleep(NOTICE_S + NOTICE_SLACK_S)
+            await trio.sleep(DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S)
             entry.signal(signal.SIGCONT)
-            await trio.sleep(NOTICE_SLACK_S)
+            await trio.sleep(DEREGISTRATION_TOLERANCE_S)
             sent = await process_fleet.ask(entry)
             self.assertNotEqual(sent.status, 200)
             self.assertEqual(process_fleet.fleet.ledger.runs.get(sent.request_id, []), [])
@@ -340,7 +351,7 @@
     async def _send_and_stop(self, process_fleet: ProcessFleet, entry: EntryProcess) -> None:
         """Request a stop while requests wait for a process that is still starting."""
         async with trio.open_nursery() as nursery:
-            sent: list[Sent] = []
+            sent: list[SentRequest] = []
             for _ in range(5):
                 nursery.start_soon(self._send_and_record, process_fleet, entry, sent)
             await trio.sleep(POLL_INTERVAL_S)
@@ -351,7 +362,7 @@
         self,
         process_fleet: ProcessFleet,
         entry: EntryProcess,
-        sent: list[Sent],
+        sent: list[SentRequest],
         kind: Kind = Kind.STREAM,
     ) -> None:
         sent.append(await process_fleet.ask(entry, kind))
@@ -386,7 +397,7 @@
             )
         self._assert_clean_exit(entry, streams)
 
-    def _assert_clean_exit(self, entry: EntryProcess, streams: list[Sent]) -> None:
+    def _assert_clean_exit(self, entry: EntryProcess, streams: list[SentRequest]) -> None:
         assert entry.process is not None
         self.assertEqual(entry.process.returncode, 0, _describe_end(entry))
         self.assertIn('"event": "stopped"', entry.log.read_text())
@@ -396,7 +407,7 @@
         async def test(process_fleet: ProcessFleet) -> None:
             entry = process_fleet.fleet.entries[0]
             await _restart(entry)
-            await entry.wait_until_taken(signal.SIGTERM)
+            await entry.wait_until_handled(signal.SIGTERM)
             entry.signal(signal.SIGTERM)
             await entry.wait_ended()
             self._assert_clean_exit(entry, [])
--- a/yewloom/tests/test_forwarding.py
+++ b/yewloom/tests/test_forwarding.py
@@ -22,15 +22,15 @@
     LONG_BODY,
     STREAM_ROUTE,
     UNSAFE_ROUTE,
-    Endpoint,
     ForwarderFixture,
+    ScriptedEndpoint,
     SharedEndpoint,
-    answer_ok,
     answer_with_long_body,
-    close_without_answer,
+    close_without_response,
     event,
-    fail,
     refuse_not_run,
+    respond_ok,
+    respond_with_error,
     run,
 )
 
@@ -38,7 +38,7 @@
 """Resolution at which the operating system reports how long bytes have waited, plus a margin."""
 
 
-async def pause_mid_stream(endpoint: Endpoint, request: h11.Request) -> None:
+async def pause_mid_stream(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Pause between two events for longer than the stall timeout."""
     await endpoint.start(200)
     await endpoint.send(event(1))
@@ -52,9 +52,9 @@
 
     def test_method_path_query_and_body_are_forwarded_unchanged(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            endpoint = Endpoint(answer_ok)
+            endpoint = ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p", endpoint)
-            response = await fixture.ask("/u/x%20y?a=1&a=2", x_extra="7")
+            response = await fixture.request("/u/x%20y?a=1&a=2", x_extra="7")
             self.assertEqual((response.status, response.body), (200, b"fine"))
             self.assertEqual(response.headers[b"yewloom-server-stamp"], b"stamp")
             [request] = endpoint.requests
@@ -70,10 +70,13 @@
 
     def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            endpoints = [Endpoint(close_without_answer), Endpoint(close_without_answer)]
+            endpoints = [
+                ScriptedEndpoint(close_without_response),
+                ScriptedEndpoint(close_without_response),
+            ]
             for number, endpoint in enumerate(endpoints):
                 await fixture.add_plain(f"p{number}", endpoint)
-            response = await fixture.ask("/u/1")
+            response = await fixture.request("/u/1")
             self.assertEqual(response.status, 502)
             self.assertEqual(sum(len(endpoint.requests) for endpoint in endpoints), 1)
 
@@ -81,11 +84,11 @@
 
     def test_an_unsafe_request_that_did_not_run_is_retried_elsewhere(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            full, free = Endpoint(refuse_not_run), Endpoint(answer_ok)
+            full, free = ScriptedEndpoint(refuse_not_run), ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p1", full)
             await fixture.add_plain("p2", free)
             fixture.selector.begin(HostId("p2"))
-            self.assertEqual((await fixture.ask("/u/1")).status, 200)
+            self.assertEqual((await fixture.request("/u/1")).status, 200)
             self.assertEqual((len(full.requests), len(free.requests)), (1, 1))
 
         run(test)
@@ -94,10 +97,10 @@
         """Guards against forwarding requests that have expired while the event loop was blocked."""
 
         async def test(fixture: ForwarderFixture) -> None:
-            endpoint = Endpoint(answer_ok)
+            endpoint = ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p", endpoint)
             for path in ("/u/1", "/r/1"):
-                response = await fixture.ask_while_blocked(path, 0.5, yewloom_deadline_ms="300")
+                response = await fixture.request_while_blocked(path, 0.5, yewloom_deadline_ms="300")
                 self.assertEqual(response.status, 503)
             self.assertEqual(endpoint.requests, [])
 
@@ -105,9 +108,9 @@
 
     def test_a_request_read_late_gets_only_its_remaining_time(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            endpoint = Endpoint(answer_ok)
+            endpoint = ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p", endpoint)
-            response = await fixture.ask_while_blocked("/u/1", 0.5, yewloom_deadline_ms="1500")
+            response = await fixture.request_while_blocked("/u/1", 0.5, yewloom_deadline_ms="1500")
             self.assertEqual(response.status, 200)
             remaining_ms = int(dict(endpoint.requests[0].headers)[b"yewloom-deadline-ms"])
             self.assertLessEqual(remaining_ms, 1000 + TIMER_TOLERANCE_MS)
@@ -126,9 +129,9 @@
             return await connect(*address, **options)
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_ok))
+            await fixture.add_plain("p", ScriptedEndpoint(respond_ok))
             with mock.patch("yewloom.endpoint_calls.trio.open_tcp_stream", connect_late):
-                response = await fixture.ask_while_blocked("/u/1", 0.0)
+                response = await fixture.request_while_blocked("/u/1", 0.0)
             self.assertEqual((response.status, len(calls)), (200, 2))
             self.assertEqual(fixture.stalls.suspected(trio.current_time()), set())
 
@@ -136,8 +139,8 @@
 
     def test_a_refusal_has_a_retry_after_header(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(refuse_not_run))
-            response = await fixture.ask("/u/1")
+            await fixture.add_plain("p", ScriptedEndpoint(refuse_not_run))
+            response = await fixture.request("/u/1")
             self.assertEqual(response.status, 503)
             self.assertGreater(float(response.headers[b"retry-after"]), 0)
             self.assertNotIn(b"yewloom-server-stamp", response.headers)
@@ -147,25 +150,25 @@
     def test_a_refused_connection_leads_to_a_refusal(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             fixture.directory.put(make_plain("p", "127.0.0.1:1"))
-            self.assertEqual((await fixture.ask("/u/1")).status, 503)
+            self.assertEqual((await fixture.request("/u/1")).status, 503)
 
         run(test)
 
     def test_a_failed_repeatable_request_is_retried_elsewhere(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            bad, good = Endpoint(fail), Endpoint(answer_ok)
+            bad, good = ScriptedEndpoint(respond_with_error), ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p1", bad)
             await fixture.add_plain("p2", good)
             fixture.selector.begin(HostId("p2"))
-            self.assertEqual((await fixture.ask("/r/1")).status, 200)
+            self.assertEqual((await fixture.request("/r/1")).status, 200)
             self.assertEqual((len(bad.requests), len(good.requests)), (1, 1))
 
         run(test)
 
     def test_the_failure_of_the_last_endpoint_is_forwarded_unchanged(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p1", Endpoint(fail))
-            response = await fixture.ask("/r/1")
+            await fixture.add_plain("p1", ScriptedEndpoint(respond_with_error))
+            response = await fixture.request("/r/1")
             self.assertEqual((response.status, response.body), (500, b"oops"))
             self.assertEqual(response.headers[b"yewloom-server-stamp"], b"stamp")
 
@@ -175,24 +178,24 @@
         """Guards against two requests that rely on the same retry: one would get status 502."""
         both_requested = trio.Event()
 
-        async def fail_both_at_once(endpoint: Endpoint, request: h11.Request) -> None:
+        async def fail_both_at_once(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             if len(failing.requests) == 2:
                 both_requested.set()
             await both_requested.wait()
-            await fail(endpoint, request)
+            await respond_with_error(endpoint, request)
 
         failing = SharedEndpoint(fail_both_at_once)
 
         async def test(fixture: ForwarderFixture) -> None:
             await fixture.add_plain("p0", failing)
-            await fixture.add_plain("p1", Endpoint(answer_ok))
+            await fixture.add_plain("p1", ScriptedEndpoint(respond_ok))
             for _ in range(PLAIN_SERVICE_SLOTS):
                 fixture.selector.begin(HostId("p1"))
             fixture.retries_left = 1.0
             statuses: list[int] = []
 
             async def ask() -> None:
-                statuses.append((await fixture.ask("/r/1")).status)
+                statuses.append((await fixture.request("/r/1")).status)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
@@ -202,48 +205,48 @@
         run(test)
 
     def test_a_response_to_another_request_is_not_forwarded(self) -> None:
-        async def answer_other_request(endpoint: Endpoint, request: h11.Request) -> None:
+        async def answer_other_request(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.send_raw(
                 b"HTTP/1.1 200 OK\r\nyewloom-request-id: other\r\ncontent-length: 1\r\n\r\nx"
             )
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_other_request))
-            self.assertEqual((await fixture.ask("/u/1")).status, 502)
+            await fixture.add_plain("p", ScriptedEndpoint(answer_other_request))
+            self.assertEqual((await fixture.request("/u/1")).status, 502)
 
         run(test)
 
     def test_a_truncated_response_is_not_forwarded(self) -> None:
-        async def truncate(endpoint: Endpoint, request: h11.Request) -> None:
+        async def truncate(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200, body_length=10)
             await endpoint.send(b"half")
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(truncate))
-            self.assertEqual((await fixture.ask("/u/1")).status, 502)
+            await fixture.add_plain("p", ScriptedEndpoint(truncate))
+            self.assertEqual((await fixture.request("/u/1")).status, 502)
 
         run(test)
 
     def test_an_unanswered_request_ends_at_its_deadline(self) -> None:
-        async def hang(endpoint: Endpoint, request: h11.Request) -> None:
+        async def hang(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await trio.sleep_forever()
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(hang))
-            response = await fixture.ask("/u/1", yewloom_deadline_ms="300")
+            await fixture.add_plain("p", ScriptedEndpoint(hang))
+            response = await fixture.request("/u/1", yewloom_deadline_ms="300")
             self.assertEqual(response.status, 504)
 
         run(test)
 
     def test_an_endpoint_that_closes_before_its_response_is_avoided_temporarily(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            broken, sound = Endpoint(close_without_answer), Endpoint(answer_ok)
+            broken, sound = ScriptedEndpoint(close_without_response), ScriptedEndpoint(respond_ok)
             await fixture.add_plain("broken", broken)
             while not broken.requests:
-                await fixture.ask("/u/1")
+                await fixture.request("/u/1")
             await fixture.add_plain("sound", sound)
             for _ in range(6):
-                self.assertEqual((await fixture.ask("/u/1")).status, 200)
+                self.assertEqual((await fixture.request("/u/1")).status, 200)
             self.assertEqual((len(broken.requests), len(sound.requests)), (1, 6))
 
         run(test)
@@ -254,29 +257,31 @@
 
     def test_unknown_routes_and_keys(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_ok))
-            self.assertEqual((await fixture.ask("/none/")).status, 404)
-            self.assertEqual((await fixture.ask("/u/1", authorization="Token no")).status, 401)
-            self.assertEqual((await fixture.ask("/open/1", authorization="Token no")).status, 200)
+            await fixture.add_plain("p", ScriptedEndpoint(respond_ok))
+            self.assertEqual((await fixture.request("/none/")).status, 404)
+            self.assertEqual((await fixture.request("/u/1", authorization="Token no")).status, 401)
+            self.assertEqual(
+                (await fixture.request("/open/1", authorization="Token no")).status, 200
+            )
 
         run(test)
 
     def test_keys_that_can_not_be_confirmed_are_refused_with_retry_after(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_ok))
+            await fixture.add_plain("p", ScriptedEndpoint(respond_ok))
             fixture.configuration_state._confirmed_s = trio.current_time() - 4.0
             for path, key in (("/u/1", "Token k1"), ("/u/1", "Token no"), ("/none/", "Token k1")):
-                response = await fixture.ask(path, authorization=key)
+                response = await fixture.request(path, authorization=key)
                 self.assertEqual(response.status, 503)
                 self.assertIn(b"retry-after", response.headers)
-            self.assertEqual((await fixture.ask("/open/1")).status, 200)
+            self.assertEqual((await fixture.request("/open/1")).status, 200)
 
         run(test)
 
     def test_a_host_without_a_configuration_refuses(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
             fixture.configuration_state.current = None
-            self.assertEqual((await fixture.ask("/u/1")).status, 503)
+            self.assertEqual((await fixture.request("/u/1")).status, 503)
 
         run(test)
 
@@ -286,13 +291,13 @@
 
     def test_a_stream_that_may_have_run_without_events_is_not_refused(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_engine("a", Endpoint(close_without_answer))
-            self.assertEqual((await fixture.ask("/s/1")).status, 502)
+            await fixture.add_engine("a", ScriptedEndpoint(close_without_response))
+            self.assertEqual((await fixture.request("/s/1")).status, 502)
 
         run(test)
 
     def test_events_are_forwarded_complete(self) -> None:
-        async def send_split_events(endpoint: Endpoint, request: h11.Request) -> None:
+        async def send_split_events(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200, content_type="text/event-stream")
             for number in (1, 2, 3):
                 await endpoint.send(event(number)[:5])
@@ -300,19 +305,19 @@
             await endpoint.finish()
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_engine("a", Endpoint(send_split_events))
-            response = await fixture.ask("/s/1")
+            await fixture.add_engine("a", ScriptedEndpoint(send_split_events))
+            response = await fixture.request("/s/1")
             self.assertEqual(response.body, event(1) + event(2) + event(3))
-            self.assertTrue(response.is_whole)
+            self.assertTrue(response.is_complete)
 
         run(test)
 
     def test_a_stream_that_breaks_off_is_resumed_at_another_group(self) -> None:
-        async def break_off(endpoint: Endpoint, request: h11.Request) -> None:
+        async def break_off(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1) + event(2) + event(3)[:4])
 
-        async def resume(endpoint: Endpoint, request: h11.Request) -> None:
+        async def resume(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             last = int(dict(request.headers)[b"last-event-id"])
             for number in range(last + 1, 5):
@@ -320,41 +325,41 @@
             await endpoint.finish()
 
         async def test(fixture: ForwarderFixture) -> None:
-            second = Endpoint(resume)
-            await fixture.add_engine("a", Endpoint(break_off))
+            second = ScriptedEndpoint(resume)
+            await fixture.add_engine("a", ScriptedEndpoint(break_off))
             await fixture.add_engine("b", second)
             fixture.selector.begin(HostId("b"))
-            response = await fixture.ask("/s/1")
+            response = await fixture.request("/s/1")
             self.assertEqual(response.body, b"".join(event(n) for n in (1, 2, 3, 4)))
-            self.assertTrue(response.is_whole)
+            self.assertTrue(response.is_complete)
             self.assertEqual(dict(second.requests[0].headers)[b"last-event-id"], b"2")
 
         run(test)
 
     def test_streams_of_a_stalled_group_are_resumed_elsewhere(self) -> None:
-        async def stall(endpoint: Endpoint, request: h11.Request) -> None:
+        async def stall(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
             await trio.sleep_forever()
 
-        async def resume(endpoint: Endpoint, request: h11.Request) -> None:
+        async def resume(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(2))
             await endpoint.finish()
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_engine("a", Endpoint(stall))
-            await fixture.add_engine("b", Endpoint(resume))
+            await fixture.add_engine("a", ScriptedEndpoint(stall))
+            await fixture.add_engine("b", ScriptedEndpoint(resume))
             fixture.selector.begin(HostId("b"))
-            response = await fixture.ask("/s/1")
-            self.assertEqual((response.body, response.is_whole), (event(1) + event(2), True))
+            response = await fixture.request("/s/1")
+            self.assertEqual((response.body, response.is_complete), (event(1) + event(2), True))
 
         run(test)
 
     def test_a_blocked_event_loop_does_not_make_a_group_stalled(self) -> None:
         """Guards against a host that attributes the delay of its own event loop to endpoints."""
 
-        async def continue_after_block(endpoint: Endpoint, request: h11.Request) -> None:
+        async def continue_after_block(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
             await trio.sleep(0.1)
@@ -364,12 +369,12 @@
             await endpoint.finish()
 
         async def test(fixture: ForwarderFixture) -> None:
-            other = Endpoint(answer_ok)
-            await fixture.add_engine("a", Endpoint(continue_after_block))
+            other = ScriptedEndpoint(respond_ok)
+            await fixture.add_engine("a", ScriptedEndpoint(continue_after_block))
             await fixture.add_engine("b", other)
             fixture.selector.begin(HostId("b"))
-            response = await fixture.ask("/s/1")
-            self.assertEqual((response.body, response.is_whole), (event(1) + event(2), True))
+            response = await fixture.request("/s/1")
+            self.assertEqual((response.body, response.is_complete), (event(1) + event(2), True))
             self.assertEqual(other.requests, [])
             self.assertEqual(fixture.stalls.suspected(trio.current_time()), set())
 
@@ -397,8 +402,8 @@
                 fixture: ForwarderFixture,
                 prevent_retry: Callable[[ForwarderFixture], None] = prevent_retry,
             ) -> None:
-                other = Endpoint(answer_ok)
-                await fixture.add_engine("a", Endpoint(pause_mid_stream))
+                other = ScriptedEndpoint(respond_ok)
+                await fixture.add_engine("a", ScriptedEndpoint(pause_mid_stream))
                 await fixture.add_engine("b", other)
                 fixture.selector.begin(HostId("b"))
                 async with trio.open_nursery() as nursery:
@@ -413,13 +418,13 @@
     def test_a_stream_is_not_abandoned_if_another_one_takes_the_last_retry(self) -> None:
         """Guards against two streams that abandon an engine for the same retry: one is cut off."""
 
-        async def resume(endpoint: Endpoint, request: h11.Request) -> None:
+        async def resume(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(2))
             await endpoint.finish()
 
         async def test(fixture: ForwarderFixture) -> None:
-            other = Endpoint(resume)
+            other = ScriptedEndpoint(resume)
             await fixture.add_engine("a", SharedEndpoint(pause_mid_stream))
             await fixture.add_engine("b", other)
             for _ in range(3):
@@ -442,27 +447,27 @@
         self.assertEqual((fixture.selector.running_here(), ended.reserved_endpoint), ({}, None))
 
     async def _expect_two_events(self, fixture: ForwarderFixture) -> None:
-        response = await fixture.ask("/s/1")
-        self.assertEqual((response.body, response.is_whole), (event(1) + event(2), True))
+        response = await fixture.request("/s/1")
+        self.assertEqual((response.body, response.is_complete), (event(1) + event(2), True))
 
     def test_a_non_resumable_stream_that_breaks_off_stays_incomplete(self) -> None:
-        async def break_off(endpoint: Endpoint, request: h11.Request) -> None:
+        async def break_off(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
 
         async def test(fixture: ForwarderFixture) -> None:
-            other = Endpoint(answer_ok)
-            await fixture.add_engine("a", Endpoint(break_off))
+            other = ScriptedEndpoint(respond_ok)
+            await fixture.add_engine("a", ScriptedEndpoint(break_off))
             await fixture.add_engine("b", other)
             fixture.selector.begin(HostId("b"))
-            response = await fixture.ask("/once/1")
-            self.assertEqual((response.body, response.is_whole), (event(1), False))
+            response = await fixture.request("/once/1")
+            self.assertEqual((response.body, response.is_complete), (event(1), False))
             self.assertEqual(other.requests, [])
 
         run(test)
 
     def test_a_stream_that_skips_an_event_is_cut_off(self) -> None:
-        async def skip(endpoint: Endpoint, request: h11.Request) -> None:
+        async def skip(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             await endpoint.send(event(1))
             await trio.sleep(0.05)
@@ -470,15 +475,15 @@
             await endpoint.finish()
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_engine("a", Endpoint(skip))
-            response = await fixture.ask("/s/1")
-            self.assertFalse(response.is_whole)
+            await fixture.add_engine("a", ScriptedEndpoint(skip))
+            response = await fixture.request("/s/1")
+            self.assertFalse(response.is_complete)
             self.assertNotIn(b"id: 3", response.body)
 
         run(test)
 
     def test_a_caller_that_disconnects_ends_the_attempt(self) -> None:
-        async def stream_forever(endpoint: Endpoint, request: h11.Request) -> None:
+        async def stream_forever(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await endpoint.start(200)
             number = 0
             while True:
@@ -487,7 +492,7 @@
                 await trio.sleep(0.01)
 
         async def test(fixture: ForwarderFixture) -> None:
-            endpoint = Endpoint(stream_forever)
+            endpoint = ScriptedEndpoint(stream_forever)
             await fixture.add_engine("a", endpoint)
             stream = await trio.open_tcp_stream(*fixture.address)
             await fixture.send(stream, "/s/1")
@@ -503,7 +508,7 @@
 
     def test_a_connection_carries_many_requests(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_ok))
+            await fixture.add_plain("p", ScriptedEndpoint(respond_ok))
             stream = await trio.open_tcp_stream(*fixture.address)
             for _ in range(3):
                 connection = await fixture.send(stream, "/u/1")
@@ -518,7 +523,7 @@
             responses: list[tuple[int, bytes]] = []
 
             async def test(fixture: ForwarderFixture) -> None:
-                await fixture.add_plain("p", Endpoint(answer_with_long_body))
+                await fixture.add_plain("p", ScriptedEndpoint(answer_with_long_body))
                 caller = await fixture.open_slow_reader()
                 await fixture.send(caller, "/u/1")
                 await trio.sleep(0.5)
@@ -546,7 +551,7 @@
         }
 
         async def test(fixture: ForwarderFixture) -> None:
-            endpoint = Endpoint(answer_ok)
+            endpoint = ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p", endpoint)
             for data, status in cases.items():
                 stream = await trio.open_tcp_stream(*fixture.address)
--- a/yewloom/tests/test_forwarding_limits.py
+++ b/yewloom/tests/test_forwarding_limits.py
@@ -7,11 +7,11 @@
 
 from yewloom.ids import HostId
 from yewloom.tests.forwarding_support import (
-    Endpoint,
     ForwarderFixture,
-    answer_ok,
+    ScriptedEndpoint,
     event,
     refuse_not_run,
+    respond_ok,
     run,
 )
 
@@ -21,29 +21,29 @@
 """A limit that allows no second request during a test."""
 
 
-async def _answer_with_limit(endpoint: Endpoint, request: h11.Request) -> None:
+async def _answer_with_limit(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer, and announce a limit."""
     await endpoint.answer(200, b"fine", server_limit=f"{LIMIT_PER_S:g}")
 
 
-async def _refuse_low_limit(endpoint: Endpoint, request: h11.Request) -> None:
+async def _refuse_low_limit(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Refuse as not run, and announce a low limit."""
     await endpoint.answer(503, b"", yewloom_not_executed="1", server_limit=LOW_LIMIT)
 
 
-async def _stream_low_limit(endpoint: Endpoint, request: h11.Request) -> None:
+async def _stream_low_limit(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer with a stream whose head announces a low limit."""
     await endpoint.start(200, server_limit=LOW_LIMIT)
     await endpoint.send(event(1))
     await endpoint.finish()
 
 
-async def _answer_low_limit(endpoint: Endpoint, request: h11.Request) -> None:
+async def _answer_low_limit(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer, and announce a low limit."""
     await endpoint.answer(200, b"fine", server_limit=LOW_LIMIT)
 
 
-async def _answer_invalid_limit(endpoint: Endpoint, request: h11.Request) -> None:
+async def _answer_invalid_limit(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
     """Answer, and announce an invalid limit."""
     await endpoint.answer(200, b"fine", server_limit="-1")
 
@@ -53,11 +53,11 @@
 
     def test_requests_beyond_the_limit_of_an_endpoint_go_to_the_others(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            limited, free = Endpoint(_answer_low_limit), Endpoint(answer_ok)
+            limited, free = ScriptedEndpoint(_answer_low_limit), ScriptedEndpoint(respond_ok)
             await fixture.add_plain("limited", limited)
             await fixture.add_plain("free", free)
             for _ in range(30):
-                self.assertEqual((await fixture.ask("/u/1")).status, 200)
+                self.assertEqual((await fixture.request("/u/1")).status, 200)
             self.assertLessEqual(len(limited.requests), 1)
             self.assertGreaterEqual(len(free.requests), 29)
 
@@ -65,10 +65,10 @@
 
     def test_without_an_endpoint_below_its_limit_a_request_is_refused_at_once(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            limited = Endpoint(_answer_low_limit)
+            limited = ScriptedEndpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
-            self.assertEqual((await fixture.ask("/u/1")).status, 200)
-            refused = await fixture.ask("/u/1", yewloom_deadline_ms="60000")
+            self.assertEqual((await fixture.request("/u/1")).status, 200)
+            refused = await fixture.request("/u/1", yewloom_deadline_ms="60000")
             self.assertEqual(refused.status, 503)
             wait_s = float(refused.headers[b"retry-after"])
             self.assertTrue(0 < wait_s <= 1 / float(LOW_LIMIT), wait_s)
@@ -83,32 +83,32 @@
 
     def test_each_attempt_counts(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            limited = Endpoint(_answer_low_limit)
+            limited = ScriptedEndpoint(_answer_low_limit)
             await fixture.add_plain("limited", limited)
             announced_s = trio.current_time() - 1.05 / float(
                 LOW_LIMIT
             )  # The limit has allowed one request since then.
             fixture.limits.apply_announced(HostId("limited"), float(LOW_LIMIT), announced_s)
-            statuses = [(await fixture.ask("/u/1")).status for _ in range(2)]
+            statuses = [(await fixture.request("/u/1")).status for _ in range(2)]
             self.assertEqual(statuses, [200, 503])
 
         run(test)
 
     def test_a_refusal_can_announce_a_limit(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            limited = Endpoint(_refuse_low_limit)
+            limited = ScriptedEndpoint(_refuse_low_limit)
             await fixture.add_plain("limited", limited)
             for _ in range(5):
-                self.assertEqual((await fixture.ask("/u/1")).status, 503)
+                self.assertEqual((await fixture.request("/u/1")).status, 503)
             self.assertEqual(len(limited.requests), 1)
 
         run(test)
 
     def test_the_head_of_a_stream_can_announce_a_limit(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            leader = Endpoint(_stream_low_limit)
+            leader = ScriptedEndpoint(_stream_low_limit)
             await fixture.add_engine("leader", leader)
-            statuses = [(await fixture.ask("/s/1")).status for _ in range(3)]
+            statuses = [(await fixture.request("/s/1")).status for _ in range(3)]
             self.assertEqual(statuses, [200, 503, 503])
             self.assertEqual(len(leader.requests), 1)
 
@@ -116,11 +116,11 @@
 
     def test_retries_count_towards_the_limit(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            limited, full = Endpoint(_answer_low_limit), Endpoint(refuse_not_run)
+            limited, full = ScriptedEndpoint(_answer_low_limit), ScriptedEndpoint(refuse_not_run)
             await fixture.add_plain("limited", limited)
-            self.assertEqual((await fixture.ask("/r/1")).status, 200)
+            self.assertEqual((await fixture.request("/r/1")).status, 200)
             await fixture.add_plain("full", full)
-            refused = await fixture.ask("/r/1")
+            refused = await fixture.request("/r/1")
             self.assertEqual(refused.status, 503)
             self.assertEqual((len(limited.requests), len(full.requests)), (1, 1))
 
@@ -128,23 +128,23 @@
 
     def test_a_response_without_a_limit_ends_the_limit(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            scripts = iter([_answer_with_limit, answer_ok])
+            scripts = iter([_answer_with_limit, respond_ok])
 
-            async def answer_next(endpoint: Endpoint, request: h11.Request) -> None:
-                await next(scripts, answer_ok)(endpoint, request)
+            async def answer_next(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
+                await next(scripts, respond_ok)(endpoint, request)
 
-            await fixture.add_plain("p", Endpoint(answer_next))
-            self.assertEqual((await fixture.ask("/u/1")).status, 200)
+            await fixture.add_plain("p", ScriptedEndpoint(answer_next))
+            self.assertEqual((await fixture.request("/u/1")).status, 200)
             await trio.sleep(1 / LIMIT_PER_S)
             for _ in range(5):
-                self.assertEqual((await fixture.ask("/u/1")).status, 200)
+                self.assertEqual((await fixture.request("/u/1")).status, 200)
 
         run(test)
 
     def test_an_invalid_limit_is_ignored(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(_answer_invalid_limit))
+            await fixture.add_plain("p", ScriptedEndpoint(_answer_invalid_limit))
             for _ in range(5):
-                self.assertEqual((await fixture.ask("/u/1")).status, 200)
+                self.assertEqual((await fixture.request("/u/1")).status, 200)
 
         run(test)
--- a/yewloom/tests/test_forwarding_stop.py
+++ b/yewloom/tests/test_forwarding_stop.py
@@ -16,11 +16,11 @@
     GRACE_S,
     LONG_BODY,
     CallerResponse,
-    Endpoint,
     ForwarderFixture,
-    answer_ok,
+    ScriptedEndpoint,
     answer_with_long_body,
     refuse_not_run,
+    respond_ok,
     run,
 )
 
@@ -30,12 +30,12 @@
 
     def test_a_planned_stop_closes_connections_after_a_response(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_ok))
+            await fixture.add_plain("p", ScriptedEndpoint(respond_ok))
             idle = await trio.open_tcp_stream(*fixture.address)
             first = await fixture.send(idle, "/u/1")
             await fixture.read(idle, first)
             fixture.server.activity.begin_stop()
-            response = await fixture.ask("/u/1")
+            response = await fixture.request("/u/1")
             self.assertEqual((response.status, response.headers[b"connection"]), (200, b"close"))
             fixture.server.activity.stop_accepting()
             self.assertEqual(await idle.receive_some(1), b"")
@@ -44,41 +44,41 @@
 
     def test_a_request_after_the_stop_is_refused_with_retry_after_zero(self) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            endpoint = Endpoint(answer_ok)
+            endpoint = ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p", endpoint)
             fixture.server.activity.stop_accepting()
-            response = await fixture.ask("/u/1")
+            response = await fixture.request("/u/1")
             self.assertEqual((response.status, response.headers[b"retry-after"]), (503, b"0"))
             self.assertEqual(endpoint.requests, [])
 
         run(test)
 
     def test_a_request_that_typically_takes_longer_than_the_stop_is_refused(self) -> None:
-        async def answer_slowly(endpoint: Endpoint, request: h11.Request) -> None:
+        async def answer_slowly(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await trio.sleep(0.1)
             await endpoint.answer(200, b"fine")
 
         async def test(fixture: ForwarderFixture) -> None:
-            slow, fast = Endpoint(answer_slowly), Endpoint(answer_ok)
+            slow, fast = ScriptedEndpoint(answer_slowly), ScriptedEndpoint(respond_ok)
             await fixture.add_plain("p", slow)
             for _ in range(MIN_SAMPLES):
-                self.assertEqual((await fixture.ask("/u/1")).status, 200)
+                self.assertEqual((await fixture.request("/u/1")).status, 200)
             fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S + 0.08)
-            response = await fixture.ask("/u/1")
+            response = await fixture.request("/u/1")
             self.assertEqual((response.status, response.headers[b"retry-after"]), (503, b"0"))
             self.assertEqual(len(slow.requests), MIN_SAMPLES)
             fixture.directory.remove(HostId("p"))
             await fixture.add_plain("p2", fast)
-            self.assertEqual((await fixture.ask("/r/1")).status, 200)
+            self.assertEqual((await fixture.request("/r/1")).status, 200)
 
         run(test)
 
     def test_a_request_that_the_stop_ends_is_answered_as_may_have_run(self) -> None:
-        async def never_answer(endpoint: Endpoint, request: h11.Request) -> None:
+        async def never_answer(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await trio.sleep_forever()
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(never_answer))
+            await fixture.add_plain("p", ScriptedEndpoint(never_answer))
             responses: list[CallerResponse] = []
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._ask_and_append, fixture, responses)
@@ -118,7 +118,7 @@
                 ] = outlasts,
                 response: tuple[int, bytes] = response,
             ) -> None:
-                await fixture.add_plain("p", Endpoint(answer_with_long_body))
+                await fixture.add_plain("p", ScriptedEndpoint(answer_with_long_body))
                 caller = await fixture.open_slow_reader()
                 await outlasts(fixture, caller)
                 await trio.sleep(1.0)
@@ -137,7 +137,9 @@
         at the same time.
         """
 
-        async def answer_and_block_the_loop(endpoint: Endpoint, request: h11.Request) -> None:
+        async def answer_and_block_the_loop(
+            endpoint: ScriptedEndpoint, request: h11.Request
+        ) -> None:
             assert endpoint.stream is not None
             head = h11.Response(
                 status_code=200,
@@ -163,14 +165,16 @@
                 deadline_ms: int = deadline_ms,
                 late_status: int = late_status,
             ) -> None:
-                await fixture.add_plain("p", Endpoint(answer_and_block_the_loop))
+                await fixture.add_plain("p", ScriptedEndpoint(answer_and_block_the_loop))
                 async with trio.open_nursery() as nursery:
                     if cause == "stop":
                         nursery.start_soon(stop, fixture)
                     with trio.move_on_after(3.0):
-                        response = await fixture.ask("/u/1", yewloom_deadline_ms=str(deadline_ms))
+                        response = await fixture.request(
+                            "/u/1", yewloom_deadline_ms=str(deadline_ms)
+                        )
                         self.assertIn(response.status, (200, late_status))
-                        self.assertTrue(response.is_whole)
+                        self.assertTrue(response.is_complete)
                         return
                     self.fail("neither a response nor a close")
 
@@ -181,7 +185,7 @@
         self,
     ) -> None:
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_with_long_body))
+            await fixture.add_plain("p", ScriptedEndpoint(answer_with_long_body))
             caller = await fixture.open_slow_reader()
             await fixture.send(caller, "/u/1")
             await trio.sleep(1.0)
@@ -202,29 +206,29 @@
         ]
 
     def test_a_request_that_the_stop_would_cut_off_is_not_retried(self) -> None:
-        async def answer_slowly(endpoint: Endpoint, request: h11.Request) -> None:
+        async def answer_slowly(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await trio.sleep(0.2)
             await endpoint.answer(200, b"fine")
 
-        async def refuse_slowly(endpoint: Endpoint, request: h11.Request) -> None:
+        async def refuse_slowly(endpoint: ScriptedEndpoint, request: h11.Request) -> None:
             await trio.sleep(0.12)
             await refuse_not_run(endpoint, request)
 
         async def test(fixture: ForwarderFixture) -> None:
-            await fixture.add_plain("p", Endpoint(answer_slowly))
+            await fixture.add_plain("p", ScriptedEndpoint(answer_slowly))
             for _ in range(MIN_SAMPLES):
-                self.assertEqual((await fixture.ask("/u/1")).status, 200)
+                self.assertEqual((await fixture.request("/u/1")).status, 200)
             fixture.directory.remove(HostId("p"))
-            full, free = Endpoint(refuse_slowly), Endpoint(answer_slowly)
+            full, free = ScriptedEndpoint(refuse_slowly), ScriptedEndpoint(answer_slowly)
             await fixture.add_plain("p1", full)
             await fixture.add_plain("p2", free)
             fixture.selector.begin(HostId("p2"))
             fixture.stop.begin(trio.current_time() - GRACE_S + STOP_MARGIN_S + 0.28)
-            status = (await fixture.ask("/u/1")).status
+            status = (await fixture.request("/u/1")).status
             self.assertEqual((len(full.requests), len(free.requests), status), (1, 0, 503))
 
         run(test)
 
     @staticmethod
     async def _ask_and_append(fixture: ForwarderFixture, responses: list[CallerResponse]) -> None:
-        responses.append(await fixture.ask("/u/1"))
+        responses.append(await fixture.request("/u/1"))
--- a/yewloom/tests/test_limited_endpoints.py
+++ b/yewloom/tests/test_limited_endpoints.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from yewloom.tests.soak.fragile_play import play_fragile
+from yewloom.tests.soak.fragile_play import run_with_fragile_endpoints
 
 REQUEST_PAUSE_S = 0.02
 """Pause between two requests, which makes four per second for each endpoint."""
@@ -40,7 +40,7 @@
     def test_endpoints_get_no_more_requests_than_they_announce(self) -> None:
         """Guards against overloaded endpoints that get as many requests as all others."""
         limits = [f"{LIMIT_PER_S:g}"] * 4
-        run = trio.run(partial(play_fragile, DURATION_S, REQUEST_PAUSE_S, limits))
+        run = trio.run(partial(run_with_fragile_endpoints, DURATION_S, REQUEST_PAUSE_S, limits))
         self.assertEqual(len(run.seen.limited_since_s), len(limits))
         for name, limited_s in run.seen.limited_since_s.items():
             later = [s for s in run.seen.all_arrived_s[name] if s > limited_s + SETTLED_S]
--- a/yewloom/tests/test_quarantine_store.py
+++ b/yewloom/tests/test_quarantine_store.py
@@ -128,10 +128,10 @@
             for quarantine in quarantines:
                 quarantine.add(F, trio.current_time())
             fleet.platform.is_unavailable = False
-            fleet.platform.faults = [
-                WriteFault.REFUSE,
+            fleet.platform.next_write_faults = [
+                WriteFault.REJECT,
                 WriteFault.LOSE_WRITE,
-                WriteFault.LOSE_ANSWER,
+                WriteFault.LOSE_RESPONSE,
             ]
             await trio.sleep(3 * SETTLED_S)
             quarantine = await fleet.restart()
--- a/yewloom/tests/test_route_soak.py
+++ b/yewloom/tests/test_route_soak.py
@@ -43,11 +43,11 @@
 PROBE_RESULT = ProbeResult("e", "e/1", "a", 0.0, 0.1, 200, "plain")
 
 
-def _result(sent_s: float, route: str, service: str = "", life: str = "e/1") -> ProbeResult:
+def _result(sent_s: float, route: str, service: str = "", process_name: str = "e/1") -> ProbeResult:
     """Return an answer of a service, or a 404 for an unknown route."""
     return replace(
         PROBE_RESULT,
-        life=life,
+        process_name=process_name,
         route=route,
         sent_s=sent_s,
         ended_s=sent_s + 0.1,
@@ -99,7 +99,9 @@
         back = _result(10.2 + REGRESSION_S + 0.1, "a")
         always = Disturbance(0.0, 100.0)
         self.assertEqual(self._violated(newer, back, disturbed=always), ["regressed"])
-        self.assertEqual(self._violated(newer, replace(back, life="e/2"), disturbed=always), [])
+        self.assertEqual(
+            self._violated(newer, replace(back, process_name="e/2"), disturbed=always), []
+        )
         at_once = _result(10.2 + REGRESSION_S - 0.1, "a")
         self.assertEqual(self._violated(newer, at_once, disturbed=always), [])
 
--- a/yewloom/tests/test_soak.py
+++ b/yewloom/tests/test_soak.py
@@ -27,9 +27,9 @@
 from yewloom.tests.soak.fleet import EntryProcess, Fleet
 from yewloom.tests.soak.ledger import (
     CLOSE_RACE_S,
+    DEREGISTRATION_S,
+    DEREGISTRATION_TOLERANCE_S,
     GRACE_S,
-    NOTICE_S,
-    NOTICE_SLACK_S,
     OVERDUE_S,
     REGRESSION_S,
     REVOCATION_S,
@@ -38,7 +38,7 @@
     EndpointRun,
     Kind,
     Ledger,
-    Sent,
+    SentRequest,
     expected_answer,
 )
 from yewloom.tests.soak.proxy import Link, LinkFault, PeerLink
@@ -61,15 +61,17 @@
 """Time-out of a stream and the stop of its host; both usually end within some 8 s."""
 
 
-def _sent(name: str, kind: Kind = Kind.SAFE, sent_s: float = 1.0, key_version: int = 1) -> Sent:
+def _sent(
+    name: str, kind: Kind = Kind.SAFE, sent_s: float = 1.0, key_version: int = 1
+) -> SentRequest:
     """Return a request that got a complete answer."""
-    sent = Sent(name, kind, f"/p/{name}", b"b", key_version, "e/1", sent_s)
-    sent.status, sent.stamp, sent.is_whole, sent.ended_s = 200, "s1", True, sent_s + 0.1
+    sent = SentRequest(name, kind, f"/p/{name}", b"b", key_version, "e/1", sent_s)
+    sent.status, sent.stamp, sent.is_complete, sent.ended_s = 200, "s1", True, sent_s + 0.1
     sent.answer = expected_answer(sent)
     return sent
 
 
-def _endpoint_run(sent: Sent, endpoint: str = "s1") -> EndpointRun:
+def _endpoint_run(sent: SentRequest, endpoint: str = "s1") -> EndpointRun:
     return EndpointRun(sent.request_id, endpoint, sent.path, sent.body, "customer", sent.sent_s)
 
 
@@ -79,7 +81,7 @@
     def setUp(self) -> None:
         self.ledger = Ledger()
 
-    def _add(self, sent: Sent, *runs: EndpointRun) -> None:
+    def _add(self, sent: SentRequest, *runs: EndpointRun) -> None:
         self.ledger.sent[sent.request_id] = sent
         for run in runs or (_endpoint_run(sent),):
             self.ledger.record_run(run)
@@ -160,7 +162,7 @@
 
     def test_a_planned_stop_that_cuts_off_an_undisturbed_request_is_reported(self) -> None:
         sent = _sent("a", sent_s=1.0)
-        sent.is_whole = False
+        sent.is_complete = False
         self._add(sent)
         self.ledger.planned_stops["e/1"] = 1.05
         self.assertEqual(self._violated(), ["lost"])
@@ -170,7 +172,9 @@
     def _add_cut_off(self, after_stop_s: float, took_s: float) -> None:
         """Add a stream that was cut off; its host got SIGTERM at 1 s."""
         self.setUp()
-        sent = replace(_sent("a", Kind.STREAM, 1.0 + after_stop_s), is_whole=False, deadline_s=6.0)
+        sent = replace(
+            _sent("a", Kind.STREAM, 1.0 + after_stop_s), is_complete=False, deadline_s=6.0
+        )
         sent.ended_s = sent.sent_s + took_s
         self._add(sent)
         self.ledger.planned_stops["e/1"] = 1.0
@@ -193,15 +197,15 @@
         self.assertEqual(self._violated(), [])
         self.ledger.record_complete_answer("a", ended_s - CLOSE_RACE_S - 0.1)
         self.assertEqual(self._violated(), ["lost"])
-        late_s = NOTICE_S + NOTICE_SLACK_S + 0.1
+        late_s = DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S + 0.1
         self._add_cut_off(after_stop_s=late_s, took_s=WORK_CUT_OFF_S - late_s + 0.1)
         self.assertEqual(self._violated(), ["lost", "late"])
 
     def test_a_request_that_runs_after_the_notice_period_is_reported(self) -> None:
         self.ledger.planned_stops["e/1"] = 1.0
-        late_s = 1.0 + NOTICE_S + NOTICE_SLACK_S
+        late_s = 1.0 + DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S
         self._add(_sent("a", sent_s=late_s - 0.1))
-        self._add(replace(_sent("b", sent_s=late_s + 0.1), host_life="e/2"))
+        self._add(replace(_sent("b", sent_s=late_s + 0.1), process_name="e/2"))
         self.ledger.sent["c"] = _sent("c", sent_s=late_s + 0.1)  # It never ran.
         self.ledger.sent["c"].status = None
         self.assertEqual(self._violated(), [])
@@ -211,7 +215,7 @@
 
     def test_a_pause_restarts_the_notice_period_of_that_process_only(self) -> None:
         self.ledger.planned_stops["e/1"] = 1.0
-        late_s = 1.0 + NOTICE_S + NOTICE_SLACK_S
+        late_s = 1.0 + DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S
         self._add(_sent("a", sent_s=late_s + 0.5))
         self.ledger.pauses["e/2"].append(Disturbance(0.5, 2.0))
         self.assertEqual(self._violated(), ["late"])
@@ -267,9 +271,9 @@
         self.ledger.planned_stops["e/1"] = 2.0
         self.assertEqual(self._violated(), ["unanswered"])
 
-    def _add_unanswered(self, waited_s: float) -> Sent:
+    def _add_unanswered(self, waited_s: float) -> SentRequest:
         """Add a request that was fully sent and got no answer."""
-        sent = replace(_sent("a"), status=None, is_whole=False, fully_sent_s=1.0)
+        sent = replace(_sent("a"), status=None, is_complete=False, fully_sent_s=1.0)
         sent.ended_s = 1.0 + waited_s
         self.ledger.sent["a"] = sent
         return sent
@@ -410,7 +414,7 @@
         self.assertEqual(ledger.runs.get(following.request_id, []), [])
         self.assertEqual(ledger.check(), [])
 
-    async def _stop_amid_a_stream(self, folder: Path, ledger: Ledger) -> Sent:
+    async def _stop_amid_a_stream(self, folder: Path, ledger: Ledger) -> SentRequest:
         async with trio.open_nursery() as nursery:
             fleet = Fleet(folder, ledger, random.Random(1), nursery)
             async with open_fleet(fleet, entries=1, engines=4) as balancer:
@@ -420,7 +424,9 @@
             nursery.cancel_scope.cancel()
         return following
 
-    async def _use_through_stop(self, caller: Caller, entry: EntryProcess, ledger: Ledger) -> Sent:
+    async def _use_through_stop(
+        self, caller: Caller, entry: EntryProcess, ledger: Ledger
+    ) -> SentRequest:
         """Send a request after a stream that ends after the notice period.
 
         A second stream keeps the process running meanwhile.
@@ -431,10 +437,12 @@
             await trio.sleep(HEADERS_S)
             nursery.start_soon(_stream, caller, pool, trio.Event())
             await trio.sleep(HEADERS_S)  # The headers of both answers have been sent.
-            stopped_s = ledger.planned_stops[entry.life] = trio.current_time()
+            stopped_s = ledger.planned_stops[entry.process_name] = trio.current_time()
             entry.signal(signal.SIGTERM)
             await first_ended.wait()
-            self.assertGreater(trio.current_time(), stopped_s + NOTICE_S + NOTICE_SLACK_S)
+            self.assertGreater(
+                trio.current_time(), stopped_s + DEREGISTRATION_S + DEREGISTRATION_TOLERANCE_S
+            )
             following = await caller.send(pool, Kind.UNSAFE)
             self.assertTrue(entry.is_running)
         return following
--- a/yewloom/tests/test_soak_callers.py
+++ b/yewloom/tests/test_soak_callers.py
@@ -12,7 +12,7 @@
 from yewloom.tests.soak.balancer import Balancer
 from yewloom.tests.soak.callers import DEADLINE_S, Caller
 from yewloom.tests.soak.fleet import EntryProcess, Fleet
-from yewloom.tests.soak.ledger import Kind, Ledger, Sent
+from yewloom.tests.soak.ledger import Kind, Ledger, SentRequest
 from yewloom.tests.soak.proxy import Link, PeerLink
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
@@ -64,9 +64,9 @@
         """
         requests = trio.run(self._send_twice)
         self.assertEqual([sent.status for sent in requests], [200, 200])
-        self.assertEqual([sent.host_life for sent in requests], ["e/2", "e/2"])
+        self.assertEqual([sent.process_name for sent in requests], ["e/2", "e/2"])
 
-    async def _send_twice(self) -> list[Sent]:
+    async def _send_twice(self) -> list[SentRequest]:
         async def answer(stream: trio.SocketStream) -> None:
             for _ in range(2):
                 await stream.receive_some()
@@ -88,7 +88,7 @@
         sent = trio.run(self._send_delayed)
         self.assertEqual((sent.status, sent.failure, sent.has_given_up), (200, "", False))
 
-    async def _send_delayed(self) -> Sent:
+    async def _send_delayed(self) -> SentRequest:
         async def answer(stream: trio.SocketStream) -> None:
             await stream.receive_some()
             await trio.sleep(DEADLINE_S / 2)
--- a/yewloom/tests/test_tables.py
+++ b/yewloom/tests/test_tables.py
@@ -158,7 +158,7 @@
 
         async def scenario() -> tuple[bool, str, list[str]]:
             platform = FakePlatform()
-            platform.faults = list(faults)
+            platform.next_write_faults = list(faults)
             async with trio.open_nursery() as nursery:
                 if is_delayed:
                     nursery.start_soon(_apply_delayed_writes, platform)
