--- a/tools/mutations_size.py
+++ b/tools/mutations_size.py
@@ -27,14 +27,14 @@
     Mutation(
         "orders: a refused order is repeated with exponential back-off",
         "plan_state",
-        "REFUSED_PAUSE_S * 2 ** self.refusals[name]",
+        "REFUSED_PAUSE_S * 2 ** self.refusals[identity]",
         "REFUSED_PAUSE_S",
         "test_refused_orders",
     ),
     Mutation(
         "orders: a refused load does not count against the load rate",
         "plan_state",
-        "self.recent_load_starts_s.remove(staging.since_s)",
+        "self.recent_load_starts_s.remove(load.since_s)",
         "pass",
         "test_refused_orders",
     ),
@@ -111,7 +111,7 @@
     Mutation(
         "leases: the metric is computed when it is read",
         "coordinators",
-        "set_function(lambda: self.is_holding)",
+        "set_function(lambda: self.holds_lease)",
         "set(0)",
         "test_coordinators",
     ),
--- a/yewloom/daemon.py
+++ b/yewloom/daemon.py
@@ -50,7 +50,7 @@
 """Time in s for the load balancer to notice that this entry host is no longer ready."""
 
 FINAL_RESPONSES_S = 0.5
-"""Maximum time in s, once the stop's time is over, for each of: responding to queued requests,
+"""Maximum time in s, after the drain timeout of a stop, for each of: responding to queued requests,
 responding to requests that are cut off, and closing connections."""
 
 
@@ -126,7 +126,7 @@
         return RequestTrackingMiddleware(interface.application(), self._node.work)
 
     def _share_of(self, customer: CustomerId, row: CustomerRow) -> int:
-        """Return this entry host's part of a customer's limit."""
+        """Return this entry host's share of a customer's limit."""
         return self._node.shares.capacity(customer, trio.current_time())
 
     def _update_after_probes(self, platform: HttpPlatform) -> None:
@@ -136,10 +136,14 @@
         node.membership.set_platform_unreachable(platform.is_down)
         open_groups = node.fleet.open_groups(now_s)
         local_capacities = [
-            seen.capacity for data_centre, _, seen in open_groups if data_centre == node.data_centre
+            observation.capacity
+            for data_centre, _, observation in open_groups
+            if data_centre == node.data_centre
         ]
         remote_capacities = [
-            seen.capacity for data_centre, _, seen in open_groups if data_centre != node.data_centre
+            observation.capacity
+            for data_centre, _, observation in open_groups
+            if data_centre != node.data_centre
         ]
         local_hosts = max(len(node.membership.alive_in(node.data_centre, now_s)), 1)
         all_hosts = max(len(node.membership.alive(now_s)), 1)
@@ -148,7 +152,7 @@
             round(capacity * SLOTS_PER_ENGINE_CAPACITY), self._settings.requests.min_places
         )
         self._slots.set_slots(min(target_slots, self._settings.requests.max_in_flight))
-        metrics.open_groups.set(len(open_groups))
+        metrics.accepting_groups.set(len(open_groups))
         metrics.in_flight.set(self._slots.admission.in_flight)
         metrics.queued.set(self._slots.admission.queued)
         for kind, count in platform.calls.items():
@@ -174,7 +178,7 @@
         drain_timeout_s = self._settings.host.drain_timeout_ms / 1000
         stops_accepting_s = requested_s + DEREGISTRATION_DELAY_S
         deadline_s = stops_accepting_s + drain_timeout_s
-        self._node.start_leaving()
+        self._node.begin_stop()
         coordinator.release()
         self._slots.set_stop_time(deadline_s)
         await trio.sleep_until(stops_accepting_s)
--- a/yewloom/tests/test_tables.py
+++ b/yewloom/tests/test_tables.py
@@ -63,9 +63,9 @@
             mine.apply(row)
         for row in there:
             peers.apply(row)
-        for row in peers.rows_where_different(mine.bucket_digests):
+        for row in peers.rows_in_differing_buckets(mine.bucket_digests):
             mine.apply(row)
-        for row in mine.rows_where_different(peers.bucket_digests):
+        for row in mine.rows_in_differing_buckets(peers.bucket_digests):
             peers.apply(row)
         self.assertEqual(mine.digest, peers.digest)
         self.assertEqual(list(mine.rows()), list(peers.rows()))
@@ -158,7 +158,7 @@
 
         async def scenario() -> tuple[bool, str, list[str]]:
             platform = FakePlatform()
-            platform.faults = list(faults)
+            platform.next_write_faults = list(faults)
             async with trio.open_nursery() as nursery:
                 if is_delayed:
                     nursery.start_soon(_apply_delayed_writes, platform)
