--- a/yewloom/placement.py
+++ b/yewloom/placement.py
@@ -23,7 +23,7 @@
     """Durations of the group life cycle.
 
     An observation is fresh for ``freshness_s``. A group that is not ready after ``load_timeout_s``
-    is lost, and a draining group is removed after it was idle for ``settle_s``.
+    counts as lost, and a draining group is removed after it was idle for ``settle_s``.
     """
 
     freshness_s: float
--- a/yewloom/replica_supply.py
+++ b/yewloom/replica_supply.py
@@ -106,8 +106,8 @@
             largest = max(models, key=lambda model: model.group_size)
             others = [g for g in here if g.model != largest.name]
             for host in listed_members(others[0], self._directory) if others else ():
-                is_open = host.membership is not None and host.membership.state in _FORMED
-                if is_open and largest.name not in host.staged:
+                is_formed = host.membership is not None and host.membership.state in _FORMED
+                if is_formed and largest.name not in host.staged:
                     self._loads.load(host, largest, now_s)
 
     def _exchange(self, chosen: GroupExchange, now_s: float) -> list[Group]:
--- a/yewloom/stalled_groups.py
+++ b/yewloom/stalled_groups.py
@@ -160,8 +160,8 @@
 
         A group makes progress only if all members work, so an event that any entry host received
         after the query was sent shows that this host alone cannot reach the member. Without this
-        check, a leader that is unreachable
-        only from its coordinator would lose its group while it serves streams of other entry hosts.
+        check, a leader that is unreachable only from its coordinator would lose its group while it
+        serves streams of other entry hosts.
         """
         sent_s, group_probe = trio.current_time(), probe.group_probe
         report = await self._query_report(probe)
