--- a/yewloom/tests/test_replica_machine.py
+++ b/yewloom/tests/test_replica_machine.py
@@ -250,7 +250,8 @@
     def _send(self, coordinator: _Coordinator, orders: list[PlannedOrder]) -> None:
         if orders:
             trio.run(
-                partial(_deliver, coordinator.delivery, orders), clock=trio.testing.MockClock()
+                partial(_deliver, coordinator.delivery, orders),
+                clock=trio.testing.MockClock(autojump_threshold=0),
             )
 
     @rule(data=st.data())
