--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -35,7 +35,7 @@
     Removal(
         "the last known keys are accepted in an outage",
         "key_trust",
-        "return not self._needs_proof and not self._configuration_state.is_outdated",
+        "return not self._requires_confirmation and not self._configuration_state.is_outdated",
         "return False",
     ),
     Removal(
@@ -72,8 +72,8 @@
     Removal(
         "demand is estimated from running requests",
         "model_need",
-        "model: self._average.get(model, 0.0) + PRIOR_REQUESTS * part / total",
-        "model: PRIOR_REQUESTS * part / total",
+        "model: self._average.get(model, 0.0) + PRIOR_REQUESTS * share / total",
+        "model: PRIOR_REQUESTS * share / total",
     ),
     Removal(
         "a data centre that is cut off is detected",
--- a/tools/mutations_entry.py
+++ b/tools/mutations_entry.py
@@ -13,8 +13,8 @@
     Mutation(
         "lease: other hosts wait for the whole duration",
         "leases",
-        "return now_s >= self._first_read_s + expiry_s",
-        "return now_s >= self._first_read_s + expiry_s / 2",
+        "return now_s >= self._version_seen_s + expiry_s",
+        "return now_s >= self._version_seen_s + expiry_s / 2",
         "test_leases",
     ),
     Mutation(
@@ -148,14 +148,14 @@
     Mutation(
         "planned stop: the rest of a partly received request is not waited for",
         "caller_connection",
-        "with self._activity.reading_request() as limit:",
-        "with trio.CancelScope() as limit:",
+        "with self._activity.reading_request() as scope:",
+        "with trio.CancelScope() as scope:",
         "test_caller_connection",
     ),
     Mutation(
         "answers: nothing is sent after an answer that was cut off",
         "caller_connection",
-        "if self._is_disconnected or not reply.is_complete:",
+        "if self._is_disconnected or not response.is_complete:",
         "if self._is_disconnected:",
         "test_caller_connection",
     ),
@@ -191,14 +191,14 @@
     Mutation(
         "keys: a host that knows of a newer configuration accepts no key",
         "key_trust",
-        "return not self._needs_proof and not self._configuration_state.is_outdated",
-        "return not self._needs_proof",
+        "return not self._requires_confirmation and not self._configuration_state.is_outdated",
+        "return not self._requires_confirmation",
         "test_key_trust",
     ),
     Mutation(
         "keys: hosts with keys_need_proof accept keys only with a proof",
         "key_trust",
-        "return not self._needs_proof and not self._configuration_state.is_outdated",
+        "return not self._requires_confirmation and not self._configuration_state.is_outdated",
         "return not self._configuration_state.is_outdated",
         "test_key_trust",
     ),
@@ -219,7 +219,7 @@
     Mutation(
         "lease: the last holder renews immediately after an outage",
         "leases",
-        "self._next_step_s = now_s  # Renew immediately, as the lease may have expired.",
+        "self._next_action_s = now_s  # Renew immediately, as the lease may have expired.",
         "pass",
         "test_leases",
     ),
--- a/yewloom/groups.py
+++ b/yewloom/groups.py
@@ -16,39 +16,39 @@
 NEVER_S = float("-inf")
 
 MIN_PROBED_SHARE = 0.5
-"""Share of ``missing_after_s`` that the failed probes of a member must span before it counts as
-missing. After a pause of the prober itself, all outstanding probes fail at once, but they were sent
-within the timeout of one probe."""
+"""Share of ``missing_after_s`` over which the failed probes of a member must have been sent before
+it counts as missing. A pause of the prober itself makes all outstanding probes fail at once, but
+those were sent within the time-out of a single probe."""
 
 
 @value_class
 class HostObservation:
     """One entry host's observation of an endpoint from its own probes.
 
-    ``asked_s`` is the time before the last answered probe was sent, so the age of the report is
+    ``requested_s`` is the time before the last answered probe was sent, so the age of the report is
     never understated. ``failing_since_s`` is the time of the first failed probe since then and
     ``failed_s`` that of the last; a pause in probing restarts this interval.
     """
 
     report: HostReport | None = None
-    asked_s: float = NEVER_S
+    requested_s: float = NEVER_S
     failing_since_s: float | None = None
     failed_s: float = NEVER_S
 
-    def answered(self, report: HostReport, asked_s: float) -> "HostObservation":
+    def answered(self, report: HostReport, requested_s: float) -> "HostObservation":
         """Return the observation after an answered probe."""
-        return HostObservation(report, asked_s)
+        return HostObservation(report, requested_s)
 
-    def failed(self, asked_s: float, longest_pause_s: float) -> "HostObservation":
+    def failed(self, requested_s: float, longest_pause_s: float) -> "HostObservation":
         """Return the observation after a failed probe."""
         since = self.failing_since_s
-        if since is None or asked_s - self.failed_s > longest_pause_s:
-            since = asked_s
-        return replace(self, failing_since_s=since, failed_s=max(asked_s, self.failed_s))
+        if since is None or requested_s - self.failed_s > longest_pause_s:
+            since = requested_s
+        return replace(self, failing_since_s=since, failed_s=max(requested_s, self.failed_s))
 
     def is_fresh(self, now_s: float, freshness_s: float) -> bool:
         """Return whether the endpoint answered within the freshness bound."""
-        return now_s - self.asked_s <= freshness_s
+        return now_s - self.requested_s <= freshness_s
 
 
 @value_class
@@ -91,7 +91,7 @@
     return GroupObservation(
         group_id=GroupId(group.id),
         generation=group.generation,
-        observed_s=min((known.asked_s for known in seen.values()), default=NEVER_S),
+        observed_s=min((known.requested_s for known in seen.values()), default=NEVER_S),
         ready=ready,
         was_ready=ready,
         failed=any(_has_state(report, EngineState.FAILED) for report in placed.values()),
@@ -170,7 +170,7 @@
 
 
 def _is_missing(known: HostObservation, now_s: float, missing_after_s: float) -> bool:
-    """Return whether probes failed for ``missing_after_s``, sent over at least half of it."""
+    """Return whether probes failed for ``missing_after_s`` and span at least half of that time."""
     since_s = known.failing_since_s
     if since_s is None or now_s - since_s < missing_after_s:
         return False
--- a/yewloom/observers.py
+++ b/yewloom/observers.py
@@ -34,7 +34,7 @@
 
     async def probe_round(self) -> None:
         """Probe each assigned endpoint once, and aggregate the results by group."""
-        groups, services = self._own_groups(), self._own_services()
+        groups, services = self._assigned_groups(), self._assigned_services()
         async with trio.open_nursery() as nursery:
             for group in groups:
                 nursery.start_soon(self.probe_members, group.members)
@@ -50,11 +50,11 @@
             for member in members:
                 nursery.start_soon(self._probe_member, member)
 
-    def _own_groups(self) -> list[Group]:
+    def _assigned_groups(self) -> list[Group]:
         placement = self._node.fleet.placement(self._node.data_centre)
         return [g for g in placement.groups if g.members and self._has_duty(f"group/{g.id}")]
 
-    def _own_services(self) -> list[ServiceEndpoint]:
+    def _assigned_services(self) -> list[ServiceEndpoint]:
         placement = self._node.fleet.placement(self._node.data_centre)
         return [s for s in placement.services if self._has_duty(f"service/{s.host_id}")]
 
@@ -63,22 +63,22 @@
         return self._node.membership.has_duty(duty, count, trio.current_time())
 
     async def _probe_member(self, member: GroupMember) -> None:
-        asked_s = trio.current_time()
+        requested_s = trio.current_time()
         host_id = HostId(member.host_id)
         match await self._endpoints.probe(member.address):
             case Ok(report):
-                self._node.fleet.on_host_answered(host_id, report, asked_s)
+                self._node.fleet.on_host_answered(host_id, report, requested_s)
             case Err():
-                self._node.fleet.on_host_failed(host_id, asked_s)
+                self._node.fleet.on_host_failed(host_id, requested_s)
 
     async def _probe_service(self, endpoint: ServiceEndpoint) -> None:
-        asked_s = trio.current_time()
+        requested_s = trio.current_time()
         host_id = HostId(endpoint.host_id)
         match await self._endpoints.probe(endpoint.address):
             case Ok(report):
-                self._node.fleet.on_service_answered(host_id, report, asked_s)
+                self._node.fleet.on_service_answered(host_id, report, requested_s)
             case Err():
-                self._node.fleet.on_service_failed(host_id, asked_s)
+                self._node.fleet.on_service_failed(host_id, requested_s)
 
     def _apply_cache_events(self, group: Group) -> None:
         known = self._node.fleet.hosts.get(HostId(group.members[0].host_id))
--- a/yewloom/process_signals.py
+++ b/yewloom/process_signals.py
@@ -11,7 +11,7 @@
 
 
 class ProcessSignals:
-    """Records signals as they arrive, for an event loop that may start later or run late.
+    """Records signals as they arrive, for an event loop that may start later or be blocked.
 
     trio's own receiver records no times, and when it closes, it delivers unreceived signals again
     with the default action, which would end the process in the middle of its planned stop.
@@ -29,7 +29,7 @@
             signal.signal(number, self._on_signal)
 
     async def wait_for_stop(self, reload: Callable[[], None]) -> float:
-        """Return when a stop was first requested, on trio's clock; call ``reload`` until then."""
+        """Return when a stop was requested, on trio's clock; until then SIGHUP calls ``reload``."""
         self._trio_token = trio.lowlevel.current_trio_token()
         while (requested_s := self._early.requested_s) is None:
             if self._is_reload_requested:
--- a/yewloom/replica_coordinator.py
+++ b/yewloom/replica_coordinator.py
@@ -28,7 +28,7 @@
 from yewloom.selection import Selector
 from yewloom.stalled_groups import StalledGroups
 from yewloom.stalls import StallDetector
-from yewloom.weight_loads import supply_bounds
+from yewloom.weight_loads import compute_load_limit
 
 logger = structlog.get_logger(__name__)
 
@@ -66,14 +66,14 @@
         self._stalled_groups = StalledGroups(
             directory, stalls, parts.orders, self._state, loop_delay_s
         )
-        self._is_holding = False
+        self._holds_lease = False
         self._data_centres = 1
-        self.is_leaving = False
+        self.is_stopping = False
 
     @property
-    def is_holding(self) -> bool:
+    def holds_lease(self) -> bool:
         """Return whether this host is the coordinator now."""
-        return self._is_holding
+        return self._holds_lease
 
     async def run(self) -> None:
         """Coordinate until cancelled."""
@@ -85,24 +85,24 @@
 
     async def _coordinate(self, tasks: BackgroundTasks) -> None:
         """Acquire or renew the lease, and plan once if it is held."""
-        if self.is_leaving:
+        if self.is_stopping:
             self._set_holding(False, tasks)
             await self._lease.release()
-        elif self._is_holding or self._may_coordinate():
+        elif self._holds_lease or self._may_coordinate():
             await self._lease.run_due_action()
             # The host may have begun to stop while the store call was in progress.
-            self._set_holding(self._lease.holds() and not self.is_leaving, tasks)
-            if self._is_holding:
+            self._set_holding(self._lease.holds() and not self.is_stopping, tasks)
+            if self._holds_lease:
                 await self._step(tasks)
 
     def _set_holding(self, holds: bool, tasks: BackgroundTasks) -> None:
         """Start or stop coordinating, and discard what another coordinator may have changed."""
-        if holds == self._is_holding:
+        if holds == self._holds_lease:
             return
         tasks.cancel_all()
         logger.info("coordinator role changed", holds=holds, term=self._lease.term)
-        self._is_holding = holds
-        self._placement.forget()
+        self._holds_lease = holds
+        self._placement.invalidate()
         self._state.clear_observations()
         self._delivery.clear_order_counts()
 
@@ -125,7 +125,7 @@
         record = self._placement.current
         assert record is not None and service.engine is not None
         self._count_data_centres(service)
-        planner = self._planner(service, service.engine)
+        planner = self._make_planner(service, service.engine)
         plan = planner.plan(record, trio.current_time())
         _log_ended(plan)
         orders = plan.orders
@@ -135,14 +135,14 @@
             orders = [*orders, *self._orders_to_form(planner, plan.record, record)]
         self._delivery.send_all(orders, tasks)
 
-    def _planner(self, service: Service, engine: EngineProfile) -> ReplicaPlanner:
+    def _make_planner(self, service: Service, engine: EngineProfile) -> ReplicaPlanner:
         return ReplicaPlanner(
             self._data_centre,
             service.name,
             engine,
             self._directory,
             self._state,
-            supply_bounds(self._is_before_traffic(), engine.loads_per_s, self._data_centres),
+            compute_load_limit(self._is_before_traffic(), engine.loads_per_s, self._data_centres),
             self._demand.demand(engine),
         )
 
--- a/yewloom/streams.py
+++ b/yewloom/streams.py
@@ -1,14 +1,14 @@
 """Assembles an engine's stream: complete, in order and without duplicates.
 
 Each chunk carries the request, the generation and the offset of its first token. The last chunk
-marks the end, from which the number of tokens follows, so a broken stream is never taken for
+marks the end and so gives the number of tokens; an interrupted stream is therefore never taken for
 complete.
 """
 
 from yewloom.ids import GroupId, RequestId
 from yewloom.values import value_class
 
-MAX_PENDING_PIECES = 1024
+MAX_PENDING_CHUNKS = 1024
 """Maximum number of out-of-order chunks before the stream is considered broken."""
 
 
@@ -71,10 +71,10 @@
         return self._release()
 
     def _add_pending(self, chunk: StreamChunk) -> None:
-        pending = self._pending.get(chunk.offset)
-        if pending is None or len(pending.tokens) < len(chunk.tokens):
+        existing = self._pending.get(chunk.offset)
+        if existing is None or len(existing.tokens) < len(chunk.tokens):
             self._pending[chunk.offset] = chunk
-        if len(self._pending) > MAX_PENDING_PIECES:
+        if len(self._pending) > MAX_PENDING_CHUNKS:
             raise StreamOverflowError(
                 f"{len(self._pending)} chunks wait for offset {self._next_offset}"
             )
--- a/yewloom/tests/test_boot_clock.py
+++ b/yewloom/tests/test_boot_clock.py
@@ -63,14 +63,14 @@
 
 
 class TestSuspendedMachine(unittest.TestCase):
-    """Knowledge and deadlines from before a suspension have expired."""
+    """Data and deadlines from before a suspension have expired."""
 
     def test_keys_of_an_older_configuration_are_not_accepted(self) -> None:
         """Guards against accepting API keys that were revoked while the machine was suspended."""
 
         async def test(machine: Machine) -> None:
             configuration_state = ConfigurationState()
-            trust = KeyTrust(configuration_state, 5.0, 2.0, needs_proof=True)
+            trust = KeyTrust(configuration_state, 5.0, 2.0, requires_confirmation=True)
             configuration_state.apply(make_configuration(), trio.current_time())
             self.assertTrue(trust.may_accept(trio.current_time()))
             machine.suspend()
@@ -156,10 +156,10 @@
 
 
 class TestPrograms(unittest.TestCase):
-    """Both programs use this clock."""
+    """Both programs use the boot clock."""
 
     def test_the_platform_entry_host_uses_the_boot_clock(self) -> None:
-        """Guards against treating knowledge from before a suspension as fresh."""
+        """Guards against treating data from before a suspension as fresh."""
         with (
             mock.patch.object(Path, "read_text", return_value=BASE_SETTINGS),
             mock.patch.object(program, "ProcessSignals"),
--- a/yewloom/tests/test_coordinators.py
+++ b/yewloom/tests/test_coordinators.py
@@ -47,8 +47,8 @@
 
     def coordinator_and_node(self, name: str) -> tuple[Coordinator, Node]:
         node = _node(name)
-        observer = EndpointProber(node, self.engines)
-        coordinator = Coordinator(node, self.platform, self.engines, observer, self.new_attempt)
+        prober = EndpointProber(node, self.engines)
+        coordinator = Coordinator(node, self.platform, self.engines, prober, self.new_attempt)
         return coordinator, node
 
     def execute_orders(self) -> None:
@@ -183,10 +183,10 @@
                 await trio.sleep(10)
                 await _start(nursery, coordinators[1])
                 await trio.sleep(10)
-                held.append(coordinators[1].is_holding)
+                held.append(coordinators[1].holds_lease)
                 first.cancel()
                 await trio.sleep(15)
-                held.append(coordinators[1].is_holding)
+                held.append(coordinators[1].holds_lease)
                 nursery.cancel_scope.cancel()
             return held
 
